--- a/src/request/notices/mod.rs
+++ b/src/request/notices/mod.rs
@@ -1,5 +1,5 @@
-//! What targets say of themselves in the heads of their answers: that they leave, that they want rest, and how many
-//! requests a second they take from all hosts together. Nothing here waits or sends.
+//! Notices that targets send in response headers: that they are shutting down, that they need a backoff, and the
+//! request rate that they accept from all hosts together. No I/O.
 
 mod named_limit;
 mod notice;
--- a/src/request/notices/named_limit.rs
+++ b/src/request/notices/named_limit.rs
@@ -1,27 +1,27 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// Once a target names no limit any more, what it gets doubles in each such time, so that not all hosts come back at once.
+/// Once a target stops announcing a limit, its rate doubles at this interval, so that hosts don't resume all at once.
 const DOUBLING: Duration = Duration::from_secs(1);
 
-/// After so many doublings the limit is over.
+/// The limit is dropped after this many doublings.
 const DOUBLINGS: u32 = 5;
 
-/// A target that names less gets so many requests a second all the same, as its next answer alone can tell that it takes more.
+/// Requests per second that are sent even under a lower limit: only another response can show that the limit has risen.
 const LEAST_RATE: f64 = 0.2;
 
-/// The limit that one start of a target has named last.
+/// The latest rate limit that a target has announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NamedLimit {
-    /// Requests a second from all hosts together.
+    /// Requests per second, summed over all hosts.
     pub rate: f64,
-    /// When a host last heard of it.
+    /// When a host last received a response that confirms this state.
     pub told: Instant,
-    /// What was heard then was an answer that names no limit any more.
+    /// The last response no longer announced a limit.
     pub ended: bool,
 }
 
 impl NamedLimit {
-    /// Joins what two hosts know: what was heard later counts; of two limits of the same moment the smaller.
+    /// Merges the states of two hosts: the later report wins, and at equal times the lower limit.
     pub fn join(
         self,
         other: Self,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Requests a second that the target may get now; `None` once the limit is over.
+    /// Returns the currently allowed requests per second, or `None` once the limit is over.
     pub fn rate_at(
         &self,
         now: Instant,
--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -4,48 +4,47 @@
     std::time::Duration,
 };
 
-/// Longest text of a number in a header, in bytes.
+/// Maximum length of a number in a header, in bytes.
 const MAX_TEXT: usize = 32;
 
-/// Longer rests count as this long.
+/// Longer backoffs are cut to this.
 const MOST_REST: Duration = Duration::from_secs(24 * 3600);
 
-/// What an answer says of the rate that its target bears.
+/// The rate limit in the headers of one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitWord {
-    /// No limit is named.
     #[default]
     Absent,
-    /// Requests a second, from all hosts together.
+    /// Requests per second, summed over all hosts.
     Rate(f64),
-    /// Nothing that can be gone by: it neither names a limit nor ends one.
+    /// Not usable: neither announces a limit nor ends one.
     Unknown,
 }
 
-/// What one answer says of its target.
+/// The notices in the headers of one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Notice {
     pub limit: LimitWord,
-    /// The target is leaving.
+    /// The target is shutting down.
     pub leaves: bool,
-    /// The target wants nothing from this host for so long.
+    /// The target accepts no requests from this host for this long.
     pub rest: Option<Duration>,
 }
 
 impl Notice {
-    /// True if the target is in no need, as far as this answer says.
+    /// Returns true if the response has no limit, shutdown notice or backoff.
     pub fn says_nothing(&self) -> bool {
         !matches!(self.limit, LimitWord::Rate(_)) && !self.leaves && self.rest.is_none()
     }
 }
 
-/// A header whose value makes no sense; the answer goes on to its caller all the same.
+/// A header whose value can't be parsed. The response is still passed on to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnreadableNotice {
     pub header: HeaderName,
 }
 
-/// The headers of an answer in which its target speaks of itself.
+/// The response headers that hold notices.
 pub struct NoticeHeaders<'a> {
     pub names: &'a HeaderNames,
     pub status: StatusCode,
@@ -53,8 +52,8 @@
 }
 
 impl NoticeHeaders<'_> {
-    /// Reads what is said, and names the headers that make no sense. An answer that the request was meant for another target
-    /// may come from another one, and says nothing.
+    /// Parses the notices, and lists the headers that can't be parsed. A 421 (misdirected request) may come from
+    /// another target, so its notices are ignored.
     pub fn read(&self) -> (Notice, Vec<UnreadableNotice>) {
         let mut unreadable = Vec::new();
         if self.status == StatusCode::MISDIRECTED_REQUEST {
@@ -116,7 +115,7 @@
     }
 }
 
-/// The value of a header that should hold one number, zero or more.
+/// A header value that must be a single number, zero or more.
 enum Value {
     Absent,
     Number(f64),
--- a/src/request/notices/notice_book.rs
+++ b/src/request/notices/notice_book.rs
@@ -8,22 +8,22 @@
     },
 };
 
-/// What a target said is forgotten after so long without a word of it: it is gone by then, or its entry says the same.
+/// Entries without an update for this long are evicted.
 const MEMORY: Duration = Duration::from_secs(600);
 
-/// What all targets have said of themselves, by id. A later start of a target makes what an earlier one said void.
+/// The notices of all targets, by target id. A later start of a target replaces the entry of an earlier one.
 #[derive(Debug, Default)]
 pub struct NoticeBook {
     by_target: HashMap<Arc<str>, TargetNotices>,
 }
 
 impl NoticeBook {
-    /// True if no target has said anything.
+    /// Returns true if no target has sent a notice.
     pub fn is_empty(&self) -> bool {
         self.by_target.is_empty()
     }
 
-    /// Takes in what an answer says to a request that was sent at `sent`; gives what is new.
+    /// Records the notices in the response to a request that was sent at `sent`, and returns what changed.
     pub fn hear(
         &mut self,
         target: &str,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in what another host knows of a start of a target; true if something is new.
+    /// Merges another host's entry for a target; returns true if it changed anything.
     pub fn take(
         &mut self,
         target: &str,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What a start of a target has said; `None` if that is nothing.
+    /// Returns the entry of a target if it is of this start.
     pub fn get(
         &self,
         target: &str,
@@ -64,7 +64,7 @@
         notices.filter(|notices| notices.start == start)
     }
 
-    /// True if this start of a target has said that it leaves.
+    /// Returns true if this start of the target has announced its shutdown.
     pub fn leaves(
         &self,
         target: &str,
@@ -73,7 +73,7 @@
         self.get(target, start).is_some_and(|said| said.leaves)
     }
 
-    /// What is kept of a start of a target; `None` if a later start has spoken.
+    /// Returns the entry of a target, created if missing; `None` if a later start is known.
     fn of_start(
         &mut self,
         target: &str,
--- a/src/request/notices/openness.rs
+++ b/src/request/notices/openness.rs
@@ -1,11 +1,11 @@
-/// Whether a target may get a request of this host, by what it says of itself.
+/// Whether this host may send requests to a target, according to the target's notices.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Openness {
-    /// It is in no need.
+    /// Without restriction.
     #[default]
     Open,
-    /// Only with leave of the host that counts what it gets.
+    /// Only with a permit from the host that counts the target's requests.
     Limited,
-    /// Not now.
+    /// Not at present.
     Closed,
 }
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -3,37 +3,37 @@
     crate::{clock::Instant, formats::TargetStart},
 };
 
-/// What is new of a target, for lines and for other hosts.
+/// A change in a target's notices, to be logged and sent to other hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum NoticeNews {
-    /// It names this limit, in requests a second, or another one than before.
+    /// A new or changed limit, in requests per second.
     Limited { rate: f64 },
-    /// It names no limit any more.
+    /// The limit that was in force, in requests per second, is no longer announced.
     Unlimited { rate: f64 },
-    /// It leaves.
+    /// The target is shutting down.
     Leaves,
-    /// It wants nothing from this host until then.
+    /// The target accepts no requests from this host until then.
     Rests { until: Instant },
 }
 
 impl NoticeNews {
-    /// True for what all hosts must know; a rest is for the one that is told of it.
+    /// Returns true for changes that concern all hosts; a backoff concerns only the host that received it.
     pub fn concerns_all_hosts(&self) -> bool {
         !matches!(self, Self::Rests { .. })
     }
 }
 
-/// What one start of a target has said of itself.
+/// The notices of one start of a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TargetNotices {
-    /// Which start said it; `None` where the platform does not tell.
+    /// `None` if the platform does not report start times.
     pub start: Option<TargetStart>,
     pub limit: Option<NamedLimit>,
-    /// It leaves; that is never taken back.
+    /// The target is shutting down; never reset.
     pub leaves: bool,
-    /// It wants nothing from this host until then.
+    /// The target accepts no requests from this host until then.
     pub rest_until: Option<Instant>,
-    /// When anything of it was last heard.
+    /// When the last notice was received.
     pub heard: Instant,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes in what an answer says to a request that was sent at `sent`; gives what is new.
+    /// Records the notices in the response to a request that was sent at `sent`, and returns what changed.
     pub fn hear(
         &mut self,
         notice: &Notice,
@@ -93,7 +93,7 @@
                 let same = known.is_some_and(|known| !known.ended && known.rate == rate);
                 (!same).then_some(NoticeNews::Limited { rate })
             }
-            // An answer to a request from before the limit was named says nothing of it.
+            // A response to a request that was sent before the limit was announced can't end it.
             LimitWord::Absent => {
                 let known = known.filter(|known| !known.ended && known.told < sent)?;
                 self.limit = Some(NamedLimit {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Until when the target wants nothing from this host, if it rests now.
+    /// Returns the end of the backoff that the target has asked for, if it is not over.
     pub fn rests(
         &self,
         now: Instant,
@@ -115,7 +115,7 @@
         self.rest_until.filter(|until| now < *until)
     }
 
-    /// True if the target takes only so many requests a second now.
+    /// Returns true if a rate limit is in force.
     pub fn is_limited(
         &self,
         now: Instant,
@@ -124,8 +124,8 @@
         limit.is_some_and(|limit| limit.rate_at(now).is_some())
     }
 
-    /// Takes in what another host knows of the same start; true if the target says something else than was known. That it says
-    /// the same still is no news: each answer does. Rests are each host's own.
+    /// Merges another host's entry for the same start. Returns true if the limit or the shutdown notice changed; a mere
+    /// confirmation is no change. Backoffs are not shared.
     pub fn join(
         &mut self,
         other: &Self,
@@ -140,7 +140,7 @@
         before != self.said_to_all()
     }
 
-    /// What it says to all hosts.
+    /// Returns the part that is shared with all hosts: limit, whether it has ended, shutdown notice.
     fn said_to_all(&self) -> (Option<(f64, bool)>, bool) {
         let limit = self.limit.map(|limit| (limit.rate, limit.ended));
         (limit, self.leaves)
--- a/src/request/permits/mod.rs
+++ b/src/request/permits/mod.rs
@@ -1,5 +1,5 @@
-//! Leave to send to targets that take only so many requests a second from all hosts together. One host counts for each
-//! target; the others ask it before each send. Nothing here waits or sends.
+//! Permits to send to targets whose request rate is limited over all hosts. One host counts per target; the others
+//! request a permit from it before each send. No I/O.
 
 mod permit_desk;
 mod permit_giver;
--- a/src/request/permits/permit_desk.rs
+++ b/src/request/permits/permit_desk.rs
@@ -4,26 +4,25 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// What is counted for a target is forgotten after so long without an ask; by then its bucket would be full.
+/// Counters without a request for this long are evicted.
 const MEMORY: Duration = Duration::from_secs(60);
 
-/// Asks that are turned away count for so long; half of them after this time.
+/// Half-life of the count of rejected requests.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Hosts that are turned away are told to ask again so late that this many asks come for each request that may be sent: fewer
-/// would leave some of the rate unused, more only cost messages.
+/// Retry delays are set so that this many permit requests arrive for each permit: fewer would leave some of the rate
+/// unused, more would only cost messages.
 const ASKS_PER_PERMIT: f64 = 3.0;
 
-/// They are told to ask again after this time at the most, unless no request may be sent before.
+/// Maximum retry delay, unless no permit becomes free earlier.
 const MOST_PAUSE: Duration = Duration::from_secs(1);
 
-/// Pauses differ by up to this share, so that hosts don't ask together.
+/// Retry delays are spread by up to this fraction, so that hosts don't retry in step.
 const SPREAD: f64 = 0.5;
 
-/// Steps of the spread.
 const SPREAD_STEPS: u32 = 8;
 
-/// Counts the requests of all hosts to the targets for which this host does so.
+/// Grants permits for the targets that this host counts.
 #[derive(Debug, Default)]
 pub struct PermitDesk {
     by_target: HashMap<Arc<str>, Counted>,
@@ -33,14 +32,15 @@
 struct Counted {
     start: Option<TargetStart>,
     bucket: RateBucket,
-    /// Asks that were turned away, the older ones less.
+    /// Decaying count of rejected requests.
     turned_away: f64,
     asked: Instant,
     spread: u32,
 }
 
 impl PermitDesk {
-    /// Lets one request through to a target that takes so many a second, or tells the host that asks when to ask again.
+    /// Grants a permit to send one request to a target with a limit of `rate` requests per second, or returns the delay
+    /// after which to retry.
     pub fn ask(
         &mut self,
         target: &str,
--- a/src/request/permits/permit_giver.rs
+++ b/src/request/permits/permit_giver.rs
@@ -3,8 +3,8 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// The host that counts what a target gets: all hosts that know the same hosts name the same one, and few targets change it
-/// when a host comes or goes. It rests on nothing in the store, which may be out while targets are in need.
+/// Returns the host that counts the requests to a target. Uses rendezvous hashing: hosts with the same host list agree,
+/// and few targets move when a host joins or leaves. Does not depend on the store, which may be down.
 pub fn permit_giver(
     target: &str,
     hosts: impl Iterator<Item = SocketAddr>,
--- a/src/request/permits/rate_bucket.rs
+++ b/src/request/permits/rate_bucket.rs
@@ -1,12 +1,12 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// Requests that may be sent at once after a pause, whatever the rate.
+/// Minimum burst, in requests, at any rate.
 const LEAST_BURST: f64 = 1.0;
 
-/// And those of so much time.
+/// The burst grows by the requests of this time.
 const BURST_TIME: Duration = Duration::from_millis(500);
 
-/// Counts what one target gets, against a rate that may change.
+/// A token bucket whose rate may change.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBucket {
     tokens: f64,
@@ -14,7 +14,7 @@
 }
 
 impl RateBucket {
-    /// Begins empty: what another host that counted before has let through is not known.
+    /// Creates an empty bucket: what the previous counting host has granted is unknown.
     pub fn new(now: Instant) -> Self {
         Self {
             tokens: 0.0,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Lets one request through at so many a second, or tells after which time the next may be.
+    /// Takes the token of one request at a rate in requests per second, or returns the time until the next token.
     pub fn take(
         &mut self,
         rate: f64,
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -1,4 +1,5 @@
-//! What targets say of themselves: how it is read, how hosts join what they know, and how one host counts for all.
+//! Target notices: parsing of headers, merging between hosts, and the permits by which one host enforces a limit for
+//! all.
 
 use {
     coveproxy::{
@@ -103,7 +104,7 @@
     };
     let news = said.hear(&named, begin, begin + ms(10));
     assert_eq!(news, [NoticeNews::Limited { rate: 2.0 }]);
-    // An answer to a request from before says nothing of it.
+    // The response to a request that was sent before the limit was announced.
     let absent = Notice::default();
     assert_eq!(said.hear(&absent, begin, begin + ms(20)), []);
     let over = begin + ms(1_000);
@@ -133,7 +134,7 @@
     };
     book.hear("t", start(6), &named, now, now);
     assert!(!book.leaves("t", start(6)));
-    // News of the earlier start comes late.
+    // An update of the earlier start arrives late.
     let late = TargetNotices {
         leaves: true,
         ..TargetNotices::new(start(5), now)
@@ -143,7 +144,7 @@
     assert!(book.get("t", start(6)).unwrap().limit.is_some());
 }
 
-/// News of one start of a target, as hosts tell it to one another.
+/// Updates of one start of a target, as hosts exchange them.
 fn any_news(begin: Instant) -> impl Strategy<Value = TargetNotices> {
     let limit = (0u64..20, 0u32..4, any::<bool>());
     (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaves, limit)| TargetNotices {
@@ -157,8 +158,8 @@
     })
 }
 
-/// Each answer of a target in need names its limit again, and each ask for leave says when it was last named: told on to all as
-/// news, every request to one target would be a message to every host.
+/// Each response of a limited target and each permit request confirms the limit: were that an update, every request to
+/// a target would cause a message to every host.
 #[test]
 fn that_a_target_says_the_same_still_is_no_news() {
     let begin = Instant::now();
@@ -179,7 +180,7 @@
 }
 
 proptest! {
-    /// Order, repetition and detours of news don't matter.
+    /// Updates may arrive in any order and more than once.
     #[test]
     fn hosts_that_have_heard_the_same_news_know_the_same(
         (news, order) in {
@@ -205,11 +206,11 @@
     }
 }
 
-/// Hosts that send to one target for as long as callers ask for more than it takes.
+/// Hosts that send more to one target than it accepts.
 struct Crowd {
     rng: StdRng,
     rate: f64,
-    /// Each host: when it may ask again.
+    /// When each host may retry.
     hosts: Vec<Instant>,
     desk: PermitDesk,
     sent: Vec<Instant>,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Plays some seconds, a request at one of the hosts each few milliseconds; at these times another host counts.
+    /// Simulates a request at a random host every 5 ms; at the times in `changes` another host takes over the counting.
     fn play(
         &mut self,
         begin: Instant,
@@ -268,8 +269,8 @@
     }
 }
 
-/// One host counts for all: nine tenths of a limit are used while callers ask for more, and it is not exceeded by more than
-/// half, plus five, in four seconds, whoever counts.
+/// Under excess load at least nine tenths of a limit are used, and no window of 4 s exceeds it by more than half plus
+/// five, also when the counting host changes.
 #[rstest]
 fn a_limit_is_used_and_kept(
     #[values(6, 24, 195, 380)] hosts: usize,
@@ -291,7 +292,7 @@
     }
 }
 
-/// All hosts name the same one to count, and one that goes changes that only for the targets it counted.
+/// All hosts choose the same counting host, and a host that leaves changes that only for the targets that it counted.
 #[test]
 fn hosts_agree_on_who_counts() {
     let hosts: Vec<SocketAddr> = (1..=20)
