--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -5,7 +5,7 @@
         clock::{Instant, timeout_at},
         connection::targets::TargetBoard,
         metrics::{StateLabels, metrics},
-        request::notices::Openness,
+        request::notices::Availability,
     },
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
@@ -26,9 +26,9 @@
     let mut ask = {
         let board = board.borrow();
         match board.openness(target, begun) {
-            Openness::Open => return true,
-            Openness::Closed => return false,
-            Openness::Limited => {}
+            Availability::Open => return true,
+            Availability::Closed => return false,
+            Availability::Limited => {}
         }
         let ask = board.permits.start(id);
         board.ask_permit(id, target, begun);
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -7,7 +7,7 @@
             datagram::{PlaceEnded, PlaceGiven, PlaceWanted},
             targets::TargetBoard,
         },
-        request::{direct::CallRequest, notices::Openness, places::PlaceEnd},
+        request::{direct::CallRequest, notices::Availability, places::PlaceEnd},
     },
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
@@ -113,7 +113,7 @@
         passed.clear();
     }
     let targets = board.targets_of(service).iter();
-    let closed = targets.filter(|target| board.openness(&target.id, now) == Openness::Closed);
+    let closed = targets.filter(|target| board.openness(&target.id, now) == Availability::Closed);
     passed.extend(closed.map(|target| target.id.to_string()));
     passed.extend(tried.iter().cloned());
     passed
--- a/src/connection/front/against_engines.rs
+++ b/src/connection/front/against_engines.rs
@@ -2,7 +2,7 @@
     clock::Instant,
     request::{
         direct::{CopyState, EngineCandidate},
-        notices::Openness,
+        notices::Availability,
     },
 };
 
@@ -37,7 +37,7 @@
             let is_full = matches!(candidate.copy, CopyState::Full { until } if until > now);
             if candidate.tried {
                 counts.tried += 1;
-            } else if candidate.openness == Openness::Closed {
+            } else if candidate.openness == Availability::Closed {
                 counts.closed += 1;
             } else if candidate.avoided {
                 counts.avoided += 1;
--- a/src/connection/targets/board_adapters.rs
+++ b/src/connection/targets/board_adapters.rs
@@ -5,7 +5,7 @@
     crate::{
         clock::Instant,
         connection::datagram::{Placement, PlacementState, Want},
-        request::{direct::CopyState, notices::Openness},
+        request::{direct::CopyState, notices::Availability},
     },
     std::{rc::Rc, sync::Arc, time::Duration},
     tokio::sync::Notify,
@@ -41,7 +41,7 @@
             let view = &self.links[&target.id].view;
             // On a large site nobody knows what an engine without a holder holds.
             let loads = view.holder.is_some() || self.asks_before_sends();
-            let in_need = self.openness(&target.id, now) != Openness::Open;
+            let in_need = self.openness(&target.id, now) != Availability::Open;
             loads && !in_need && !view.record.is_empty
         };
         let any_may = ranked.iter().any(|(_, target)| may_load(target));
--- a/src/connection/targets/board_notices.rs
+++ b/src/connection/targets/board_notices.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{Closing, ControlRequest, TargetBoard},
-    crate::{clock::Instant, connection::datagram::PermitAsk, request::notices::Openness},
+    crate::{clock::Instant, connection::datagram::PermitAsk, request::notices::Availability},
     std::sync::Arc,
 };
 
@@ -12,9 +12,9 @@
         &self,
         target: &str,
         now: Instant,
-    ) -> Openness {
+    ) -> Availability {
         match self.notices.is_quiet() {
-            true => Openness::Open,
+            true => Availability::Open,
             false => self.notices.openness(target, self.started(target), now),
         }
     }
--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -7,7 +7,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::notices::{
-            NoticeBook, NoticeHeaders, NoticeNews, Openness, TargetNotices, UnreadableNotice,
+            Availability, NoticeBook, NoticeHeaders, NoticeNews, TargetNotices, UnreadableNotice,
         },
         timeline::Event,
     },
@@ -58,14 +58,14 @@
         target: &str,
         start: Option<TargetStart>,
         now: Instant,
-    ) -> Openness {
+    ) -> Availability {
         if self.closing(target, start, now).is_some() {
-            return Openness::Closed;
+            return Availability::Closed;
         }
         let said = self.book.get(target, start);
         match said.is_some_and(|said| said.is_limited(now)) {
-            true => Openness::Limited,
-            false => Openness::Open,
+            true => Availability::Limited,
+            false => Availability::Open,
         }
     }
 
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -1,6 +1,6 @@
 use {
     super::Policy,
-    crate::{clock::Instant, request::notices::Openness},
+    crate::{clock::Instant, request::notices::Availability},
     std::time::Duration,
 };
 
@@ -49,7 +49,7 @@
     /// This request was turned away there.
     pub tried: bool,
     /// Whether it may get a request now, by what it says of itself.
-    pub openness: Openness,
+    pub openness: Availability,
 }
 
 /// What is done with a request for an engine.
@@ -148,18 +148,18 @@
     candidates: &[EngineCandidate],
     terms: &ChoiceTerms,
 ) -> EngineChoice {
-    let is_open = |candidate: &EngineCandidate| candidate.openness == Openness::Open;
+    let is_open = |candidate: &EngineCandidate| candidate.openness == Availability::Open;
     let choice = choose_among(candidates, terms, &is_open);
     if matches!(choice, EngineChoice::Send { .. }) || candidates.iter().all(is_open) {
         return choice;
     }
     let is_spare = |candidate: &EngineCandidate| {
-        candidate.openness == Openness::Limited && candidate.copy == CopyState::Ready
+        candidate.openness == Availability::Limited && candidate.copy == CopyState::Ready
     };
     match (choose_among(candidates, terms, &is_spare), choice) {
         (send @ EngineChoice::Send { .. }, _) => send,
         (_, EngineChoice::Nowhere) => choose_among(candidates, terms, &|candidate| {
-            candidate.openness != Openness::Closed
+            candidate.openness != Availability::Closed
         }),
         (_, choice) => choice,
     }
--- a/src/request/direct/plain_choice.rs
+++ b/src/request/direct/plain_choice.rs
@@ -1,4 +1,4 @@
-use {crate::request::notices::Openness, std::time::Duration};
+use {crate::request::notices::Availability, std::time::Duration};
 
 /// A target of a plain service, as it stands at this moment.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -14,7 +14,7 @@
     /// This request was sent there before.
     pub tried: bool,
     /// Whether it may get a request now, by what it says of itself.
-    pub openness: Openness,
+    pub openness: Availability,
 }
 
 /// A distant target counts as so much fuller.
@@ -31,7 +31,7 @@
     let count = candidates.len();
     let first = (draw * count as f64) as usize;
     let order = (0..count).map(|at| (at + first) % count.max(1));
-    let open = order.filter(|at| candidates[*at].openness != Openness::Closed);
+    let open = order.filter(|at| candidates[*at].openness != Availability::Closed);
     open.min_by(|a, b| {
         let (a, b) = (&candidates[*a], &candidates[*b]);
         let tried = a.tried.cmp(&b.tried);
@@ -45,7 +45,7 @@
 }
 
 fn is_limited(candidate: &PlainCandidate) -> bool {
-    candidate.openness == Openness::Limited
+    candidate.openness == Availability::Limited
 }
 
 fn load(candidate: &PlainCandidate) -> f64 {
--- a/src/request/notices/openness.rs
+++ b/src/request/notices/availability.rs
@@ -1,6 +1,6 @@
 /// Whether this host may send requests to a target, according to the target's notices.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Openness {
+pub enum Availability {
     /// Without restriction.
     #[default]
     Open,
--- a/src/request/notices/mod.rs
+++ b/src/request/notices/mod.rs
@@ -1,16 +1,16 @@
 //! Notices that targets send in response headers: that they are shutting down, that they need a backoff, and the
 //! request rate that they accept from all hosts together. No I/O.
 
+mod availability;
 mod named_limit;
 mod notice;
 mod notice_book;
-mod openness;
 mod target_notices;
 
 pub use {
+    availability::Availability,
     named_limit::NamedLimit,
     notice::{LimitWord, Notice, NoticeHeaders, UnreadableNotice},
     notice_book::NoticeBook,
-    openness::Openness,
     target_notices::{NoticeNews, TargetNotices},
 };
