--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -7,7 +7,8 @@
         metrics::{StateLabels, metrics},
         note,
         request::notices::{
-            Availability, NoticeBook, NoticeHeaders, NoticeNews, TargetNotices, UnreadableNotice,
+            Availability, NoticeHeaders, NoticeNews, NoticeRegistry, TargetNotices,
+            UnreadableNotice,
         },
         timeline::Event,
     },
@@ -29,7 +30,7 @@
 
 /// What targets say of themselves, as the requests of this host hear it.
 pub struct NoticeWatch {
-    book: NoticeBook,
+    book: NoticeRegistry,
     /// Targets that this host leaves alone for a moment, until when, and of which start that holds.
     closed: HashMap<Arc<str>, (Option<TargetStart>, Instant)>,
     control: flume::Sender<ControlRequest>,
@@ -40,7 +41,7 @@
 impl NoticeWatch {
     pub fn new(control: flume::Sender<ControlRequest>) -> Self {
         Self {
-            book: NoticeBook::default(),
+            book: NoticeRegistry::default(),
             closed: HashMap::new(),
             control,
             unreadable: HashMap::new(),
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -10,7 +10,7 @@
         note,
         process::hosts::HostState,
         request::{
-            notices::{NoticeBook, TargetNotices},
+            notices::{NoticeRegistry, TargetNotices},
             permits::{PermitDesk, permit_giver},
         },
         timeline::Event,
@@ -30,7 +30,7 @@
 /// What targets have said of themselves, as this host knows it, and what it counts for the others.
 #[derive(Debug, Default)]
 pub(super) struct KnownNotices {
-    book: NoticeBook,
+    book: NoticeRegistry,
     desk: PermitDesk,
     /// News that all hosts are still to be told of.
     untold: Vec<Telling>,
--- a/src/request/notices/mod.rs
+++ b/src/request/notices/mod.rs
@@ -4,13 +4,13 @@
 mod availability;
 mod named_limit;
 mod notice;
-mod notice_book;
+mod notice_registry;
 mod target_notices;
 
 pub use {
     availability::Availability,
     named_limit::NamedLimit,
     notice::{LimitWord, Notice, NoticeHeaders, UnreadableNotice},
-    notice_book::NoticeBook,
+    notice_registry::NoticeRegistry,
     target_notices::{NoticeNews, TargetNotices},
 };
--- a/src/request/notices/notice_book.rs
+++ b/src/request/notices/notice_registry.rs
@@ -13,11 +13,11 @@
 
 /// The notices of all targets, by target id. A later start of a target replaces the entry of an earlier one.
 #[derive(Debug, Default)]
-pub struct NoticeBook {
+pub struct NoticeRegistry {
     by_target: HashMap<Arc<str>, TargetNotices>,
 }
 
-impl NoticeBook {
+impl NoticeRegistry {
     /// Returns true if no target has sent a notice.
     pub fn is_empty(&self) -> bool {
         self.by_target.is_empty()
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -7,7 +7,8 @@
         formats::{HeaderNames, TargetStart},
         request::{
             notices::{
-                LimitWord, NamedLimit, Notice, NoticeBook, NoticeHeaders, NoticeNews, TargetNotices,
+                LimitWord, NamedLimit, Notice, NoticeHeaders, NoticeNews, NoticeRegistry,
+                TargetNotices,
             },
             permits::{PermitDesk, permit_giver},
         },
@@ -119,7 +120,7 @@
 #[test]
 fn a_later_start_makes_void_what_an_earlier_one_said() {
     let now = Instant::now();
-    let mut book = NoticeBook::default();
+    let mut book = NoticeRegistry::default();
     let start = |ms| Some(TargetStart::from_unix_ms(ms));
     let leaves = Notice {
         leaves: true,
@@ -163,7 +164,7 @@
 #[test]
 fn that_a_target_says_the_same_still_is_no_news() {
     let begin = Instant::now();
-    let mut book = NoticeBook::default();
+    let mut book = NoticeRegistry::default();
     let named = |at: Instant, rate: f64| TargetNotices {
         limit: Some(NamedLimit {
             rate,
