--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -11,7 +11,7 @@
         process::hosts::HostState,
         request::{
             notices::{NoticeRegistry, TargetNotices},
-            permits::{PermitDesk, permit_giver},
+            permits::{PermitAllocator, permit_giver},
         },
         timeline::Event,
     },
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub(super) struct KnownNotices {
     book: NoticeRegistry,
-    desk: PermitDesk,
+    desk: PermitAllocator,
     /// News that all hosts are still to be told of.
     untold: Vec<Telling>,
 }
--- a/src/request/permits/mod.rs
+++ b/src/request/permits/mod.rs
@@ -1,8 +1,8 @@
 //! Permits to send to targets whose request rate is limited over all hosts. One host counts per target; the others
 //! request a permit from it before each send. No I/O.
 
-mod permit_desk;
+mod permit_allocator;
 mod permit_giver;
 mod rate_bucket;
 
-pub use {permit_desk::PermitDesk, permit_giver::permit_giver, rate_bucket::RateBucket};
+pub use {permit_allocator::PermitAllocator, permit_giver::permit_giver, rate_bucket::RateBucket};
--- a/src/request/permits/permit_desk.rs
+++ b/src/request/permits/permit_allocator.rs
@@ -24,7 +24,7 @@
 
 /// Grants permits for the targets that this host counts.
 #[derive(Debug, Default)]
-pub struct PermitDesk {
+pub struct PermitAllocator {
     by_target: HashMap<Arc<str>, Counted>,
 }
 
@@ -38,7 +38,7 @@
     spread: u32,
 }
 
-impl PermitDesk {
+impl PermitAllocator {
     /// Grants a permit to send one request to a target with a limit of `rate` requests per second, or returns the delay
     /// after which to retry.
     pub fn ask(
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -10,7 +10,7 @@
                 LimitWord, NamedLimit, Notice, NoticeHeaders, NoticeNews, NoticeRegistry,
                 TargetNotices,
             },
-            permits::{PermitDesk, permit_giver},
+            permits::{PermitAllocator, permit_giver},
         },
     },
     http::{HeaderMap, HeaderName, HeaderValue, StatusCode},
@@ -213,7 +213,7 @@
     rate: f64,
     /// When each host may retry.
     hosts: Vec<Instant>,
-    desk: PermitDesk,
+    desk: PermitAllocator,
     sent: Vec<Instant>,
 }
 
@@ -228,7 +228,7 @@
             rng: StdRng::seed_from_u64(seed),
             rate,
             hosts: vec![begin; hosts],
-            desk: PermitDesk::default(),
+            desk: PermitAllocator::default(),
             sent: Vec::new(),
         }
     }
@@ -244,7 +244,7 @@
         for step in 0..seconds * 200 {
             let passed = ms(step * 5);
             if changes.next_if(|at| **at <= passed).is_some() {
-                self.desk = PermitDesk::default();
+                self.desk = PermitAllocator::default();
             }
             let now = begin + passed;
             let host = self.rng.random_range(0..self.hosts.len());
