--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -7,7 +7,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::notices::{
-            Availability, NoticeHeaders, NoticeNews, NoticeRegistry, TargetNotices,
+            Availability, NoticeChange, NoticeHeaders, NoticeRegistry, TargetNotices,
             UnreadableNotice,
         },
         timeline::Event,
@@ -150,7 +150,7 @@
         for news in &news {
             tell(target, news, now);
         }
-        if news.iter().any(NoticeNews::concerns_all_hosts)
+        if news.iter().any(NoticeChange::concerns_all_hosts)
             && let Some(notices) = self.book.get(target, start)
         {
             let _ = self.control.send(ControlRequest::Heard {
@@ -186,23 +186,23 @@
 /// Tells what a target says that it did not say before.
 fn tell(
     target: &str,
-    news: &NoticeNews,
+    news: &NoticeChange,
     now: Instant,
 ) {
     match news {
-        NoticeNews::Limited { rate } => {
+        NoticeChange::Limited { rate } => {
             count("limited");
             note!(Event::TargetLimited, target = target, rate = rate);
         }
-        NoticeNews::Unlimited { rate } => {
+        NoticeChange::Unlimited { rate } => {
             count("unlimited");
             note!(Event::TargetUnlimited, target = target, rate = rate);
         }
-        NoticeNews::Leaves => {
+        NoticeChange::Leaves => {
             count("leaving");
             note!(Event::TargetSaidLeaving, target = target);
         }
-        NoticeNews::Rests { until } => {
+        NoticeChange::Rests { until } => {
             count("rests");
             let rest = until.saturating_duration_since(now);
             note!(
--- a/src/request/notices/mod.rs
+++ b/src/request/notices/mod.rs
@@ -12,5 +12,5 @@
     named_limit::NamedLimit,
     notice::{LimitWord, Notice, NoticeHeaders, UnreadableNotice},
     notice_registry::NoticeRegistry,
-    target_notices::{NoticeNews, TargetNotices},
+    target_notices::{NoticeChange, TargetNotices},
 };
--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Notice, NoticeNews, TargetNotices},
+    super::{Notice, NoticeChange, TargetNotices},
     crate::{clock::Instant, formats::TargetStart},
     std::{
         collections::{HashMap, hash_map::Entry},
@@ -31,7 +31,7 @@
         notice: &Notice,
         sent: Instant,
         now: Instant,
-    ) -> Vec<NoticeNews> {
+    ) -> Vec<NoticeChange> {
         if !self.by_target.contains_key(target) && notice.says_nothing() {
             return Vec::new();
         }
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -5,7 +5,7 @@
 
 /// A change in a target's notices, to be logged and sent to other hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum NoticeNews {
+pub enum NoticeChange {
     /// A new or changed limit, in requests per second.
     Limited { rate: f64 },
     /// The limit that was in force, in requests per second, is no longer announced.
@@ -16,7 +16,7 @@
     Rests { until: Instant },
 }
 
-impl NoticeNews {
+impl NoticeChange {
     /// Returns true for changes that concern all hosts; a backoff concerns only the host that received it.
     pub fn concerns_all_hosts(&self) -> bool {
         !matches!(self, Self::Rests { .. })
@@ -57,19 +57,19 @@
         notice: &Notice,
         sent: Instant,
         now: Instant,
-    ) -> Vec<NoticeNews> {
+    ) -> Vec<NoticeChange> {
         self.heard = now;
         let mut news = Vec::new();
         news.extend(self.hear_limit(notice.limit, sent, now));
         if notice.leaves && !self.leaves {
             self.leaves = true;
-            news.push(NoticeNews::Leaves);
+            news.push(NoticeChange::Leaves);
         }
         if let Some(rest) = notice.rest {
             let until = now + rest;
             if self.rest_until.is_none_or(|known| known < until) {
                 self.rest_until = Some(until);
-                news.push(NoticeNews::Rests { until });
+                news.push(NoticeChange::Rests { until });
             }
         }
         news
@@ -80,7 +80,7 @@
         word: LimitWord,
         sent: Instant,
         now: Instant,
-    ) -> Option<NoticeNews> {
+    ) -> Option<NoticeChange> {
         let known = self.limit.filter(|limit| limit.rate_at(now).is_some());
         match word {
             LimitWord::Rate(rate) => {
@@ -91,7 +91,7 @@
                 };
                 self.limit = Some(told);
                 let same = known.is_some_and(|known| !known.ended && known.rate == rate);
-                (!same).then_some(NoticeNews::Limited { rate })
+                (!same).then_some(NoticeChange::Limited { rate })
             }
             // A response to a request that was sent before the limit was announced can't end it.
             LimitWord::Absent => {
@@ -101,7 +101,7 @@
                     ended: true,
                     ..known
                 });
-                Some(NoticeNews::Unlimited { rate: known.rate })
+                Some(NoticeChange::Unlimited { rate: known.rate })
             }
             LimitWord::Unknown => None,
         }
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -7,7 +7,7 @@
         formats::{HeaderNames, TargetStart},
         request::{
             notices::{
-                LimitWord, NamedLimit, Notice, NoticeHeaders, NoticeNews, NoticeRegistry,
+                LimitWord, NamedLimit, Notice, NoticeChange, NoticeHeaders, NoticeRegistry,
                 TargetNotices,
             },
             permits::{PermitAllocator, permit_giver},
@@ -104,13 +104,13 @@
         ..Notice::default()
     };
     let news = said.hear(&named, begin, begin + ms(10));
-    assert_eq!(news, [NoticeNews::Limited { rate: 2.0 }]);
+    assert_eq!(news, [NoticeChange::Limited { rate: 2.0 }]);
     // The response to a request that was sent before the limit was announced.
     let absent = Notice::default();
     assert_eq!(said.hear(&absent, begin, begin + ms(20)), []);
     let over = begin + ms(1_000);
     let news = said.hear(&absent, begin + ms(900), over);
-    assert_eq!(news, [NoticeNews::Unlimited { rate: 2.0 }]);
+    assert_eq!(news, [NoticeChange::Unlimited { rate: 2.0 }]);
     let rate = |at| said.limit.unwrap().rate_at(at);
     assert_eq!(rate(over), Some(2.0));
     assert_eq!(rate(over + ms(2_000)), Some(8.0));
