--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -198,11 +198,11 @@
             count("unlimited");
             note!(Event::TargetUnlimited, target = target, rate = rate);
         }
-        NoticeChange::Leaves => {
+        NoticeChange::Leaving => {
             count("leaving");
             note!(Event::TargetSaidLeaving, target = target);
         }
-        NoticeChange::Rests { until } => {
+        NoticeChange::BackingOff { until } => {
             count("rests");
             let rest = until.saturating_duration_since(now);
             note!(
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -11,15 +11,15 @@
     /// The limit that was in force, in requests per second, is no longer announced.
     Unlimited { rate: f64 },
     /// The target is shutting down.
-    Leaves,
+    Leaving,
     /// The target accepts no requests from this host until then.
-    Rests { until: Instant },
+    BackingOff { until: Instant },
 }
 
 impl NoticeChange {
     /// Returns true for changes that concern all hosts; a backoff concerns only the host that received it.
     pub fn concerns_all_hosts(&self) -> bool {
-        !matches!(self, Self::Rests { .. })
+        !matches!(self, Self::BackingOff { .. })
     }
 }
 
@@ -63,13 +63,13 @@
         news.extend(self.hear_limit(notice.limit, sent, now));
         if notice.leaves && !self.leaves {
             self.leaves = true;
-            news.push(NoticeChange::Leaves);
+            news.push(NoticeChange::Leaving);
         }
         if let Some(rest) = notice.rest {
             let until = now + rest;
             if self.rest_until.is_none_or(|known| known < until) {
                 self.rest_until = Some(until);
-                news.push(NoticeChange::Rests { until });
+                news.push(NoticeChange::BackingOff { until });
             }
         }
         news
