--- a/src/connection/datagram/target_news.rs
+++ b/src/connection/datagram/target_news.rs
@@ -3,7 +3,7 @@
 use crate::{
     clock::Instant,
     formats::TargetStart,
-    request::notices::{NamedLimit, TargetNotices},
+    request::notices::{AnnouncedLimit, TargetNotices},
 };
 
 /// A limit that a target has named.
@@ -87,7 +87,7 @@
         let start = self.start_ms.map(TargetStart::from_unix_ms);
         let limit = self.limit.filter(|limit| limit.rate >= 0.0);
         TargetNotices {
-            limit: limit.map(|limit| NamedLimit {
+            limit: limit.map(|limit| AnnouncedLimit {
                 rate: limit.rate,
                 told: before(now, limit.told_ago_ms),
                 ended: limit.ended,
--- a/src/request/notices/named_limit.rs
+++ b/src/request/notices/announced_limit.rs
@@ -11,7 +11,7 @@
 
 /// The latest rate limit that a target has announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct NamedLimit {
+pub struct AnnouncedLimit {
     /// Requests per second, summed over all hosts.
     pub rate: f64,
     /// When a host last received a response that confirms this state.
@@ -20,7 +20,7 @@
     pub ended: bool,
 }
 
-impl NamedLimit {
+impl AnnouncedLimit {
     /// Merges the states of two hosts: the later report wins, and at equal times the lower limit.
     pub fn join(
         self,
--- a/src/request/notices/mod.rs
+++ b/src/request/notices/mod.rs
@@ -1,15 +1,15 @@
 //! Notices that targets send in response headers: that they are shutting down, that they need a backoff, and the
 //! request rate that they accept from all hosts together. No I/O.
 
+mod announced_limit;
 mod availability;
-mod named_limit;
 mod notice;
 mod notice_registry;
 mod target_notices;
 
 pub use {
+    announced_limit::AnnouncedLimit,
     availability::Availability,
-    named_limit::NamedLimit,
     notice::{LimitWord, Notice, NoticeHeaders, UnreadableNotice},
     notice_registry::NoticeRegistry,
     target_notices::{NoticeChange, TargetNotices},
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -1,5 +1,5 @@
 use {
-    super::{LimitWord, NamedLimit, Notice},
+    super::{AnnouncedLimit, LimitWord, Notice},
     crate::{clock::Instant, formats::TargetStart},
 };
 
@@ -28,7 +28,7 @@
 pub struct TargetNotices {
     /// `None` if the platform does not report start times.
     pub start: Option<TargetStart>,
-    pub limit: Option<NamedLimit>,
+    pub limit: Option<AnnouncedLimit>,
     /// The target is shutting down; never reset.
     pub leaves: bool,
     /// The target accepts no requests from this host until then.
@@ -84,7 +84,7 @@
         let known = self.limit.filter(|limit| limit.rate_at(now).is_some());
         match word {
             LimitWord::Rate(rate) => {
-                let told = NamedLimit {
+                let told = AnnouncedLimit {
                     rate,
                     told: now,
                     ended: false,
@@ -96,7 +96,7 @@
             // A response to a request that was sent before the limit was announced can't end it.
             LimitWord::Absent => {
                 let known = known.filter(|known| !known.ended && known.told < sent)?;
-                self.limit = Some(NamedLimit {
+                self.limit = Some(AnnouncedLimit {
                     told: now,
                     ended: true,
                     ..known
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -7,7 +7,7 @@
         formats::{HeaderNames, TargetStart},
         request::{
             notices::{
-                LimitWord, NamedLimit, Notice, NoticeChange, NoticeHeaders, NoticeRegistry,
+                AnnouncedLimit, LimitWord, Notice, NoticeChange, NoticeHeaders, NoticeRegistry,
                 TargetNotices,
             },
             permits::{PermitAllocator, permit_giver},
@@ -150,7 +150,7 @@
     let limit = (0u64..20, 0u32..4, any::<bool>());
     (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaves, limit)| TargetNotices {
         leaves,
-        limit: limit.map(|(told, rate, ended)| NamedLimit {
+        limit: limit.map(|(told, rate, ended)| AnnouncedLimit {
             rate: f64::from(rate),
             told: begin + ms(told),
             ended,
@@ -166,7 +166,7 @@
     let begin = Instant::now();
     let mut book = NoticeRegistry::default();
     let named = |at: Instant, rate: f64| TargetNotices {
-        limit: Some(NamedLimit {
+        limit: Some(AnnouncedLimit {
             rate,
             told: at,
             ended: false,
