--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -12,7 +12,7 @@
 
 /// The rate limit in the headers of one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum LimitWord {
+pub enum LimitHeader {
     #[default]
     Absent,
     /// Requests per second, summed over all hosts.
@@ -24,7 +24,7 @@
 /// The notices in the headers of one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Notice {
-    pub limit: LimitWord,
+    pub limit: LimitHeader,
     /// The target is shutting down.
     pub leaves: bool,
     /// The target accepts no requests from this host for this long.
@@ -34,7 +34,7 @@
 impl Notice {
     /// Returns true if the response has no limit, shutdown notice or backoff.
     pub fn says_nothing(&self) -> bool {
-        !matches!(self.limit, LimitWord::Rate(_)) && !self.leaves && self.rest.is_none()
+        !matches!(self.limit, LimitHeader::Rate(_)) && !self.leaves && self.rest.is_none()
     }
 }
 
@@ -58,15 +58,15 @@
         let mut unreadable = Vec::new();
         if self.status == StatusCode::MISDIRECTED_REQUEST {
             let notice = Notice {
-                limit: LimitWord::Unknown,
+                limit: LimitHeader::Unknown,
                 ..Notice::default()
             };
             return (notice, unreadable);
         }
         let limit = match self.value(&self.names.target_limit, &mut unreadable) {
-            Value::Absent => LimitWord::Absent,
-            Value::Number(rate) => LimitWord::Rate(rate),
-            Value::Unreadable => LimitWord::Unknown,
+            Value::Absent => LimitHeader::Absent,
+            Value::Number(rate) => LimitHeader::Rate(rate),
+            Value::Unreadable => LimitHeader::Unknown,
         };
         let leaves = match self.value(&self.names.target_leaving, &mut unreadable) {
             Value::Number(word) => word > 0.0,
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AnnouncedLimit, LimitWord, Notice},
+    super::{AnnouncedLimit, LimitHeader, Notice},
     crate::{clock::Instant, formats::TargetStart},
 };
 
@@ -77,13 +77,13 @@
 
     fn hear_limit(
         &mut self,
-        word: LimitWord,
+        word: LimitHeader,
         sent: Instant,
         now: Instant,
     ) -> Option<NoticeChange> {
         let known = self.limit.filter(|limit| limit.rate_at(now).is_some());
         match word {
-            LimitWord::Rate(rate) => {
+            LimitHeader::Rate(rate) => {
                 let told = AnnouncedLimit {
                     rate,
                     told: now,
@@ -94,7 +94,7 @@
                 (!same).then_some(NoticeChange::Limited { rate })
             }
             // A response to a request that was sent before the limit was announced can't end it.
-            LimitWord::Absent => {
+            LimitHeader::Absent => {
                 let known = known.filter(|known| !known.ended && known.told < sent)?;
                 self.limit = Some(AnnouncedLimit {
                     told: now,
@@ -103,7 +103,7 @@
                 });
                 Some(NoticeChange::Unlimited { rate: known.rate })
             }
-            LimitWord::Unknown => None,
+            LimitHeader::Unknown => None,
         }
     }
 
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -7,7 +7,7 @@
         formats::{HeaderNames, TargetStart},
         request::{
             notices::{
-                AnnouncedLimit, LimitWord, Notice, NoticeChange, NoticeHeaders, NoticeRegistry,
+                AnnouncedLimit, LimitHeader, Notice, NoticeChange, NoticeHeaders, NoticeRegistry,
                 TargetNotices,
             },
             permits::{PermitAllocator, permit_giver},
@@ -64,33 +64,33 @@
 }
 
 #[rstest]
-#[case::fraction(b"2.25", LimitWord::Rate(2.25))]
-#[case::zero(b"0", LimitWord::Rate(0.0))]
-#[case::blanks(b" 4 ", LimitWord::Rate(4.0))]
-#[case::empty(b"", LimitWord::Unknown)]
-#[case::negative(b"-1", LimitWord::Unknown)]
-#[case::no_number(b"NaN", LimitWord::Unknown)]
-#[case::infinite(b"1e400", LimitWord::Unknown)]
-#[case::words(b"two", LimitWord::Unknown)]
-#[case::long(&[b'1'; 10_000], LimitWord::Unknown)]
-#[case::not_ascii(b"2\xff", LimitWord::Unknown)]
+#[case::fraction(b"2.25", LimitHeader::Rate(2.25))]
+#[case::zero(b"0", LimitHeader::Rate(0.0))]
+#[case::blanks(b" 4 ", LimitHeader::Rate(4.0))]
+#[case::empty(b"", LimitHeader::Unknown)]
+#[case::negative(b"-1", LimitHeader::Unknown)]
+#[case::no_number(b"NaN", LimitHeader::Unknown)]
+#[case::infinite(b"1e400", LimitHeader::Unknown)]
+#[case::words(b"two", LimitHeader::Unknown)]
+#[case::long(&[b'1'; 10_000], LimitHeader::Unknown)]
+#[case::not_ascii(b"2\xff", LimitHeader::Unknown)]
 fn a_limit_is_read_or_left_aside(
     #[case] text: &[u8],
-    #[case] expected: LimitWord,
+    #[case] expected: LimitHeader,
 ) {
     let (notice, unreadable) = read(200, &[("limit", text)]);
     assert_eq!(notice.limit, expected);
-    assert_eq!(unreadable, usize::from(expected == LimitWord::Unknown));
+    assert_eq!(unreadable, usize::from(expected == LimitHeader::Unknown));
 }
 
 #[rstest]
-#[case::doubled(200, &[("limit", b"2".as_slice()), ("limit", b"3")], LimitWord::Unknown)]
-#[case::of_another_target(421, &[("limit", b"2".as_slice())], LimitWord::Unknown)]
-#[case::absent(200, &[], LimitWord::Absent)]
+#[case::doubled(200, &[("limit", b"2".as_slice()), ("limit", b"3")], LimitHeader::Unknown)]
+#[case::of_another_target(421, &[("limit", b"2".as_slice())], LimitHeader::Unknown)]
+#[case::absent(200, &[], LimitHeader::Absent)]
 fn what_can_not_be_gone_by_is_left_aside(
     #[case] status: u16,
     #[case] lines: &[(&'static str, &[u8])],
-    #[case] expected: LimitWord,
+    #[case] expected: LimitHeader,
 ) {
     assert_eq!(read(status, lines).0.limit, expected);
 }
@@ -100,7 +100,7 @@
     let begin = Instant::now();
     let mut said = TargetNotices::new(None, begin);
     let named = Notice {
-        limit: LimitWord::Rate(2.0),
+        limit: LimitHeader::Rate(2.0),
         ..Notice::default()
     };
     let news = said.hear(&named, begin, begin + ms(10));
@@ -130,7 +130,7 @@
     assert!(book.leaves("t", start(5)));
     assert!(!book.leaves("t", start(6)));
     let named = Notice {
-        limit: LimitWord::Rate(1.0),
+        limit: LimitHeader::Rate(1.0),
         ..Notice::default()
     };
     book.hear("t", start(6), &named, now, now);
