--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -7,8 +7,8 @@
         metrics::{StateLabels, metrics},
         note,
         request::notices::{
-            Availability, NoticeChange, NoticeHeaders, NoticeRegistry, TargetNotices,
-            UnreadableNotice,
+            Availability, InvalidNoticeHeader, NoticeChange, NoticeHeaders, NoticeRegistry,
+            TargetNotices,
         },
         timeline::Event,
     },
@@ -163,7 +163,7 @@
     fn tell_unreadable(
         &mut self,
         target: &Arc<str>,
-        problem: &UnreadableNotice,
+        problem: &InvalidNoticeHeader,
         now: Instant,
     ) {
         count("unreadable");
--- a/src/request/notices/mod.rs
+++ b/src/request/notices/mod.rs
@@ -10,7 +10,7 @@
 pub use {
     announced_limit::AnnouncedLimit,
     availability::Availability,
-    notice::{LimitHeader, Notice, NoticeHeaders, UnreadableNotice},
+    notice::{InvalidNoticeHeader, LimitHeader, Notice, NoticeHeaders},
     notice_registry::NoticeRegistry,
     target_notices::{NoticeChange, TargetNotices},
 };
--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -40,7 +40,7 @@
 
 /// A header whose value can't be parsed. The response is still passed on to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UnreadableNotice {
+pub struct InvalidNoticeHeader {
     pub header: HeaderName,
 }
 
@@ -54,7 +54,7 @@
 impl NoticeHeaders<'_> {
     /// Parses the notices, and lists the headers that can't be parsed. A 421 (misdirected request) may come from
     /// another target, so its notices are ignored.
-    pub fn read(&self) -> (Notice, Vec<UnreadableNotice>) {
+    pub fn read(&self) -> (Notice, Vec<InvalidNoticeHeader>) {
         let mut unreadable = Vec::new();
         if self.status == StatusCode::MISDIRECTED_REQUEST {
             let notice = Notice {
@@ -94,7 +94,7 @@
     fn value(
         &self,
         name: &HeaderName,
-        unreadable: &mut Vec<UnreadableNotice>,
+        unreadable: &mut Vec<InvalidNoticeHeader>,
     ) -> Value {
         let mut values = self.headers.get_all(name).iter();
         let Some(value) = values.next() else {
@@ -106,7 +106,7 @@
         match number {
             Some(number) if values.next().is_none() => Value::Number(number),
             _ => {
-                unreadable.push(UnreadableNotice {
+                unreadable.push(InvalidNoticeHeader {
                     header: name.clone(),
                 });
                 Value::Unreadable
