--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -69,7 +69,7 @@
             Value::Unreadable => LimitHeader::Unknown,
         };
         let leaves = match self.value(&self.names.target_leaving, &mut unreadable) {
-            Value::Number(word) => word > 0.0,
+            Value::Number(flag) => flag > 0.0,
             Value::Absent | Value::Unreadable => false,
         };
         let rest = match self.status {
--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -45,11 +45,11 @@
     pub fn take(
         &mut self,
         target: &str,
-        told: &TargetNotices,
+        remote: &TargetNotices,
         now: Instant,
     ) -> bool {
-        match self.of_start(target, told.start, now) {
-            Some(notices) => notices.join(told),
+        match self.of_start(target, remote.start, now) {
+            Some(notices) => notices.join(remote),
             None => false,
         }
     }
@@ -70,7 +70,8 @@
         target: &str,
         start: Option<TargetStart>,
     ) -> bool {
-        self.get(target, start).is_some_and(|said| said.leaves)
+        self.get(target, start)
+            .is_some_and(|notices| notices.leaves)
     }
 
     /// Returns the entry of a target, created if missing; `None` if a later start is known.
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -59,37 +59,37 @@
         now: Instant,
     ) -> Vec<NoticeChange> {
         self.heard = now;
-        let mut news = Vec::new();
-        news.extend(self.hear_limit(notice.limit, sent, now));
+        let mut changes = Vec::new();
+        changes.extend(self.hear_limit(notice.limit, sent, now));
         if notice.leaves && !self.leaves {
             self.leaves = true;
-            news.push(NoticeChange::Leaving);
+            changes.push(NoticeChange::Leaving);
         }
         if let Some(rest) = notice.rest {
             let until = now + rest;
             if self.rest_until.is_none_or(|known| known < until) {
                 self.rest_until = Some(until);
-                news.push(NoticeChange::BackingOff { until });
+                changes.push(NoticeChange::BackingOff { until });
             }
         }
-        news
+        changes
     }
 
     fn hear_limit(
         &mut self,
-        word: LimitHeader,
+        header: LimitHeader,
         sent: Instant,
         now: Instant,
     ) -> Option<NoticeChange> {
         let known = self.limit.filter(|limit| limit.rate_at(now).is_some());
-        match word {
+        match header {
             LimitHeader::Rate(rate) => {
-                let told = AnnouncedLimit {
+                let announced = AnnouncedLimit {
                     rate,
                     told: now,
                     ended: false,
                 };
-                self.limit = Some(told);
+                self.limit = Some(announced);
                 let same = known.is_some_and(|known| !known.ended && known.rate == rate);
                 (!same).then_some(NoticeChange::Limited { rate })
             }
@@ -133,8 +133,8 @@
         let before = self.said_to_all();
         self.leaves |= other.leaves;
         self.limit = match (self.limit, other.limit) {
-            (Some(known), Some(told)) => Some(known.join(told)),
-            (known, told) => known.or(told),
+            (Some(known), Some(remote)) => Some(known.join(remote)),
+            (known, remote) => known.or(remote),
         };
         self.heard = self.heard.max(other.heard);
         before != self.said_to_all()
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -150,9 +150,9 @@
     let limit = (0u64..20, 0u32..4, any::<bool>());
     (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaves, limit)| TargetNotices {
         leaves,
-        limit: limit.map(|(told, rate, ended)| AnnouncedLimit {
+        limit: limit.map(|(reported_at, rate, ended)| AnnouncedLimit {
             rate: f64::from(rate),
-            told: begin + ms(told),
+            told: begin + ms(reported_at),
             ended,
         }),
         ..TargetNotices::new(None, begin)
@@ -195,8 +195,8 @@
     ) {
         let begin = news[0].heard;
         let mut straight = TargetNotices::new(None, begin);
-        for told in &news {
-            straight.join(told);
+        for update in &news {
+            straight.join(update);
         }
         let mut shuffled = TargetNotices::new(None, begin);
         for at in order {
