--- a/src/connection/datagram/target_news.rs
+++ b/src/connection/datagram/target_news.rs
@@ -68,7 +68,7 @@
     ) -> Self {
         let limit = notices.limit.map(|limit| LimitNews {
             rate: limit.rate,
-            told_ago_ms: millis_since(limit.told, now),
+            told_ago_ms: millis_since(limit.reported_at, now),
             ended: limit.ended,
         });
         Self {
@@ -89,7 +89,7 @@
         TargetNotices {
             limit: limit.map(|limit| AnnouncedLimit {
                 rate: limit.rate,
-                told: before(now, limit.told_ago_ms),
+                reported_at: before(now, limit.told_ago_ms),
                 ended: limit.ended,
             }),
             leaves: self.leaves,
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -94,7 +94,7 @@
             rate = limit.map_or(-1.0, |limit| limit.rate),
             ended = limit.is_some_and(|limit| limit.ended),
             age_ms = limit.map_or(0, |limit| {
-                now.saturating_duration_since(limit.told).as_millis()
+                now.saturating_duration_since(limit.reported_at).as_millis()
             }),
         );
         let mut actions = vec![ControlAction::TargetNews {
--- a/src/request/notices/announced_limit.rs
+++ b/src/request/notices/announced_limit.rs
@@ -15,7 +15,7 @@
     /// Requests per second, summed over all hosts.
     pub rate: f64,
     /// When a host last received a response that confirms this state.
-    pub told: Instant,
+    pub reported_at: Instant,
     /// The last response no longer announced a limit.
     pub ended: bool,
 }
@@ -26,7 +26,7 @@
         self,
         other: Self,
     ) -> Self {
-        let rank = |limit: &Self| (limit.told, !limit.ended);
+        let rank = |limit: &Self| (limit.reported_at, !limit.ended);
         match rank(&self).cmp(&rank(&other)) {
             std::cmp::Ordering::Greater => self,
             std::cmp::Ordering::Less => other,
@@ -44,7 +44,7 @@
         if !self.ended {
             return Some(rate);
         }
-        let passed = now.saturating_duration_since(self.told);
+        let passed = now.saturating_duration_since(self.reported_at);
         let doublings = passed.as_secs_f64() / DOUBLING.as_secs_f64();
         (doublings < f64::from(DOUBLINGS)).then(|| rate * doublings.exp2())
     }
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -86,7 +86,7 @@
             LimitHeader::Rate(rate) => {
                 let announced = AnnouncedLimit {
                     rate,
-                    told: now,
+                    reported_at: now,
                     ended: false,
                 };
                 self.limit = Some(announced);
@@ -95,9 +95,9 @@
             }
             // A response to a request that was sent before the limit was announced can't end it.
             LimitHeader::Absent => {
-                let known = known.filter(|known| !known.ended && known.told < sent)?;
+                let known = known.filter(|known| !known.ended && known.reported_at < sent)?;
                 self.limit = Some(AnnouncedLimit {
-                    told: now,
+                    reported_at: now,
                     ended: true,
                     ..known
                 });
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -152,7 +152,7 @@
         leaves,
         limit: limit.map(|(reported_at, rate, ended)| AnnouncedLimit {
             rate: f64::from(rate),
-            told: begin + ms(reported_at),
+            reported_at: begin + ms(reported_at),
             ended,
         }),
         ..TargetNotices::new(None, begin)
@@ -168,7 +168,7 @@
     let named = |at: Instant, rate: f64| TargetNotices {
         limit: Some(AnnouncedLimit {
             rate,
-            told: at,
+            reported_at: at,
             ended: false,
         }),
         ..TargetNotices::new(None, at)
@@ -176,7 +176,10 @@
     assert!(book.take("t", &named(begin, 2.0), begin));
     let later = begin + ms(700);
     assert!(!book.take("t", &named(later, 2.0), later));
-    assert_eq!(book.get("t", None).unwrap().limit.unwrap().told, later);
+    assert_eq!(
+        book.get("t", None).unwrap().limit.unwrap().reported_at,
+        later
+    );
     assert!(book.take("t", &named(later + ms(1), 1.0), later + ms(1)));
 }
 
