--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -42,7 +42,7 @@
     }
 
     /// Merges another host's entry for a target; returns true if it changed anything.
-    pub fn take(
+    pub fn merge(
         &mut self,
         target: &str,
         remote: &TargetNotices,
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -140,7 +140,7 @@
         leaves: true,
         ..TargetNotices::new(start(5), now)
     };
-    assert!(!book.take("t", &late, now));
+    assert!(!book.merge("t", &late, now));
     assert!(!book.leaves("t", start(6)));
     assert!(book.get("t", start(6)).unwrap().limit.is_some());
 }
@@ -173,14 +173,14 @@
         }),
         ..TargetNotices::new(None, at)
     };
-    assert!(book.take("t", &named(begin, 2.0), begin));
+    assert!(book.merge("t", &named(begin, 2.0), begin));
     let later = begin + ms(700);
-    assert!(!book.take("t", &named(later, 2.0), later));
+    assert!(!book.merge("t", &named(later, 2.0), later));
     assert_eq!(
         book.get("t", None).unwrap().limit.unwrap().reported_at,
         later
     );
-    assert!(book.take("t", &named(later + ms(1), 1.0), later + ms(1)));
+    assert!(book.merge("t", &named(later + ms(1), 1.0), later + ms(1)));
 }
 
 proptest! {
