--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -130,7 +130,7 @@
         notices: &TargetNotices,
         now: Instant,
     ) {
-        self.book.take(target, notices, now);
+        self.book.merge(target, notices, now);
     }
 
     /// Reads what the head of an answer says of its target; the request was sent at `sent`.
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -169,7 +169,7 @@
         notices: &TargetNotices,
         now: Instant,
     ) -> bool {
-        if !self.notices.book.take(target, notices, now) {
+        if !self.notices.book.merge(target, notices, now) {
             return false;
         }
         if notices.leaves {
