--- a/src/request/notices/announced_limit.rs
+++ b/src/request/notices/announced_limit.rs
@@ -22,7 +22,7 @@
 
 impl AnnouncedLimit {
     /// Merges the states of two hosts: the later report wins, and at equal times the lower limit.
-    pub fn join(
+    pub fn merge(
         self,
         other: Self,
     ) -> Self {
--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -33,7 +33,7 @@
 
 impl Notice {
     /// Returns true if the response has no limit, shutdown notice or backoff.
-    pub fn says_nothing(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         !matches!(self.limit, LimitHeader::Rate(_)) && !self.leaves && self.rest.is_none()
     }
 }
--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -24,7 +24,7 @@
     }
 
     /// Records the notices in the response to a request that was sent at `sent`, and returns what changed.
-    pub fn hear(
+    pub fn record(
         &mut self,
         target: &str,
         start: Option<TargetStart>,
@@ -32,11 +32,11 @@
         sent: Instant,
         now: Instant,
     ) -> Vec<NoticeChange> {
-        if !self.by_target.contains_key(target) && notice.says_nothing() {
+        if !self.by_target.contains_key(target) && notice.is_empty() {
             return Vec::new();
         }
-        match self.of_start(target, start, now) {
-            Some(notices) => notices.hear(notice, sent, now),
+        match self.entry_of(target, start, now) {
+            Some(notices) => notices.record(notice, sent, now),
             None => Vec::new(),
         }
     }
@@ -48,8 +48,8 @@
         remote: &TargetNotices,
         now: Instant,
     ) -> bool {
-        match self.of_start(target, remote.start, now) {
-            Some(notices) => notices.join(remote),
+        match self.entry_of(target, remote.start, now) {
+            Some(notices) => notices.merge(remote),
             None => false,
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /// Returns the entry of a target, created if missing; `None` if a later start is known.
-    fn of_start(
+    fn entry_of(
         &mut self,
         target: &str,
         start: Option<TargetStart>,
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -52,7 +52,7 @@
     }
 
     /// Records the notices in the response to a request that was sent at `sent`, and returns what changed.
-    pub fn hear(
+    pub fn record(
         &mut self,
         notice: &Notice,
         sent: Instant,
@@ -60,7 +60,7 @@
     ) -> Vec<NoticeChange> {
         self.heard = now;
         let mut changes = Vec::new();
-        changes.extend(self.hear_limit(notice.limit, sent, now));
+        changes.extend(self.record_limit(notice.limit, sent, now));
         if notice.leaves && !self.leaves {
             self.leaves = true;
             changes.push(NoticeChange::Leaving);
@@ -75,7 +75,7 @@
         changes
     }
 
-    fn hear_limit(
+    fn record_limit(
         &mut self,
         header: LimitHeader,
         sent: Instant,
@@ -126,22 +126,22 @@
 
     /// Merges another host's entry for the same start. Returns true if the limit or the shutdown notice changed; a mere
     /// confirmation is no change. Backoffs are not shared.
-    pub fn join(
+    pub fn merge(
         &mut self,
         other: &Self,
     ) -> bool {
-        let before = self.said_to_all();
+        let before = self.shared_state();
         self.leaves |= other.leaves;
         self.limit = match (self.limit, other.limit) {
-            (Some(known), Some(remote)) => Some(known.join(remote)),
+            (Some(known), Some(remote)) => Some(known.merge(remote)),
             (known, remote) => known.or(remote),
         };
         self.heard = self.heard.max(other.heard);
-        before != self.said_to_all()
+        before != self.shared_state()
     }
 
     /// Returns the part that is shared with all hosts: limit, whether it has ended, shutdown notice.
-    fn said_to_all(&self) -> (Option<(f64, bool)>, bool) {
+    fn shared_state(&self) -> (Option<(f64, bool)>, bool) {
         let limit = self.limit.map(|limit| (limit.rate, limit.ended));
         (limit, self.leaves)
     }
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -103,13 +103,13 @@
         limit: LimitHeader::Rate(2.0),
         ..Notice::default()
     };
-    let news = said.hear(&named, begin, begin + ms(10));
+    let news = said.record(&named, begin, begin + ms(10));
     assert_eq!(news, [NoticeChange::Limited { rate: 2.0 }]);
     // The response to a request that was sent before the limit was announced.
     let absent = Notice::default();
-    assert_eq!(said.hear(&absent, begin, begin + ms(20)), []);
+    assert_eq!(said.record(&absent, begin, begin + ms(20)), []);
     let over = begin + ms(1_000);
-    let news = said.hear(&absent, begin + ms(900), over);
+    let news = said.record(&absent, begin + ms(900), over);
     assert_eq!(news, [NoticeChange::Unlimited { rate: 2.0 }]);
     let rate = |at| said.limit.unwrap().rate_at(at);
     assert_eq!(rate(over), Some(2.0));
@@ -126,14 +126,14 @@
         leaves: true,
         ..Notice::default()
     };
-    book.hear("t", start(5), &leaves, now, now);
+    book.record("t", start(5), &leaves, now, now);
     assert!(book.leaves("t", start(5)));
     assert!(!book.leaves("t", start(6)));
     let named = Notice {
         limit: LimitHeader::Rate(1.0),
         ..Notice::default()
     };
-    book.hear("t", start(6), &named, now, now);
+    book.record("t", start(6), &named, now, now);
     assert!(!book.leaves("t", start(6)));
     // An update of the earlier start arrives late.
     let late = TargetNotices {
@@ -199,11 +199,11 @@
         let begin = news[0].heard;
         let mut straight = TargetNotices::new(None, begin);
         for update in &news {
-            straight.join(update);
+            straight.merge(update);
         }
         let mut shuffled = TargetNotices::new(None, begin);
         for at in order {
-            shuffled.join(&news[at]);
+            shuffled.merge(&news[at]);
         }
         prop_assert_eq!(straight.limit, shuffled.limit);
         prop_assert_eq!(straight.leaves, shuffled.leaves);
