--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -146,7 +146,7 @@
         for problem in &unreadable {
             self.tell_unreadable(target, problem, now);
         }
-        let news = self.book.hear(target, start, &notice, sent, now);
+        let news = self.book.record(target, start, &notice, sent, now);
         for news in &news {
             tell(target, news, now);
         }
