--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -150,7 +150,7 @@
         for news in &news {
             tell(target, news, now);
         }
-        if news.iter().any(NoticeChange::concerns_all_hosts)
+        if news.iter().any(NoticeChange::is_site_wide)
             && let Some(notices) = self.book.get(target, start)
         {
             let _ = self.control.send(ControlRequest::Heard {
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -18,7 +18,7 @@
 
 impl NoticeChange {
     /// Returns true for changes that concern all hosts; a backoff concerns only the host that received it.
-    pub fn concerns_all_hosts(&self) -> bool {
+    pub fn is_site_wide(&self) -> bool {
         !matches!(self, Self::BackingOff { .. })
     }
 }
