--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -28,13 +28,13 @@
     /// The target is shutting down.
     pub leaves: bool,
     /// The target accepts no requests from this host for this long.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 impl Notice {
     /// Returns true if the response has no limit, shutdown notice or backoff.
     pub fn is_empty(&self) -> bool {
-        !matches!(self.limit, LimitHeader::Rate(_)) && !self.leaves && self.rest.is_none()
+        !matches!(self.limit, LimitHeader::Rate(_)) && !self.leaves && self.backoff.is_none()
     }
 }
 
@@ -72,21 +72,21 @@
             Value::Number(flag) => flag > 0.0,
             Value::Absent | Value::Unreadable => false,
         };
-        let rest = match self.status {
+        let backoff = match self.status {
             StatusCode::SERVICE_UNAVAILABLE => self.value(&header::RETRY_AFTER, &mut unreadable),
             _ => Value::Absent,
         };
-        let rest = match rest {
+        let backoff = match backoff {
             Value::Number(seconds) => {
-                let rest = Duration::try_from_secs_f64(seconds).unwrap_or(MOST_REST);
-                Some(rest.min(MOST_REST))
+                let backoff = Duration::try_from_secs_f64(seconds).unwrap_or(MOST_REST);
+                Some(backoff.min(MOST_REST))
             }
             Value::Absent | Value::Unreadable => None,
         };
         let notice = Notice {
             limit,
             leaves,
-            rest,
+            backoff,
         };
         (notice, unreadable)
     }
--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -83,7 +83,8 @@
     ) -> Option<&mut TargetNotices> {
         if !self.by_target.contains_key(target) {
             let is_fresh = |at: Instant| now.saturating_duration_since(at) < MEMORY;
-            self.by_target.retain(|_, notices| is_fresh(notices.heard));
+            self.by_target
+                .retain(|_, notices| is_fresh(notices.updated_at));
         }
         match self.by_target.entry(target.into()) {
             Entry::Occupied(known) => {
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -32,9 +32,9 @@
     /// The target is shutting down; never reset.
     pub leaves: bool,
     /// The target accepts no requests from this host until then.
-    pub rest_until: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// When the last notice was received.
-    pub heard: Instant,
+    pub updated_at: Instant,
 }
 
 impl TargetNotices {
@@ -46,8 +46,8 @@
             start,
             limit: None,
             leaves: false,
-            rest_until: None,
-            heard: now,
+            backoff_until: None,
+            updated_at: now,
         }
     }
 
@@ -58,17 +58,17 @@
         sent: Instant,
         now: Instant,
     ) -> Vec<NoticeChange> {
-        self.heard = now;
+        self.updated_at = now;
         let mut changes = Vec::new();
         changes.extend(self.record_limit(notice.limit, sent, now));
         if notice.leaves && !self.leaves {
             self.leaves = true;
             changes.push(NoticeChange::Leaving);
         }
-        if let Some(rest) = notice.rest {
-            let until = now + rest;
-            if self.rest_until.is_none_or(|known| known < until) {
-                self.rest_until = Some(until);
+        if let Some(backoff) = notice.backoff {
+            let until = now + backoff;
+            if self.backoff_until.is_none_or(|known| known < until) {
+                self.backoff_until = Some(until);
                 changes.push(NoticeChange::BackingOff { until });
             }
         }
@@ -108,11 +108,11 @@
     }
 
     /// Returns the end of the backoff that the target has asked for, if it is not over.
-    pub fn rests(
+    pub fn active_backoff(
         &self,
         now: Instant,
     ) -> Option<Instant> {
-        self.rest_until.filter(|until| now < *until)
+        self.backoff_until.filter(|until| now < *until)
     }
 
     /// Returns true if a rate limit is in force.
@@ -136,7 +136,7 @@
             (Some(known), Some(remote)) => Some(known.merge(remote)),
             (known, remote) => known.or(remote),
         };
-        self.heard = self.heard.max(other.heard);
+        self.updated_at = self.updated_at.max(other.updated_at);
         before != self.shared_state()
     }
 
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -196,7 +196,7 @@
                 })
         },
     ) {
-        let begin = news[0].heard;
+        let begin = news[0].updated_at;
         let mut straight = TargetNotices::new(None, begin);
         for update in &news {
             straight.merge(update);
@@ -303,14 +303,14 @@
         .map(|at| SocketAddr::from(([10, 0, 0, at], 7_000)))
         .collect();
     let gone = hosts[7];
-    let rest: Vec<SocketAddr> = hosts.iter().copied().filter(|host| *host != gone).collect();
+    let backoff: Vec<SocketAddr> = hosts.iter().copied().filter(|host| *host != gone).collect();
     let mut counted = 0;
     for target in 0..200 {
         let target = format!("i-{target}");
         let giver = permit_giver(&target, hosts.iter().copied()).unwrap();
         let reversed = permit_giver(&target, hosts.iter().rev().copied()).unwrap();
         assert_eq!(giver, reversed);
-        let after = permit_giver(&target, rest.iter().copied()).unwrap();
+        let after = permit_giver(&target, backoff.iter().copied()).unwrap();
         assert!(giver == gone || giver == after);
         counted += usize::from(giver == gone);
     }
