--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -78,7 +78,7 @@
         now: Instant,
     ) -> bool {
         let said = self.book.get(target, start);
-        said.is_some_and(|said| said.leaves || said.rests(now).is_some())
+        said.is_some_and(|said| said.leaves || said.active_backoff(now).is_some())
     }
 
     /// Until when a target is closed to this host, if it is.
@@ -92,7 +92,7 @@
         if said.is_some_and(|said| said.leaves) {
             return Some(Closing::ForGood);
         }
-        let rests = said.and_then(|said| said.rests(now));
+        let rests = said.and_then(|said| said.active_backoff(now));
         let closed = self.closed.get(target);
         let closed = closed.filter(|(of, _)| *of == start);
         let until = closed.map(|(_, until)| *until);
