--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -26,7 +26,7 @@
 pub struct Notice {
     pub limit: LimitHeader,
     /// The target is shutting down.
-    pub leaves: bool,
+    pub leaving: bool,
     /// The target accepts no requests from this host for this long.
     pub backoff: Option<Duration>,
 }
@@ -34,7 +34,7 @@
 impl Notice {
     /// Returns true if the response has no limit, shutdown notice or backoff.
     pub fn is_empty(&self) -> bool {
-        !matches!(self.limit, LimitHeader::Rate(_)) && !self.leaves && self.backoff.is_none()
+        !matches!(self.limit, LimitHeader::Rate(_)) && !self.leaving && self.backoff.is_none()
     }
 }
 
@@ -68,7 +68,7 @@
             Value::Number(rate) => LimitHeader::Rate(rate),
             Value::Unreadable => LimitHeader::Unknown,
         };
-        let leaves = match self.value(&self.names.target_leaving, &mut unreadable) {
+        let leaving = match self.value(&self.names.target_leaving, &mut unreadable) {
             Value::Number(flag) => flag > 0.0,
             Value::Absent | Value::Unreadable => false,
         };
@@ -85,7 +85,7 @@
         };
         let notice = Notice {
             limit,
-            leaves,
+            leaving,
             backoff,
         };
         (notice, unreadable)
--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -65,13 +65,13 @@
     }
 
     /// Returns true if this start of the target has announced its shutdown.
-    pub fn leaves(
+    pub fn leaving(
         &self,
         target: &str,
         start: Option<TargetStart>,
     ) -> bool {
         self.get(target, start)
-            .is_some_and(|notices| notices.leaves)
+            .is_some_and(|notices| notices.leaving)
     }
 
     /// Returns the entry of a target, created if missing; `None` if a later start is known.
--- a/src/request/notices/target_notices.rs
+++ b/src/request/notices/target_notices.rs
@@ -30,7 +30,7 @@
     pub start: Option<TargetStart>,
     pub limit: Option<AnnouncedLimit>,
     /// The target is shutting down; never reset.
-    pub leaves: bool,
+    pub leaving: bool,
     /// The target accepts no requests from this host until then.
     pub backoff_until: Option<Instant>,
     /// When the last notice was received.
@@ -45,7 +45,7 @@
         Self {
             start,
             limit: None,
-            leaves: false,
+            leaving: false,
             backoff_until: None,
             updated_at: now,
         }
@@ -61,8 +61,8 @@
         self.updated_at = now;
         let mut changes = Vec::new();
         changes.extend(self.record_limit(notice.limit, sent, now));
-        if notice.leaves && !self.leaves {
-            self.leaves = true;
+        if notice.leaving && !self.leaving {
+            self.leaving = true;
             changes.push(NoticeChange::Leaving);
         }
         if let Some(backoff) = notice.backoff {
@@ -131,7 +131,7 @@
         other: &Self,
     ) -> bool {
         let before = self.shared_state();
-        self.leaves |= other.leaves;
+        self.leaving |= other.leaving;
         self.limit = match (self.limit, other.limit) {
             (Some(known), Some(remote)) => Some(known.merge(remote)),
             (known, remote) => known.or(remote),
@@ -143,6 +143,6 @@
     /// Returns the part that is shared with all hosts: limit, whether it has ended, shutdown notice.
     fn shared_state(&self) -> (Option<(f64, bool)>, bool) {
         let limit = self.limit.map(|limit| (limit.rate, limit.ended));
-        (limit, self.leaves)
+        (limit, self.leaving)
     }
 }
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -122,34 +122,34 @@
     let now = Instant::now();
     let mut book = NoticeRegistry::default();
     let start = |ms| Some(TargetStart::from_unix_ms(ms));
-    let leaves = Notice {
-        leaves: true,
+    let leaving = Notice {
+        leaving: true,
         ..Notice::default()
     };
-    book.record("t", start(5), &leaves, now, now);
-    assert!(book.leaves("t", start(5)));
-    assert!(!book.leaves("t", start(6)));
+    book.record("t", start(5), &leaving, now, now);
+    assert!(book.leaving("t", start(5)));
+    assert!(!book.leaving("t", start(6)));
     let named = Notice {
         limit: LimitHeader::Rate(1.0),
         ..Notice::default()
     };
     book.record("t", start(6), &named, now, now);
-    assert!(!book.leaves("t", start(6)));
+    assert!(!book.leaving("t", start(6)));
     // An update of the earlier start arrives late.
     let late = TargetNotices {
-        leaves: true,
+        leaving: true,
         ..TargetNotices::new(start(5), now)
     };
     assert!(!book.merge("t", &late, now));
-    assert!(!book.leaves("t", start(6)));
+    assert!(!book.leaving("t", start(6)));
     assert!(book.get("t", start(6)).unwrap().limit.is_some());
 }
 
 /// Updates of one start of a target, as hosts exchange them.
 fn any_news(begin: Instant) -> impl Strategy<Value = TargetNotices> {
     let limit = (0u64..20, 0u32..4, any::<bool>());
-    (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaves, limit)| TargetNotices {
-        leaves,
+    (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaving, limit)| TargetNotices {
+        leaving,
         limit: limit.map(|(reported_at, rate, ended)| AnnouncedLimit {
             rate: f64::from(rate),
             reported_at: begin + ms(reported_at),
@@ -206,7 +206,7 @@
             shuffled.merge(&news[at]);
         }
         prop_assert_eq!(straight.limit, shuffled.limit);
-        prop_assert_eq!(straight.leaves, shuffled.leaves);
+        prop_assert_eq!(straight.leaving, shuffled.leaving);
     }
 }
 
