--- a/src/connection/datagram/target_news.rs
+++ b/src/connection/datagram/target_news.rs
@@ -74,7 +74,7 @@
         Self {
             target: target.to_string(),
             start_ms: notices.start.map(TargetStart::unix_ms),
-            leaves: notices.leaves,
+            leaves: notices.leaving,
             limit,
         }
     }
@@ -92,7 +92,7 @@
                 reported_at: before(now, limit.told_ago_ms),
                 ended: limit.ended,
             }),
-            leaves: self.leaves,
+            leaving: self.leaves,
             ..TargetNotices::new(start, now)
         }
     }
--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -78,7 +78,7 @@
         now: Instant,
     ) -> bool {
         let said = self.book.get(target, start);
-        said.is_some_and(|said| said.leaves || said.active_backoff(now).is_some())
+        said.is_some_and(|said| said.leaving || said.active_backoff(now).is_some())
     }
 
     /// Until when a target is closed to this host, if it is.
@@ -89,7 +89,7 @@
         now: Instant,
     ) -> Option<Closing> {
         let said = self.book.get(target, start);
-        if said.is_some_and(|said| said.leaves) {
+        if said.is_some_and(|said| said.leaving) {
             return Some(Closing::ForGood);
         }
         let rests = said.and_then(|said| said.active_backoff(now));
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -51,7 +51,7 @@
         id: &str,
         target: &ListedTarget,
     ) -> bool {
-        self.book.leaves(id, target.record.started)
+        self.book.is_leaving(id, target.record.started)
     }
 }
 
@@ -90,7 +90,7 @@
         note!(
             Event::TargetNoticeTold,
             target = news.target,
-            leaves = notices.leaves,
+            leaves = notices.leaving,
             rate = limit.map_or(-1.0, |limit| limit.rate),
             ended = limit.is_some_and(|limit| limit.ended),
             age_ms = limit.map_or(0, |limit| {
@@ -172,7 +172,7 @@
         if !self.notices.book.merge(target, notices, now) {
             return false;
         }
-        if notices.leaves {
+        if notices.leaving {
             // It is no longer seen by requests, and gets no orders.
             self.changed = true;
             self.engines = None;
--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns true if this start of the target has announced its shutdown.
-    pub fn leaving(
+    pub fn is_leaving(
         &self,
         target: &str,
         start: Option<TargetStart>,
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -127,21 +127,21 @@
         ..Notice::default()
     };
     book.record("t", start(5), &leaving, now, now);
-    assert!(book.leaving("t", start(5)));
-    assert!(!book.leaving("t", start(6)));
+    assert!(book.is_leaving("t", start(5)));
+    assert!(!book.is_leaving("t", start(6)));
     let named = Notice {
         limit: LimitHeader::Rate(1.0),
         ..Notice::default()
     };
     book.record("t", start(6), &named, now, now);
-    assert!(!book.leaving("t", start(6)));
+    assert!(!book.is_leaving("t", start(6)));
     // An update of the earlier start arrives late.
     let late = TargetNotices {
         leaving: true,
         ..TargetNotices::new(start(5), now)
     };
     assert!(!book.merge("t", &late, now));
-    assert!(!book.leaving("t", start(6)));
+    assert!(!book.is_leaving("t", start(6)));
     assert!(book.get("t", start(6)).unwrap().limit.is_some());
 }
 
