--- a/src/request/notices/announced_limit.rs
+++ b/src/request/notices/announced_limit.rs
@@ -1,13 +1,13 @@
 use {crate::clock::Instant, std::time::Duration};
 
 /// Once a target stops announcing a limit, its rate doubles at this interval, so that hosts don't resume all at once.
-const DOUBLING: Duration = Duration::from_secs(1);
+const DOUBLING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The limit is dropped after this many doublings.
-const DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// Requests per second that are sent even under a lower limit: only another response can show that the limit has risen.
-const LEAST_RATE: f64 = 0.2;
+const MIN_RATE: f64 = 0.2;
 
 /// The latest rate limit that a target has announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -40,12 +40,12 @@
         &self,
         now: Instant,
     ) -> Option<f64> {
-        let rate = self.rate.max(LEAST_RATE);
+        let rate = self.rate.max(MIN_RATE);
         if !self.ended {
             return Some(rate);
         }
         let passed = now.saturating_duration_since(self.reported_at);
-        let doublings = passed.as_secs_f64() / DOUBLING.as_secs_f64();
-        (doublings < f64::from(DOUBLINGS)).then(|| rate * doublings.exp2())
+        let doublings = passed.as_secs_f64() / DOUBLING_INTERVAL.as_secs_f64();
+        (doublings < f64::from(MAX_DOUBLINGS)).then(|| rate * doublings.exp2())
     }
 }
--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -5,10 +5,10 @@
 };
 
 /// Maximum length of a number in a header, in bytes.
-const MAX_TEXT: usize = 32;
+const MAX_NUMBER_LEN: usize = 32;
 
 /// Longer backoffs are cut to this.
-const MOST_REST: Duration = Duration::from_secs(24 * 3600);
+const MAX_BACKOFF: Duration = Duration::from_secs(24 * 3600);
 
 /// The rate limit in the headers of one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -78,8 +78,8 @@
         };
         let backoff = match backoff {
             Value::Number(seconds) => {
-                let backoff = Duration::try_from_secs_f64(seconds).unwrap_or(MOST_REST);
-                Some(backoff.min(MOST_REST))
+                let backoff = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_BACKOFF);
+                Some(backoff.min(MAX_BACKOFF))
             }
             Value::Absent | Value::Unreadable => None,
         };
@@ -100,7 +100,10 @@
         let Some(value) = values.next() else {
             return Value::Absent;
         };
-        let text = value.to_str().ok().filter(|text| text.len() <= MAX_TEXT);
+        let text = value
+            .to_str()
+            .ok()
+            .filter(|text| text.len() <= MAX_NUMBER_LEN);
         let number = text.and_then(|text| text.trim().parse::<f64>().ok());
         let number = number.filter(|number| number.is_finite() && *number >= 0.0);
         match number {
--- a/src/request/notices/notice_registry.rs
+++ b/src/request/notices/notice_registry.rs
@@ -9,7 +9,7 @@
 };
 
 /// Entries without an update for this long are evicted.
-const MEMORY: Duration = Duration::from_secs(600);
+const ENTRY_TTL: Duration = Duration::from_secs(600);
 
 /// The notices of all targets, by target id. A later start of a target replaces the entry of an earlier one.
 #[derive(Debug, Default)]
@@ -82,7 +82,7 @@
         now: Instant,
     ) -> Option<&mut TargetNotices> {
         if !self.by_target.contains_key(target) {
-            let is_fresh = |at: Instant| now.saturating_duration_since(at) < MEMORY;
+            let is_fresh = |at: Instant| now.saturating_duration_since(at) < ENTRY_TTL;
             self.by_target
                 .retain(|_, notices| is_fresh(notices.updated_at));
         }
