--- a/src/request/permits/permit_allocator.rs
+++ b/src/request/permits/permit_allocator.rs
@@ -5,22 +5,22 @@
 };
 
 /// Counters without a request for this long are evicted.
-const MEMORY: Duration = Duration::from_secs(60);
+const COUNTER_TTL: Duration = Duration::from_secs(60);
 
 /// Half-life of the count of rejected requests.
-const HALF_LIFE: Duration = Duration::from_secs(1);
+const REJECTION_HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// Retry delays are set so that this many permit requests arrive for each permit: fewer would leave some of the rate
 /// unused, more would only cost messages.
-const ASKS_PER_PERMIT: f64 = 3.0;
+const REQUESTS_PER_PERMIT: f64 = 3.0;
 
 /// Maximum retry delay, unless no permit becomes free earlier.
-const MOST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Retry delays are spread by up to this fraction, so that hosts don't retry in step.
-const SPREAD: f64 = 0.5;
+const JITTER: f64 = 0.5;
 
-const SPREAD_STEPS: u32 = 8;
+const JITTER_STEPS: u32 = 8;
 
 /// Grants permits for the targets that this host counts.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
         now: Instant,
     ) -> Result<(), Duration> {
         if !self.by_target.contains_key(target) {
-            let is_recent = |at: Instant| now.saturating_duration_since(at) < MEMORY;
+            let is_recent = |at: Instant| now.saturating_duration_since(at) < COUNTER_TTL;
             self.by_target.retain(|_, counted| is_recent(counted.asked));
         }
         let counted = self.by_target.entry(target.into());
@@ -81,14 +81,14 @@
         now: Instant,
     ) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.asked);
-        self.turned_away *= (-passed.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
+        self.turned_away *= (-passed.as_secs_f64() / REJECTION_HALF_LIFE.as_secs_f64()).exp2();
         self.asked = now;
         self.bucket.take(rate, now).map_err(|next| {
             self.turned_away += 1.0;
-            let crowd = self.turned_away / (ASKS_PER_PERMIT * rate);
-            let pause = Duration::from_secs_f64(crowd.min(MOST_PAUSE.as_secs_f64()));
-            self.spread = (self.spread + 1) % SPREAD_STEPS;
-            let share = SPREAD * f64::from(self.spread) / f64::from(SPREAD_STEPS);
+            let crowd = self.turned_away / (REQUESTS_PER_PERMIT * rate);
+            let pause = Duration::from_secs_f64(crowd.min(MAX_RETRY_DELAY.as_secs_f64()));
+            self.spread = (self.spread + 1) % JITTER_STEPS;
+            let share = JITTER * f64::from(self.spread) / f64::from(JITTER_STEPS);
             next.max(pause).mul_f64(1.0 + share)
         })
     }
--- a/src/request/permits/rate_bucket.rs
+++ b/src/request/permits/rate_bucket.rs
@@ -1,10 +1,10 @@
 use {crate::clock::Instant, std::time::Duration};
 
 /// Minimum burst, in requests, at any rate.
-const LEAST_BURST: f64 = 1.0;
+const MIN_BURST: f64 = 1.0;
 
 /// The burst grows by the requests of this time.
-const BURST_TIME: Duration = Duration::from_millis(500);
+const BURST_WINDOW: Duration = Duration::from_millis(500);
 
 /// A token bucket whose rate may change.
 #[derive(Debug, Clone, Copy)]
@@ -29,7 +29,7 @@
         now: Instant,
     ) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.filled);
-        let most = LEAST_BURST + rate * BURST_TIME.as_secs_f64();
+        let most = MIN_BURST + rate * BURST_WINDOW.as_secs_f64();
         self.tokens = (self.tokens + rate * passed.as_secs_f64()).min(most);
         self.filled = self.filled.max(now);
         if self.tokens < 1.0 {
