--- a/src/request/permits/permit_allocator.rs
+++ b/src/request/permits/permit_allocator.rs
@@ -25,17 +25,17 @@
 /// Grants permits for the targets that this host counts.
 #[derive(Debug, Default)]
 pub struct PermitAllocator {
-    by_target: HashMap<Arc<str>, Counted>,
+    by_target: HashMap<Arc<str>, PermitCounter>,
 }
 
 #[derive(Debug)]
-struct Counted {
+struct PermitCounter {
     start: Option<TargetStart>,
     bucket: RateBucket,
     /// Decaying count of rejected requests.
-    turned_away: f64,
-    asked: Instant,
-    spread: u32,
+    recent_rejections: f64,
+    last_request: Instant,
+    jitter_step: u32,
 }
 
 impl PermitAllocator {
@@ -50,18 +50,19 @@
     ) -> Result<(), Duration> {
         if !self.by_target.contains_key(target) {
             let is_recent = |at: Instant| now.saturating_duration_since(at) < COUNTER_TTL;
-            self.by_target.retain(|_, counted| is_recent(counted.asked));
+            self.by_target
+                .retain(|_, counter| is_recent(counter.last_request));
         }
-        let counted = self.by_target.entry(target.into());
-        let counted = counted.or_insert_with(|| Counted::new(start, now));
-        if counted.start != start {
-            *counted = Counted::new(start, now);
+        let counter = self.by_target.entry(target.into());
+        let counter = counter.or_insert_with(|| PermitCounter::new(start, now));
+        if counter.start != start {
+            *counter = PermitCounter::new(start, now);
         }
-        counted.ask(rate, now)
+        counter.ask(rate, now)
     }
 }
 
-impl Counted {
+impl PermitCounter {
     fn new(
         start: Option<TargetStart>,
         now: Instant,
@@ -69,9 +70,9 @@
         Self {
             start,
             bucket: RateBucket::new(now),
-            turned_away: 0.0,
-            asked: now,
-            spread: 0,
+            recent_rejections: 0.0,
+            last_request: now,
+            jitter_step: 0,
         }
     }
 
@@ -80,16 +81,17 @@
         rate: f64,
         now: Instant,
     ) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.asked);
-        self.turned_away *= (-passed.as_secs_f64() / REJECTION_HALF_LIFE.as_secs_f64()).exp2();
-        self.asked = now;
+        let passed = now.saturating_duration_since(self.last_request);
+        self.recent_rejections *=
+            (-passed.as_secs_f64() / REJECTION_HALF_LIFE.as_secs_f64()).exp2();
+        self.last_request = now;
         self.bucket.take(rate, now).map_err(|next| {
-            self.turned_away += 1.0;
-            let crowd = self.turned_away / (REQUESTS_PER_PERMIT * rate);
-            let pause = Duration::from_secs_f64(crowd.min(MAX_RETRY_DELAY.as_secs_f64()));
-            self.spread = (self.spread + 1) % JITTER_STEPS;
-            let share = JITTER * f64::from(self.spread) / f64::from(JITTER_STEPS);
-            next.max(pause).mul_f64(1.0 + share)
+            self.recent_rejections += 1.0;
+            let delay = self.recent_rejections / (REQUESTS_PER_PERMIT * rate);
+            let delay = Duration::from_secs_f64(delay.min(MAX_RETRY_DELAY.as_secs_f64()));
+            self.jitter_step = (self.jitter_step + 1) % JITTER_STEPS;
+            let jitter = JITTER * f64::from(self.jitter_step) / f64::from(JITTER_STEPS);
+            next.max(delay).mul_f64(1.0 + jitter)
         })
     }
 }
