--- a/src/request/permits/rate_bucket.rs
+++ b/src/request/permits/rate_bucket.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RateBucket {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 impl RateBucket {
@@ -18,7 +18,7 @@
     pub fn new(now: Instant) -> Self {
         Self {
             tokens: 0.0,
-            filled: now,
+            refilled_at: now,
         }
     }
 
@@ -28,10 +28,10 @@
         rate: f64,
         now: Instant,
     ) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.filled);
-        let most = MIN_BURST + rate * BURST_WINDOW.as_secs_f64();
-        self.tokens = (self.tokens + rate * passed.as_secs_f64()).min(most);
-        self.filled = self.filled.max(now);
+        let passed = now.saturating_duration_since(self.refilled_at);
+        let capacity = MIN_BURST + rate * BURST_WINDOW.as_secs_f64();
+        self.tokens = (self.tokens + rate * passed.as_secs_f64()).min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
         if self.tokens < 1.0 {
             return Err(Duration::from_secs_f64((1.0 - self.tokens) / rate));
         }
