--- a/src/request/permits/permit_allocator.rs
+++ b/src/request/permits/permit_allocator.rs
@@ -41,7 +41,7 @@
 impl PermitAllocator {
     /// Grants a permit to send one request to a target with a limit of `rate` requests per second, or returns the delay
     /// after which to retry.
-    pub fn ask(
+    pub fn request(
         &mut self,
         target: &str,
         start: Option<TargetStart>,
@@ -58,7 +58,7 @@
         if counter.start != start {
             *counter = PermitCounter::new(start, now);
         }
-        counter.ask(rate, now)
+        counter.request(rate, now)
     }
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    fn ask(
+    fn request(
         &mut self,
         rate: f64,
         now: Instant,
