--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -145,7 +145,7 @@
         let known = self.notices.book.get(&news.target, start);
         let limit = known.and_then(|known| known.limit);
         match limit.and_then(|limit| limit.rate_at(now)) {
-            Some(rate) => self.notices.desk.ask(&news.target, start, rate, now),
+            Some(rate) => self.notices.desk.request(&news.target, start, rate, now),
             // The limit is over; whoever asks has not heard of it.
             None => Ok(()),
         }
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -254,7 +254,7 @@
             if self.hosts[host] > now {
                 continue;
             }
-            match self.desk.ask("t", None, self.rate, now) {
+            match self.desk.request("t", None, self.rate, now) {
                 Ok(()) => self.sent.push(now),
                 Err(pause) => self.hosts[host] = now + pause,
             }
