--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -11,7 +11,7 @@
         process::hosts::HostState,
         request::{
             notices::{NoticeRegistry, TargetNotices},
-            permits::{PermitAllocator, permit_giver},
+            permits::{PermitAllocator, permit_host},
         },
         timeline::Event,
     },
@@ -66,11 +66,14 @@
         if !self.take_notices(target, notices, now) {
             return Vec::new();
         }
-        match self.permit_giver(target) {
-            Some(giver) if giver != self.hosts.me().peer => {
+        match self.permit_host(target) {
+            Some(counting_host) if counting_host != self.hosts.me().peer => {
                 let news = TargetNews::of(target, notices, now);
                 let message = Message::TargetNews(news);
-                vec![ControlAction::Send { to: giver, message }]
+                vec![ControlAction::Send {
+                    to: counting_host,
+                    message,
+                }]
             }
             _ => self.tell_notices(target, notices, now),
         }
@@ -102,7 +105,7 @@
             notices,
         }];
         // Whoever hears of a target tells the host that counts for it, and that one all others.
-        if self.permit_giver(&news.target) == Some(self.hosts.me().peer) {
+        if self.permit_host(&news.target) == Some(self.hosts.me().peer) {
             actions.extend(self.tell_notices(&news.target, &notices, now));
         }
         actions
@@ -138,7 +141,7 @@
         news: &TargetNews,
         now: Instant,
     ) -> Result<(), Duration> {
-        if self.permit_giver(&news.target) != Some(self.hosts.me().peer) {
+        if self.permit_host(&news.target) != Some(self.hosts.me().peer) {
             return Err(NOT_COUNTED_PAUSE);
         }
         let start = news.notices(now).start;
@@ -152,7 +155,7 @@
     }
 
     /// Where this host asks for leave to send to a target.
-    pub(super) fn permit_giver(
+    pub(super) fn permit_host(
         &self,
         target: &str,
     ) -> Option<SocketAddr> {
@@ -160,7 +163,7 @@
         let alive = others.filter(|host| host.state == HostState::Alive);
         let peers = alive.map(|host| host.identity.peer);
         let me = (!self.hosts.is_leaving()).then(|| self.hosts.me().peer);
-        permit_giver(target, peers.chain(me))
+        permit_host(target, peers.chain(me))
     }
 
     fn take_notices(
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -282,7 +282,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let me = self.hosts.me().peer;
-        match self.permit_giver(&ask.news.target) {
+        match self.permit_host(&ask.news.target) {
             Some(to) if to != me => vec![ControlAction::Send {
                 to,
                 message: Message::PermitAsk(ask),
--- a/src/request/permits/mod.rs
+++ b/src/request/permits/mod.rs
@@ -2,7 +2,7 @@
 //! request a permit from it before each send. No I/O.
 
 mod permit_allocator;
-mod permit_giver;
+mod permit_host;
 mod rate_bucket;
 
-pub use {permit_allocator::PermitAllocator, permit_giver::permit_giver, rate_bucket::RateBucket};
+pub use {permit_allocator::PermitAllocator, permit_host::permit_host, rate_bucket::RateBucket};
--- a/src/request/permits/permit_giver.rs
+++ b/src/request/permits/permit_host.rs
@@ -5,7 +5,7 @@
 
 /// Returns the host that counts the requests to a target. Uses rendezvous hashing: hosts with the same host list agree,
 /// and few targets move when a host joins or leaves. Does not depend on the store, which may be down.
-pub fn permit_giver(
+pub fn permit_host(
     target: &str,
     hosts: impl Iterator<Item = SocketAddr>,
 ) -> Option<SocketAddr> {
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -10,7 +10,7 @@
                 AnnouncedLimit, LimitHeader, Notice, NoticeChange, NoticeHeaders, NoticeRegistry,
                 TargetNotices,
             },
-            permits::{PermitAllocator, permit_giver},
+            permits::{PermitAllocator, permit_host},
         },
     },
     http::{HeaderMap, HeaderName, HeaderValue, StatusCode},
@@ -307,12 +307,12 @@
     let mut counted = 0;
     for target in 0..200 {
         let target = format!("i-{target}");
-        let giver = permit_giver(&target, hosts.iter().copied()).unwrap();
-        let reversed = permit_giver(&target, hosts.iter().rev().copied()).unwrap();
-        assert_eq!(giver, reversed);
-        let after = permit_giver(&target, backoff.iter().copied()).unwrap();
-        assert!(giver == gone || giver == after);
-        counted += usize::from(giver == gone);
+        let counting_host = permit_host(&target, hosts.iter().copied()).unwrap();
+        let reversed = permit_host(&target, hosts.iter().rev().copied()).unwrap();
+        assert_eq!(counting_host, reversed);
+        let after = permit_host(&target, backoff.iter().copied()).unwrap();
+        assert!(counting_host == gone || counting_host == after);
+        counted += usize::from(counting_host == gone);
     }
     assert!((2..30).contains(&counted), "{counted}");
 }
