--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -98,20 +98,20 @@
 #[test]
 fn a_limit_ends_with_an_answer_that_names_none_and_lifts_slowly() {
     let begin = Instant::now();
-    let mut said = TargetNotices::new(None, begin);
+    let mut notices = TargetNotices::new(None, begin);
     let named = Notice {
         limit: LimitHeader::Rate(2.0),
         ..Notice::default()
     };
-    let news = said.record(&named, begin, begin + ms(10));
-    assert_eq!(news, [NoticeChange::Limited { rate: 2.0 }]);
+    let changes = notices.record(&named, begin, begin + ms(10));
+    assert_eq!(changes, [NoticeChange::Limited { rate: 2.0 }]);
     // The response to a request that was sent before the limit was announced.
     let absent = Notice::default();
-    assert_eq!(said.record(&absent, begin, begin + ms(20)), []);
+    assert_eq!(notices.record(&absent, begin, begin + ms(20)), []);
     let over = begin + ms(1_000);
-    let news = said.record(&absent, begin + ms(900), over);
-    assert_eq!(news, [NoticeChange::Unlimited { rate: 2.0 }]);
-    let rate = |at| said.limit.unwrap().rate_at(at);
+    let changes = notices.record(&absent, begin + ms(900), over);
+    assert_eq!(changes, [NoticeChange::Unlimited { rate: 2.0 }]);
+    let rate = |at| notices.limit.unwrap().rate_at(at);
     assert_eq!(rate(over), Some(2.0));
     assert_eq!(rate(over + ms(2_000)), Some(8.0));
     assert_eq!(rate(over + ms(6_000)), None);
@@ -120,29 +120,29 @@
 #[test]
 fn a_later_start_makes_void_what_an_earlier_one_said() {
     let now = Instant::now();
-    let mut book = NoticeRegistry::default();
+    let mut registry = NoticeRegistry::default();
     let start = |ms| Some(TargetStart::from_unix_ms(ms));
     let leaving = Notice {
         leaving: true,
         ..Notice::default()
     };
-    book.record("t", start(5), &leaving, now, now);
-    assert!(book.is_leaving("t", start(5)));
-    assert!(!book.is_leaving("t", start(6)));
+    registry.record("t", start(5), &leaving, now, now);
+    assert!(registry.is_leaving("t", start(5)));
+    assert!(!registry.is_leaving("t", start(6)));
     let named = Notice {
         limit: LimitHeader::Rate(1.0),
         ..Notice::default()
     };
-    book.record("t", start(6), &named, now, now);
-    assert!(!book.is_leaving("t", start(6)));
+    registry.record("t", start(6), &named, now, now);
+    assert!(!registry.is_leaving("t", start(6)));
     // An update of the earlier start arrives late.
     let late = TargetNotices {
         leaving: true,
         ..TargetNotices::new(start(5), now)
     };
-    assert!(!book.merge("t", &late, now));
-    assert!(!book.is_leaving("t", start(6)));
-    assert!(book.get("t", start(6)).unwrap().limit.is_some());
+    assert!(!registry.merge("t", &late, now));
+    assert!(!registry.is_leaving("t", start(6)));
+    assert!(registry.get("t", start(6)).unwrap().limit.is_some());
 }
 
 /// Updates of one start of a target, as hosts exchange them.
@@ -164,7 +164,7 @@
 #[test]
 fn that_a_target_says_the_same_still_is_no_news() {
     let begin = Instant::now();
-    let mut book = NoticeRegistry::default();
+    let mut registry = NoticeRegistry::default();
     let named = |at: Instant, rate: f64| TargetNotices {
         limit: Some(AnnouncedLimit {
             rate,
@@ -173,37 +173,37 @@
         }),
         ..TargetNotices::new(None, at)
     };
-    assert!(book.merge("t", &named(begin, 2.0), begin));
+    assert!(registry.merge("t", &named(begin, 2.0), begin));
     let later = begin + ms(700);
-    assert!(!book.merge("t", &named(later, 2.0), later));
+    assert!(!registry.merge("t", &named(later, 2.0), later));
     assert_eq!(
-        book.get("t", None).unwrap().limit.unwrap().reported_at,
+        registry.get("t", None).unwrap().limit.unwrap().reported_at,
         later
     );
-    assert!(book.merge("t", &named(later + ms(1), 1.0), later + ms(1)));
+    assert!(registry.merge("t", &named(later + ms(1), 1.0), later + ms(1)));
 }
 
 proptest! {
     /// Updates may arrive in any order and more than once.
     #[test]
     fn hosts_that_have_heard_the_same_news_know_the_same(
-        (news, order) in {
+        (changes, order) in {
             let begin = Instant::now();
             proptest::collection::vec(any_news(begin), 1..8)
-                .prop_flat_map(|news| {
-                    let repeated: Vec<usize> = (0..news.len()).chain(0..news.len()).collect();
-                    (Just(news), Just(repeated).prop_shuffle())
+                .prop_flat_map(|changes| {
+                    let repeated: Vec<usize> = (0..changes.len()).chain(0..changes.len()).collect();
+                    (Just(changes), Just(repeated).prop_shuffle())
                 })
         },
     ) {
-        let begin = news[0].updated_at;
+        let begin = changes[0].updated_at;
         let mut straight = TargetNotices::new(None, begin);
-        for update in &news {
+        for update in &changes {
             straight.merge(update);
         }
         let mut shuffled = TargetNotices::new(None, begin);
         for at in order {
-            shuffled.merge(&news[at]);
+            shuffled.merge(&changes[at]);
         }
         prop_assert_eq!(straight.limit, shuffled.limit);
         prop_assert_eq!(straight.leaving, shuffled.leaving);
@@ -216,7 +216,7 @@
     rate: f64,
     /// When each host may retry.
     hosts: Vec<Instant>,
-    desk: PermitAllocator,
+    allocator: PermitAllocator,
     sent: Vec<Instant>,
 }
 
@@ -231,7 +231,7 @@
             rng: StdRng::seed_from_u64(seed),
             rate,
             hosts: vec![begin; hosts],
-            desk: PermitAllocator::default(),
+            allocator: PermitAllocator::default(),
             sent: Vec::new(),
         }
     }
@@ -247,14 +247,14 @@
         for step in 0..seconds * 200 {
             let passed = ms(step * 5);
             if changes.next_if(|at| **at <= passed).is_some() {
-                self.desk = PermitAllocator::default();
+                self.allocator = PermitAllocator::default();
             }
             let now = begin + passed;
             let host = self.rng.random_range(0..self.hosts.len());
             if self.hosts[host] > now {
                 continue;
             }
-            match self.desk.request("t", None, self.rate, now) {
+            match self.allocator.request("t", None, self.rate, now) {
                 Ok(()) => self.sent.push(now),
                 Err(pause) => self.hosts[host] = now + pause,
             }
