--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -146,7 +146,7 @@
 }
 
 /// Updates of one start of a target, as hosts exchange them.
-fn any_news(begin: Instant) -> impl Strategy<Value = TargetNotices> {
+fn any_update(begin: Instant) -> impl Strategy<Value = TargetNotices> {
     let limit = (0u64..20, 0u32..4, any::<bool>());
     (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaving, limit)| TargetNotices {
         leaving,
@@ -189,7 +189,7 @@
     fn hosts_that_have_heard_the_same_news_know_the_same(
         (changes, order) in {
             let begin = Instant::now();
-            proptest::collection::vec(any_news(begin), 1..8)
+            proptest::collection::vec(any_update(begin), 1..8)
                 .prop_flat_map(|changes| {
                     let repeated: Vec<usize> = (0..changes.len()).chain(0..changes.len()).collect();
                     (Just(changes), Just(repeated).prop_shuffle())
@@ -211,7 +211,7 @@
 }
 
 /// Hosts that send more to one target than it accepts.
-struct Crowd {
+struct Overload {
     rng: StdRng,
     rate: f64,
     /// When each host may retry.
@@ -220,7 +220,7 @@
     sent: Vec<Instant>,
 }
 
-impl Crowd {
+impl Overload {
     fn new(
         seed: u64,
         hosts: usize,
@@ -237,7 +237,7 @@
     }
 
     /// Simulates a request at a random host every 5 ms; at the times in `changes` another host takes over the counting.
-    fn play(
+    fn run(
         &mut self,
         begin: Instant,
         seconds: u64,
@@ -261,7 +261,7 @@
         }
     }
 
-    fn most_in(
+    fn max_in(
         &self,
         window: Duration,
     ) -> usize {
@@ -283,14 +283,14 @@
     #[values(&[], &[ms(7_000), ms(7_500), ms(9_000), ms(20_000)])] changes: &[Duration],
 ) {
     let begin = Instant::now();
-    let mut crowd = Crowd::new(seed, hosts, rate, begin);
+    let mut load = Overload::new(seed, hosts, rate, begin);
     let seconds = 60;
-    crowd.play(begin, seconds, changes);
+    load.run(begin, seconds, changes);
     let allowed = 1.5 * rate * 4.0 + 5.0;
-    let most = crowd.most_in(ms(4_000));
+    let most = load.max_in(ms(4_000));
     assert!(most as f64 <= allowed, "{most} of {allowed}");
     if changes.is_empty() {
-        let used = crowd.sent.len() as f64;
+        let used = load.sent.len() as f64;
         let least = 0.9 * rate * seconds as f64;
         assert!(used >= least, "{used} of {least}");
     }
