--- a/src/request/places/mod.rs
+++ b/src/request/places/mod.rs
@@ -1,5 +1,5 @@
-//! Places at the targets of plain services, given out by one host for all: what each host sends by itself is too
-//! little to tell it how busy a target is. Nothing here waits or sends.
+//! Concurrency slots at the targets of plain services. One host allocates them for all hosts, since each host alone
+//! sends too few requests to know how busy a target is. No I/O.
 
 mod place_end;
 mod service_places;
--- a/src/request/places/place_end.rs
+++ b/src/request/places/place_end.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
-/// How a request ended that had a place at a target.
+/// How a request that held a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PlaceEnd {
     /// It was answered after this time.
     Answered { took: Duration },
-    /// The target had no room for it.
+    /// The target had no capacity for it.
     TurnedAway,
-    /// It was not sent, or its answer was lost; this says nothing of how busy the target is.
+    /// It was not sent, or its response was lost; shows nothing about the target's load.
     Other,
 }
--- a/src/request/places/service_places.rs
+++ b/src/request/places/service_places.rs
@@ -4,50 +4,48 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// Requests that find no place are told to come back after this time at the least: sooner they meet the same.
+/// Minimum retry delay for a request that found no free slot.
 const LEAST_COME_BACK: Duration = Duration::from_millis(150);
 
-/// Refused requests are expected back within this time.
+/// Retry delays are spread over this time.
 const COME_BACK_SPREAD: Duration = Duration::from_millis(500);
 
-/// What a host asks for.
+/// A host's request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlaceAsk<'a> {
-    /// Names the ask.
     pub id: u64,
-    /// Targets that this request is not to be sent to.
+    /// Ids of targets that must not be chosen.
     pub passed_over: &'a [String],
-    /// Time to the answer that the caller wants.
+    /// The time within which the caller wants an answer.
     pub aim: Duration,
-    /// Time that the request has left: its place is free after it.
+    /// Time until the request's deadline, after which its slot is released.
     pub left: Duration,
 }
 
-/// What it is told.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlaceAnswer {
     Granted {
         target: Arc<str>,
     },
-    /// All targets are full; the caller does better to come back after this time.
+    /// All targets are full.
     Full {
         come_back: Duration,
     },
-    /// No target is known that it could be sent to.
+    /// No target is eligible.
     Nowhere,
 }
 
-/// The places at all targets of one plain service.
+/// The slots at all targets of one plain service.
 #[derive(Debug, Default)]
 pub struct ServicePlaces {
     targets: BTreeMap<Arc<str>, TargetPlaces>,
     aim: Duration,
-    /// Refusals since the last that was told the least time to come back.
+    /// Rejections so far, modulo the number of steps of the retry delay.
     refused: u32,
 }
 
 impl ServicePlaces {
-    /// The targets that take requests, with what each works on at once.
+    /// Replaces the list of targets, given by id and parallelism; known targets keep their state.
     pub fn set_targets<'a>(
         &mut self,
         targets: impl Iterator<Item = (&'a str, u32)>,
@@ -61,7 +59,7 @@
             .collect();
     }
 
-    /// Gives a place at the target that has most room for a request.
+    /// Allocates a slot at the eligible target with the lowest load.
     pub fn ask(
         &mut self,
         ask: &PlaceAsk,
@@ -87,7 +85,7 @@
         PlaceAnswer::Granted { target }
     }
 
-    /// A request that had a place ended.
+    /// Releases a slot.
     pub fn end(
         &mut self,
         target: &str,
@@ -100,14 +98,14 @@
         }
     }
 
-    /// Places taken, and places there are.
+    /// Returns the slots in use and the sum of the limits.
     pub fn usage(&self) -> (usize, f64) {
         let taken = self.targets.values().map(TargetPlaces::taken).sum();
         let limit = self.targets.values().map(TargetPlaces::limit).sum();
         (taken, limit)
     }
 
-    /// Refused callers are told different times, so that they don't come back together.
+    /// Returns delays in equal steps, so that rejected callers don't retry in step.
     fn next_come_back(&mut self) -> Duration {
         const STEPS: u32 = 8;
         self.refused = (self.refused + 1) % STEPS;
--- a/src/request/places/target_places.rs
+++ b/src/request/places/target_places.rs
@@ -4,36 +4,35 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// A target is thought to bear twice as many requests as it works on at once, until answers tell otherwise: as many
-/// wait as run, and each takes about twice its own time.
+/// Initial limit, as a multiple of the target's parallelism: as many requests wait as run.
 const FIRST_LIMIT: f64 = 2.0;
 
-/// It is never thought to bear more than this multiple.
+/// Maximum limit, as a multiple of the target's parallelism.
 const MOST_LIMIT: f64 = 8.0;
 
-/// Part of its aim that an answer may take before it speaks for fewer requests: times vary, and longer ones must still
-/// be in time.
+/// Fraction of the latency goal above which a response lowers the limit. Leaves room for the variance of response
+/// times.
 const AIMED_SHARE: f64 = 0.5;
 
-/// An answer that took longer than it should lowers the limit by so many requests, one that did not raises it by
-/// this over the limit: it falls within some tens of answers and comes back as slowly.
+/// A slow response lowers the limit by `DECREASE_STEP`; a fast one at full load raises it by `INCREASE_STEP` divided by
+/// the limit.
 const STEP_DOWN: f64 = 0.25;
 const STEP_UP: f64 = 0.5;
 
-/// A target that has no room bears fewer than were thought, by this factor.
+/// Factor by which a rejection by the target lowers the limit.
 const CUT: f64 = 0.9;
 
-/// The requests of all hosts that one target works on or has waiting, and how many it bears.
+/// An adaptive limit of the requests of all hosts that run or wait at one target.
 #[derive(Debug)]
 pub struct TargetPlaces {
     slots: f64,
     limit: f64,
-    /// By the id of the ask, until when its place is held.
+    /// When each held slot expires, by request id.
     taken: HashMap<u64, Instant>,
 }
 
 impl TargetPlaces {
-    /// A target that works on so many requests at once.
+    /// Creates the limit of a target that runs `slots` requests in parallel.
     pub fn new(slots: u32) -> Self {
         let slots = f64::from(slots.max(1));
         Self {
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Requests that it bears at once.
+    /// Returns the maximum number of concurrent requests.
     pub fn limit(&self) -> f64 {
         self.limit
     }
@@ -52,7 +51,7 @@
         self.taken.len()
     }
 
-    /// How full it is; 1 and more takes no further request.
+    /// Returns the share of slots in use, after releasing expired ones; at 1 or more the target is full.
     pub fn load(
         &mut self,
         now: Instant,
@@ -61,7 +60,7 @@
         self.taken.len() as f64 / self.limit
     }
 
-    /// A request takes a place, until its end is told or this time is over.
+    /// Holds a slot until it is released or `until` has passed.
     pub fn take(
         &mut self,
         id: u64,
@@ -70,7 +69,7 @@
         self.taken.insert(id, until);
     }
 
-    /// A request ended. What it tells counts only if its place was still held: ends may be told twice.
+    /// Releases a slot and adjusts the limit. Repeated and late releases are ignored.
     pub fn end(
         &mut self,
         id: u64,
@@ -85,7 +84,7 @@
             PlaceEnd::Answered { took } if took > aim.mul_f64(AIMED_SHARE) => {
                 self.limit - STEP_DOWN
             }
-            // Only a target that is nearly full shows what it bears.
+            // A target with free slots shows nothing about its capacity.
             PlaceEnd::Answered { .. } if taken + 1.0 >= self.limit => {
                 self.limit + STEP_UP / self.limit
             }
--- a/src/request/quotas/customer_use.rs
+++ b/src/request/quotas/customer_use.rs
@@ -7,53 +7,53 @@
     std::time::Duration,
 };
 
-/// Requests within the time of a grant from which on some are paid for ahead: at fewer an ask for each costs as
-/// many messages, and nothing lapses.
+/// Quota is prefetched above this many requests per `GRANT_TTL`: below, prefetching saves no messages and quota would
+/// expire unused.
 const BUSY: f64 = 2.0;
 
-/// A host that did not answer is passed over for so long: about as long as hosts take to see that one is gone.
+/// A host that did not respond is skipped for this long, about the time in which the failure detector finds a dead
+/// host.
 const SILENT_PAUSE: Duration = Duration::from_millis(700);
 
-/// What a part's holder said or did not say last.
+/// The last response, or lack of one, from the host that counts a part.
 #[derive(Debug, Clone, Copy, Default)]
 struct PartState {
-    /// It had too little for a request of this cost, and will have enough at this time.
+    /// It lacked quota for a request of this cost, and expects to have enough at this time.
     over: Option<(f64, Instant)>,
-    /// It did not answer, and is passed over until then.
+    /// It did not respond, and is skipped until then.
     silent_until: Option<Instant>,
 }
 
-/// Parts that were asked for one request.
+/// For one request, which parts were already tried.
 pub type AskedParts = [bool; PARTS];
 
-/// What is to be done about the cost of a request.
+/// What to do next for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaStep {
-    /// It was paid for with what had been granted ahead.
+    /// The request is covered by prefetched quota.
     Paid,
-    /// Ask the holder of this part.
+    /// Request quota from the host that counts this part.
     Ask { part: usize, charge: Charge },
-    /// The customer is over its limit; some of it is there again after this time.
+    /// The customer is over its limit.
     Over { come_back: Duration },
-    /// Nobody answers who counts the customer's use.
+    /// No host that counts the customer's usage responds.
     Uncounted,
 }
 
-/// What one host knows of a customer's use: what it was granted ahead, and how the holders of the parts of the
-/// limit stand.
+/// A customer's quota as seen by one host: what was prefetched, and the state of each part of the limit.
 #[derive(Debug)]
 pub struct CustomerUse {
     ahead: Borrowed,
-    /// Cost and number of this host's requests within the time of a grant.
+    /// Cost and number of this host's requests within `GRANT_TTL`.
     cost: RecentCount,
     requests: RecentCount,
     parts: [PartState; PARTS],
-    /// The part that is asked first next time: each in turn.
+    /// The part that is tried first; rotates with each request.
     turn: usize,
 }
 
 impl CustomerUse {
-    /// Hosts begin with different parts.
+    /// `first_part` differs between hosts, to spread their load.
     pub fn new(first_part: usize) -> Self {
         let recent = || RecentCount::new(GRANT_VALIDITY, Rounding::Down);
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A request of this cost has come.
+    /// Records that a request of this cost has arrived.
     pub fn on_request(
         &mut self,
         cost: f64,
@@ -76,7 +76,7 @@
         self.turn = (self.turn + 1) % PARTS;
     }
 
-    /// What to do for a request for which these parts were asked.
+    /// Returns the next step for a request for which the parts in `asked` were already tried.
     pub fn next_step(
         &mut self,
         cost: f64,
@@ -97,8 +97,8 @@
         }
     }
 
-    /// The next part to ask: one that may have enough, or else one that was silent a moment ago, unless another
-    /// said that it has too little.
+    /// Returns the next part to try: one that may have enough, or else an unresponsive one, unless another part has
+    /// reported that it has too little.
     fn open_part(
         &self,
         cost: f64,
@@ -118,7 +118,7 @@
         })
     }
 
-    /// What is asked for: the request's cost, and on a busy host what those that follow at once will need.
+    /// Returns what to request: the request's cost, and on a busy host the expected cost of the next ones.
     fn charge(
         &mut self,
         cost: f64,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A part's holder granted more than the request costs.
+    /// Adds quota that was granted beyond the request's cost.
     pub fn on_ahead(
         &mut self,
         amount: f64,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A part's holder answered.
+    /// Records that a part responded.
     pub fn on_answer(
         &mut self,
         part: usize,
@@ -154,7 +154,7 @@
         self.parts[part] = PartState::default();
     }
 
-    /// A part's holder had too little for a request of this cost.
+    /// Records that a part had too little for a request of this cost.
     pub fn on_over(
         &mut self,
         part: usize,
@@ -168,7 +168,7 @@
         };
     }
 
-    /// A part's holder did not answer, or there is none.
+    /// Records that a part's host did not respond, or that there is none.
     pub fn on_silent(
         &mut self,
         part: usize,
@@ -180,8 +180,8 @@
         };
     }
 
-    /// Time until a part has enough again for a request of this cost, if any said that it has too little; none if that
-    /// time has passed while others were asked.
+    /// Returns the time until a part that reported too little for this cost has enough; zero if that time has passed
+    /// while other parts were tried.
     fn first_again(
         &self,
         cost: f64,
--- a/src/request/quotas/mod.rs
+++ b/src/request/quotas/mod.rs
@@ -1,5 +1,5 @@
-//! How much customers use, over all hosts of a site: each part of a customer's limit is counted by one host, which
-//! others ask. Nothing here waits or sends.
+//! Customer quotas over all hosts of a site: each part of a customer's limit is counted by one host, from which the
+//! others request quota. No I/O.
 
 mod customer_use;
 mod quota_ledger;
--- a/src/request/quotas/quota_ledger.rs
+++ b/src/request/quotas/quota_ledger.rs
@@ -4,39 +4,38 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// Part of what a bucket holds that one ask gets ahead of its need, so that no host takes what others need a moment
-/// later.
+/// Maximum fraction of a bucket that one charge may prefetch, so that a host doesn't take what others need next.
 const AHEAD_PART: f64 = 0.125;
 
-/// What a host asks for on behalf of a customer.
+/// A host's request for a customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Charge {
-    /// Names the ask to whoever answers it.
+    /// Identifies retransmissions and refunds.
     pub id: u64,
-    /// For the request that waits.
+    /// Units for the pending request.
     pub need: f64,
-    /// For those that are likely to follow at once.
+    /// Units for requests that are expected next.
     pub ahead: f64,
 }
 
-/// One part of a customer's limit, as the host counts it that holds this part.
+/// One customer's account for one part of its limit.
 #[derive(Debug)]
 struct Account {
     bucket: TokenBucket,
     grants: RecentGrants,
 }
 
-/// Counts the use of many customers, each by a part of its limit.
+/// Accounts of many customers, for the parts that this host counts.
 ///
-/// Only one host does so at a time for each part, as it does give orders to an engine; it begins with empty
-/// buckets. So a window that spans a change of hosts, or a start of one anew, brings no more than one without: what
-/// the host before let be spent, and what came in since.
+/// Only one host counts a part at a time, under a lease, and starts with empty buckets. So a change of hosts or a
+/// restart allows no more in a window than an undisturbed one: what the previous host granted plus what has accrued
+/// since.
 #[derive(Debug)]
 pub struct QuotaLedger {
     accounts: HashMap<String, Account>,
-    /// Buckets fill since then.
+    /// Buckets accrue from then on.
     started: Instant,
-    /// For how long unused grants may come back.
+    /// How long grants can be refunded.
     window: Duration,
 }
 
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Grants what a host asks for, or tells after which time it could.
+    /// Grants a charge, or returns the time after which it could be granted.
     pub fn charge(
         &mut self,
         customer: &str,
@@ -76,7 +75,7 @@
         Ok(granted)
     }
 
-    /// So much of what an ask was granted is not used after all.
+    /// Refunds an unused amount of a grant; only the first refund of a grant counts.
     pub fn refund(
         &mut self,
         customer: &str,
@@ -93,7 +92,7 @@
         }
     }
 
-    /// What is left of a customer's part.
+    /// Returns the available units of a customer's account.
     pub fn left(
         &mut self,
         customer: &str,
@@ -116,6 +115,6 @@
         }
         self.accounts
             .get_mut(customer)
-            .expect("it was just put there")
+            .expect("inserted above")
     }
 }
--- a/src/request/quotas/quota_terms.rs
+++ b/src/request/quotas/quota_terms.rs
@@ -1,39 +1,38 @@
 use {crate::version::routing::UseLimit, std::time::Duration};
 
-/// Parts that a customer's limit is divided into, each counted by a host of its own. With one of three lost a
-/// customer has two thirds of its limit until another host counts the third, some 15 s later.
+/// Number of parts of a customer's limit, each counted by another host. While one of them is down, the customer has the
+/// rest of its limit.
 pub const PARTS: usize = 3;
 
-/// What was granted ahead is spent within this time, or lapses. Over a window a customer may spend what was granted
-/// in it and this long before.
+/// Prefetched quota expires after this time. Usage in a window may include quota that was granted this long before it.
 pub const GRANT_VALIDITY: Duration = Duration::from_millis(250);
 
-/// Share of what a window allows beyond a steady use that buckets hold, for requests that come in clusters. The rest
-/// is kept back: whoever checks the limits from outside sees requests arrive, not being admitted.
+/// Fraction of the permitted excess that buckets hold for bursts. The rest is a reserve for outside observers, who see
+/// requests when they arrive, not when they are admitted.
 const HELD_SHARE: f64 = 0.8;
 
-/// By how much a limit may be exceeded, over all hosts.
+/// How limits are enforced, and by how much they may be exceeded over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaTerms {
-    /// Use is counted over a sliding time of this length.
+    /// Length of the sliding window in which usage is counted.
     pub window: Duration,
-    /// Part of what the limit allows in a window that may come on top.
+    /// Permitted excess, as a fraction of the limit in a window.
     pub over: f64,
-    /// Units that may come on top besides.
+    /// Permitted excess besides, in units.
     pub slack: f64,
 }
 
-/// The terms of one token bucket.
+/// Parameters of one token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketTerms {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that it holds at the most.
+    /// Units.
     pub capacity: f64,
 }
 
 impl QuotaTerms {
-    /// The most that a customer may use in any window.
+    /// Returns the maximum usage in any window.
     pub fn allowed(
         &self,
         limit: &UseLimit,
@@ -41,11 +40,10 @@
         self.within_limit(limit) + self.excess(limit)
     }
 
-    /// The bucket of one part of a limit.
+    /// Returns the bucket of one part of a limit.
     ///
-    /// What a limit allows in a window may be used in each of them, so the burst counts as rate: a customer that sends about
-    /// what it may is not refused on a calm day. A window then brings what comes in within it and the time of a grant, and
-    /// what the bucket held.
+    /// The limit's burst counts as rate, since it may be used in each window. Usage in a window is then bounded by what
+    /// accrues within it and `GRANT_TTL`, and what the bucket held.
     pub fn bucket(
         &self,
         limit: &UseLimit,
--- a/src/request/quotas/recent_grants.rs
+++ b/src/request/quotas/recent_grants.rs
@@ -6,7 +6,7 @@
     },
 };
 
-/// What was granted lately, by the ids of the asks: messages may come twice, and what is not used comes back once.
+/// Recent grants by charge id, so that retransmitted charges and refunds count once.
 #[derive(Debug)]
 pub struct RecentGrants {
     kept_for: Duration,
@@ -34,7 +34,7 @@
         self.order.push_back((now, id));
     }
 
-    /// What was granted to an ask that comes again.
+    /// Returns what was granted to a charge, if it is a retransmission.
     pub fn get(
         &self,
         id: u64,
@@ -42,7 +42,7 @@
         self.amounts.get(&id).copied()
     }
 
-    /// What of an ask's grant may come back; nothing of it may a second time.
+    /// Removes a grant and returns its amount; `None` if it was refunded before or has expired.
     pub fn take(
         &mut self,
         id: u64,
--- a/src/request/quotas/token_bucket.rs
+++ b/src/request/quotas/token_bucket.rs
@@ -1,6 +1,6 @@
 use {super::BucketTerms, crate::clock::Instant, std::time::Duration};
 
-/// A token bucket that begins empty: whoever counted before may have let all of it be spent a moment ago.
+/// A token bucket that starts empty, since a previous host may just have granted all of it.
 #[derive(Debug)]
 pub struct TokenBucket {
     balance: f64,
@@ -15,7 +15,7 @@
         }
     }
 
-    /// What it holds now; below zero after a request that cost more than it can hold.
+    /// Returns the current balance; negative after a request that cost more than the capacity.
     pub fn balance(
         &mut self,
         terms: &BucketTerms,
@@ -27,8 +27,8 @@
         self.balance
     }
 
-    /// Takes an amount out, or tells after which time it could. One that the bucket can't hold is taken out of a
-    /// full one: its customer must be able to send it at all.
+    /// Takes an amount, or returns the time after which it could be taken. An amount above the capacity is taken from a
+    /// full bucket; otherwise it could never be granted.
     pub fn take(
         &mut self,
         amount: f64,
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Puts back what was taken out and not used.
+    /// Returns an unused amount to the bucket.
     pub fn put_back(
         &mut self,
         amount: f64,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Time in which an amount comes in.
+/// Returns the time in which an amount accrues.
 fn time_for(
     amount: f64,
     rate: f64,
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -1,6 +1,5 @@
-//! Few targets of a plain service before many hosts, asked for twice what they bear: each host sees a request or two in a
-//! second, so that by itself none knows how busy the targets are. They turned half of what came away, served 75 in a second
-//! where 90 could be, and a third of these late, behind a queue that was always full.
+//! Slots at the targets of a plain service under overload. Without them each host sees too few requests to know the
+//! load: targets reject many requests and answer the rest late, behind full queues.
 
 use {
     coveproxy::{
@@ -19,7 +18,7 @@
     Duration::from_millis(ms)
 }
 
-/// A target that works on some requests at once and queues some more.
+/// A target with limited parallelism and a bounded queue.
 struct Target {
     slots: usize,
     queue: usize,
@@ -27,7 +26,6 @@
     waiting: VecDeque<(u64, Instant)>,
 }
 
-/// What callers got.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: usize,
@@ -36,12 +34,12 @@
     turned_away: usize,
 }
 
-/// Requests for one service for a time, at so many a second; gives out places or not.
+/// A simulation of requests at a constant average rate, with or without slot allocation.
 struct Play {
     rng: StdRng,
     targets: Vec<Target>,
     places: Option<ServicePlaces>,
-    /// Ends of requests: when, at which target, which, sent when.
+    /// Ends of requests: when, target, id, sent when.
     ends: BinaryHeap<Reverse<(Instant, usize, u64, Instant)>>,
     outcome: Outcome,
 }
@@ -107,7 +105,7 @@
         }
     }
 
-    /// The target that a request is sent to; none if there is no place.
+    /// Returns the target to send to; `None` if there is no free slot.
     fn target_for(
         &mut self,
         id: u64,
@@ -183,7 +181,8 @@
     }
 }
 
-/// Asked for twice and more of what they bear, targets answer nine tenths of it within the aim, and the rest is refused at once.
+/// Under overload at least nine tenths of the capacity is answered within the latency goal, and the rest is rejected
+/// before it is sent.
 #[rstest]
 fn under_twice_the_load_nine_tenths_of_what_targets_bear_are_answered_in_time(
     #[values(1, 3)] targets: usize,
@@ -203,7 +202,7 @@
     }
 }
 
-/// Without them most answers are late: what the places are for.
+/// The overload that the tests simulate does make responses late without slots.
 #[test]
 fn without_places_most_answers_are_late() {
     let outcome = Play::new(1, 1, false).run(190.0, Duration::from_secs(20));
@@ -211,7 +210,7 @@
     assert!(outcome.late > outcome.in_time, "{outcome:?}");
 }
 
-/// Below what targets bear nobody is refused.
+/// Below capacity almost no request is rejected.
 #[rstest]
 fn with_room_nobody_is_refused(#[values(0.3, 0.6, 0.8)] load: f64) {
     let capacity = 3.0 * 6.0 / 0.066;
@@ -222,7 +221,7 @@
     }
 }
 
-/// A place whose end is never told is free again after the time that its request had.
+/// A slot of a host that is lost is released at the request's deadline.
 #[test]
 fn places_of_lost_hosts_come_back() {
     let now = Instant::now();
@@ -235,7 +234,7 @@
     assert_eq!(places.load(now + LEFT), 0.0);
 }
 
-/// An end that is told twice, or for a place that was given up, says nothing.
+/// A repeated release must not change the limit.
 #[test]
 fn ends_that_come_twice_say_nothing() {
     let now = Instant::now();
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -1,6 +1,5 @@
-//! Limits of customers' use, over all hosts: a customer that sends as much as it can never gets more than the limit
-//! and what may exceed it allow in any window, whatever becomes of hosts and messages; one that stays below its limit is
-//! hardly ever refused.
+//! Customer quotas over all hosts: a customer under overload never exceeds its limit and tolerance in any window,
+//! whatever happens to hosts and messages, and a customer below its limit is hardly ever rejected.
 
 use {
     coveproxy::{
@@ -18,13 +17,12 @@
 
 const WINDOW: Duration = Duration::from_secs(8);
 
-/// Orders of two holders lie so far apart, and so do their answers.
+/// Time between the end of one host's lease and the start of the next.
 const LEASE_GAP: Duration = Duration::from_secs(3);
 
-/// Hosts wait for an answer for so long.
 const ASK_LIMIT: Duration = Duration::from_millis(100);
 
-/// Requests wait for so long until their customer may use what they cost: a quarter of an aim of 0.8 s.
+/// How long requests wait for quota.
 const PATIENCE: Duration = Duration::from_millis(200);
 
 fn ms(ms: u64) -> Duration {
@@ -47,19 +45,19 @@
     }
 }
 
-/// What an adversary does to hosts and messages.
+/// Faults of hosts and messages.
 #[derive(Debug, Clone, Copy)]
 struct Trouble {
-    /// Chance that a message is lost, and its longest time on the way.
+    /// Probability that a message is lost, and the maximum delay of one.
     lost: f64,
     slow: Duration,
-    /// Messages come twice.
+    /// Messages are delivered twice.
     doubled: bool,
-    /// Time between two losses of the process that counts a part.
+    /// Time between two restarts of a process that counts a part.
     restarts: Option<Duration>,
-    /// Time between two changes of the host that counts a part, each after the gap.
+    /// Time between two changes of the host that counts a part.
     takeovers: Option<Duration>,
-    /// Requests are refused after they were let use something, and refunds come twice.
+    /// Probability that a request is not sent after it was granted; its refund is delivered twice.
     refunds: f64,
 }
 
@@ -76,14 +74,14 @@
     Duration::from_millis(ms)
 }
 
-/// A part of the limit, and whoever counts it.
+/// The host that counts a part of the limit.
 struct Part {
     ledger: QuotaLedger,
-    /// Nobody counts before.
+    /// It counts from then on.
     from: Instant,
 }
 
-/// One request, at the host to which it came.
+/// A request at the host where it arrived.
 #[derive(Debug, Clone, Copy)]
 struct Request {
     host: usize,
@@ -92,7 +90,7 @@
     patience: Instant,
 }
 
-/// A site of hosts that ask for one customer.
+/// A site whose hosts request quota for one customer.
 struct Play {
     rng: StdRng,
     trouble: Trouble,
@@ -100,9 +98,9 @@
     parts: Vec<Part>,
     hosts: Vec<CustomerUse>,
     start: Instant,
-    /// Requests that wait, and until when.
+    /// Waiting requests, and when they retry.
     waiting: Vec<(Instant, Request)>,
-    /// What was let through, and when.
+    /// When each request was admitted, and its cost.
     passed: Vec<(Instant, f64)>,
     sent: usize,
     refused: usize,
@@ -138,7 +136,7 @@
         }
     }
 
-    /// The customer sends `demand` units a second for `time`; gives nothing, and counts.
+    /// Simulates a customer that sends `demand` units per second.
     fn run(
         &mut self,
         demand: f64,
@@ -150,7 +148,7 @@
         let mut next_takeover = self.trouble.takeovers.map(|every| now + every);
         while now < end {
             let cost = f64::from(self.rng.random_range(200..5_300u32));
-            // Requests come at random, some in clusters.
+            // Exponential gaps: some requests arrive in bursts.
             let mean = cost / demand;
             let gap = -mean * self.rng.random_range(0.000_1..1.0f64).ln();
             now += Duration::from_secs_f64(gap);
@@ -175,7 +173,7 @@
         }
     }
 
-    /// Sends the requests that have waited until this time, in order.
+    /// Retries the waiting requests that are due, in order.
     fn send_waiting(
         &mut self,
         now: Instant,
@@ -191,7 +189,7 @@
         }
     }
 
-    /// The process that counts a part starts anew, and goes on as its holder.
+    /// A process that counts a part restarts and keeps its lease.
     fn restart(
         &mut self,
         now: Instant,
@@ -203,7 +201,7 @@
         };
     }
 
-    /// Another host counts a part, once the one before has ended for the gap.
+    /// Another host takes over a part, after the lease gap.
     fn take_over(
         &mut self,
         now: Instant,
@@ -264,14 +262,14 @@
         self.pass(cost, now);
     }
 
-    /// Time until the answer, or until the host waits no longer.
+    /// Time until the response arrives, or the host stops waiting.
     fn time_of_answer(&mut self) -> Duration {
         self.messages += 2;
         let way = self.rng.random_range(Duration::ZERO..=self.trouble.slow);
         way.min(ASK_LIMIT)
     }
 
-    /// Charges at the part's holder; true if the host hears in time that it was granted.
+    /// Charges the part; returns true if the host learns in time that it was granted.
     fn is_granted(
         &mut self,
         host: usize,
@@ -314,7 +312,7 @@
         self.passed.push((now, cost));
     }
 
-    /// The most that passed in any window.
+    /// Maximum usage admitted in any window.
     fn most_in_window(&mut self) -> f64 {
         self.passed.sort_by_key(|(at, _)| *at);
         let (mut first, mut sum, mut most) = (0, 0.0, 0.0f64);
@@ -330,7 +328,7 @@
     }
 }
 
-/// A customer that sends eight times what it may is held at its limit, in every history.
+/// A customer that sends eight times its limit is held to it under every combination of faults.
 #[rstest]
 #[case::calm(CALM)]
 #[case::losses(Trouble { lost: 0.3, slow: ms(150), doubled: true, ..CALM })]
@@ -356,7 +354,7 @@
     }
 }
 
-/// At the limit a customer gets most of it, also when one of those who count is lost.
+/// A customer above its limit gets most of it, also while messages are lost.
 #[rstest]
 #[case::calm(CALM, 0.9)]
 #[case::losses(Trouble { lost: 0.05, ..CALM }, 0.85)]
@@ -376,8 +374,8 @@
     );
 }
 
-/// Below its limit a customer is hardly ever refused: fewer than 1 in 1,000 where its requests are small beside what it
-/// may, 1 in 20 where one costs as much as it may use in two seconds.
+/// A customer below its limit is hardly ever rejected: more often where one request costs as much as the limit allows
+/// in two seconds.
 #[rstest]
 #[case::large(222_000.0, 0.55, 0.001)]
 #[case::middle(20_000.0, 0.55, 0.01)]
@@ -390,7 +388,7 @@
     let (mut sent, mut not) = (0, 0);
     for seed in 0..20 {
         let mut play = Play::new(seed, 72, rate, CALM);
-        // The site has run for a while, and buckets are full.
+        // The site has run for a while, so that the buckets are full.
         play.start += Duration::from_secs(14);
         play.run(rate * load, Duration::from_secs(60));
         sent += play.sent;
@@ -401,7 +399,7 @@
     assert!(share <= refused, "{not} of {sent}");
 }
 
-/// A host that was told that its customer is over the limit refuses at once, and tells a time that is true of the bucket.
+/// A host that knows that a customer is over its limit rejects at once, with the time at which the bucket has enough.
 #[test]
 fn the_time_to_come_back_is_that_of_the_bucket() {
     let now = Instant::now();
@@ -412,15 +410,15 @@
     }
     let step = known.next_step(1_000.0, &asked, now + ms(100));
     assert_eq!(step, QuotaStep::Over { come_back: ms(300) });
-    // A smaller request may still pass.
+    // A smaller request may still be granted.
     let smaller = known.next_step(200.0, &asked, now + ms(100));
     assert!(matches!(smaller, QuotaStep::Ask { .. }), "{smaller:?}");
     let later = known.next_step(1_000.0, &asked, now + ms(450));
     assert!(matches!(later, QuotaStep::Ask { .. }), "{later:?}");
 }
 
-/// While the other parts are asked, the time of the first may pass: the request is over the limit no less, and nobody is
-/// silent. It was refused as one whose use nobody counts.
+/// While the other parts are tried, the retry time of the first may pass: the request is still over the limit, not
+/// uncounted.
 #[test]
 fn a_time_that_passes_while_others_are_asked_is_no_silence() {
     let now = Instant::now();
@@ -432,7 +430,7 @@
     let step = known.next_step(1_000.0, &asked, now + ms(5));
     let come_back = Duration::ZERO;
     assert_eq!(step, QuotaStep::Over { come_back });
-    // Once they are silent, what they said before counts no more.
+    // Once the parts are unresponsive, their earlier responses no longer count.
     for part in 0..PARTS {
         known.on_silent(part, now + ms(5));
     }
@@ -440,7 +438,7 @@
     assert_eq!(step, QuotaStep::Uncounted);
 }
 
-/// A request that costs more than a bucket holds passes once the bucket is full, and is paid off afterwards.
+/// A request that costs more than the capacity is granted by a full bucket, which then is in debt.
 #[test]
 fn a_request_that_costs_more_than_the_bucket_holds_passes_a_full_one() {
     let start = Instant::now();
@@ -465,7 +463,7 @@
     assert!(apart.abs() < 1e-6, "{come_back:?} and {paid_off:?}");
 }
 
-/// No more comes back than was granted, however often it is told.
+/// A grant is refunded at most once.
 #[test]
 fn refunds_that_come_twice_bring_nothing() {
     let start = Instant::now();
@@ -479,7 +477,7 @@
     };
     let before = ledger.left("c", &terms, now);
     ledger.charge("c", &terms, charge, now).unwrap();
-    // The ask comes twice, too.
+    // The charge is retransmitted, too.
     ledger.charge("c", &terms, charge, now).unwrap();
     assert_eq!(ledger.left("c", &terms, now), before - 3_000.0);
     for _ in 0..5 {
@@ -488,7 +486,7 @@
     assert_eq!(ledger.left("c", &terms, now), before - 2_000.0);
 }
 
-/// The parts of a customer's limit lie in different slots, and slots are told from engines by their names.
+/// The parts of a customer's limit are in different shards, and lease names of shards differ from those of engines.
 #[test]
 fn parts_lie_in_slots_of_their_own() {
     for customer in ["a", "hule930", "c-17"] {
