--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -8,7 +8,7 @@
         connection::datagram::{Message, PlaceEnded, PlaceGiven, PlaceWanted},
         metrics::{StateLabels, metrics},
         request::{
-            places::{PlaceAnswer, PlaceAsk, ServicePlaces},
+            places::{PlaceAnswer, PlaceAsk, ServiceSlots},
             quotas::{slot_for, slot_name},
         },
     },
@@ -23,7 +23,7 @@
 /// The places of a service that are given out here.
 #[derive(Debug, Default)]
 pub(super) struct GivenPlaces {
-    places: ServicePlaces,
+    places: ServiceSlots,
     /// When its targets were last looked at.
     looked: Option<Instant>,
 }
--- a/src/request/places/mod.rs
+++ b/src/request/places/mod.rs
@@ -2,11 +2,11 @@
 //! sends too few requests to know how busy a target is. No I/O.
 
 mod place_end;
-mod service_places;
+mod service_slots;
 mod target_places;
 
 pub use {
     place_end::PlaceEnd,
-    service_places::{PlaceAnswer, PlaceAsk, ServicePlaces},
+    service_slots::{PlaceAnswer, PlaceAsk, ServiceSlots},
     target_places::TargetPlaces,
 };
--- a/src/request/places/service_places.rs
+++ b/src/request/places/service_slots.rs
@@ -37,14 +37,14 @@
 
 /// The slots at all targets of one plain service.
 #[derive(Debug, Default)]
-pub struct ServicePlaces {
+pub struct ServiceSlots {
     targets: BTreeMap<Arc<str>, TargetPlaces>,
     aim: Duration,
     /// Rejections so far, modulo the number of steps of the retry delay.
     refused: u32,
 }
 
-impl ServicePlaces {
+impl ServiceSlots {
     /// Replaces the list of targets, given by id and parallelism; known targets keep their state.
     pub fn set_targets<'a>(
         &mut self,
--- a/src/request/quotas/quota_ledger.rs
+++ b/src/request/quotas/quota_ledger.rs
@@ -113,8 +113,6 @@
             };
             self.accounts.insert(customer.to_string(), account);
         }
-        self.accounts
-            .get_mut(customer)
-            .expect("inserted above")
+        self.accounts.get_mut(customer).expect("inserted above")
     }
 }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -4,7 +4,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        request::places::{PlaceAnswer, PlaceAsk, PlaceEnd, ServicePlaces, TargetPlaces},
+        request::places::{PlaceAnswer, PlaceAsk, PlaceEnd, ServiceSlots, TargetPlaces},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -38,7 +38,7 @@
 struct Play {
     rng: StdRng,
     targets: Vec<Target>,
-    places: Option<ServicePlaces>,
+    places: Option<ServiceSlots>,
     /// Ends of requests: when, target, id, sent when.
     ends: BinaryHeap<Reverse<(Instant, usize, u64, Instant)>>,
     outcome: Outcome,
@@ -59,7 +59,7 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             targets: (0..targets).map(target).collect(),
-            places: with_places.then(ServicePlaces::default),
+            places: with_places.then(ServiceSlots::default),
             ends: BinaryHeap::new(),
             outcome: Outcome::default(),
         }
