--- a/src/request/places/mod.rs
+++ b/src/request/places/mod.rs
@@ -3,10 +3,10 @@
 
 mod place_end;
 mod service_slots;
-mod target_places;
+mod target_slots;
 
 pub use {
     place_end::PlaceEnd,
     service_slots::{PlaceAnswer, PlaceAsk, ServiceSlots},
-    target_places::TargetPlaces,
+    target_slots::TargetSlots,
 };
--- a/src/request/places/service_slots.rs
+++ b/src/request/places/service_slots.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PlaceEnd, TargetPlaces},
+    super::{PlaceEnd, TargetSlots},
     crate::clock::Instant,
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
@@ -38,7 +38,7 @@
 /// The slots at all targets of one plain service.
 #[derive(Debug, Default)]
 pub struct ServiceSlots {
-    targets: BTreeMap<Arc<str>, TargetPlaces>,
+    targets: BTreeMap<Arc<str>, TargetSlots>,
     aim: Duration,
     /// Rejections so far, modulo the number of steps of the retry delay.
     refused: u32,
@@ -54,7 +54,7 @@
         self.targets = targets
             .map(|(id, slots)| match known.remove_entry(id) {
                 Some(entry) => entry,
-                None => (id.into(), TargetPlaces::new(slots)),
+                None => (id.into(), TargetSlots::new(slots)),
             })
             .collect();
     }
@@ -100,8 +100,8 @@
 
     /// Returns the slots in use and the sum of the limits.
     pub fn usage(&self) -> (usize, f64) {
-        let taken = self.targets.values().map(TargetPlaces::taken).sum();
-        let limit = self.targets.values().map(TargetPlaces::limit).sum();
+        let taken = self.targets.values().map(TargetSlots::taken).sum();
+        let limit = self.targets.values().map(TargetSlots::limit).sum();
         (taken, limit)
     }
 
--- a/src/request/places/target_places.rs
+++ b/src/request/places/target_slots.rs
@@ -24,14 +24,14 @@
 
 /// An adaptive limit of the requests of all hosts that run or wait at one target.
 #[derive(Debug)]
-pub struct TargetPlaces {
+pub struct TargetSlots {
     slots: f64,
     limit: f64,
     /// When each held slot expires, by request id.
     taken: HashMap<u64, Instant>,
 }
 
-impl TargetPlaces {
+impl TargetSlots {
     /// Creates the limit of a target that runs `slots` requests in parallel.
     pub fn new(slots: u32) -> Self {
         let slots = f64::from(slots.max(1));
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -4,7 +4,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        request::places::{PlaceAnswer, PlaceAsk, PlaceEnd, ServiceSlots, TargetPlaces},
+        request::places::{PlaceAnswer, PlaceAsk, PlaceEnd, ServiceSlots, TargetSlots},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -225,7 +225,7 @@
 #[test]
 fn places_of_lost_hosts_come_back() {
     let now = Instant::now();
-    let mut places = TargetPlaces::new(6);
+    let mut places = TargetSlots::new(6);
     let limit = places.limit() as u64;
     for id in 0..limit {
         places.take(id, now + LEFT);
@@ -238,7 +238,7 @@
 #[test]
 fn ends_that_come_twice_say_nothing() {
     let now = Instant::now();
-    let mut places = TargetPlaces::new(6);
+    let mut places = TargetSlots::new(6);
     places.take(1, now + LEFT);
     places.end(1, PlaceEnd::TurnedAway, AIM);
     let limit = places.limit();
