--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -8,7 +8,7 @@
         connection::datagram::{Message, PlaceEnded, PlaceGiven, PlaceWanted},
         metrics::{StateLabels, metrics},
         request::{
-            places::{PlaceAnswer, PlaceAsk, ServiceSlots},
+            places::{PlaceAnswer, ServiceSlots, SlotRequest},
             quotas::{slot_for, slot_name},
         },
     },
@@ -98,7 +98,7 @@
                 .map(|(id, target)| (id.as_str(), target.record.slots));
             given.places.set_targets(targets);
         }
-        let ask = PlaceAsk {
+        let ask = SlotRequest {
             id: wanted.id,
             passed_over: &wanted.passed_over,
             aim: Duration::from_millis(u64::from(wanted.aim_ms)),
--- a/src/request/places/mod.rs
+++ b/src/request/places/mod.rs
@@ -7,6 +7,6 @@
 
 pub use {
     place_end::PlaceEnd,
-    service_slots::{PlaceAnswer, PlaceAsk, ServiceSlots},
+    service_slots::{PlaceAnswer, ServiceSlots, SlotRequest},
     target_slots::TargetSlots,
 };
--- a/src/request/places/service_slots.rs
+++ b/src/request/places/service_slots.rs
@@ -12,7 +12,7 @@
 
 /// A host's request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PlaceAsk<'a> {
+pub struct SlotRequest<'a> {
     pub id: u64,
     /// Ids of targets that must not be chosen.
     pub passed_over: &'a [String],
@@ -62,7 +62,7 @@
     /// Allocates a slot at the eligible target with the lowest load.
     pub fn ask(
         &mut self,
-        ask: &PlaceAsk,
+        ask: &SlotRequest,
         now: Instant,
     ) -> PlaceAnswer {
         self.aim = ask.aim;
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -4,7 +4,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        request::places::{PlaceAnswer, PlaceAsk, PlaceEnd, ServiceSlots, TargetSlots},
+        request::places::{PlaceAnswer, PlaceEnd, ServiceSlots, SlotRequest, TargetSlots},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -117,7 +117,7 @@
         };
         let names: Vec<String> = (0..count).map(|at| format!("t{at}")).collect();
         places.set_targets(names.iter().map(|name| (name.as_str(), 6)));
-        let ask = PlaceAsk {
+        let ask = SlotRequest {
             id,
             passed_over: &[],
             aim: AIM,
