--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -8,7 +8,7 @@
         connection::datagram::{Message, PlaceEnded, PlaceGiven, PlaceWanted},
         metrics::{StateLabels, metrics},
         request::{
-            places::{PlaceAnswer, ServiceSlots, SlotRequest},
+            places::{ServiceSlots, SlotRequest, SlotResponse},
             quotas::{slot_for, slot_name},
         },
     },
@@ -51,15 +51,15 @@
             ..PlaceGiven::default()
         };
         let state = match self.give_place(wanted, now) {
-            PlaceAnswer::Granted { target } => {
+            SlotResponse::Granted { target } => {
                 given.target = target.to_string();
                 "granted"
             }
-            PlaceAnswer::Full { come_back } => {
+            SlotResponse::Full { come_back } => {
                 given.come_back_ms = u32::try_from(come_back.as_millis()).unwrap_or(u32::MAX);
                 "full"
             }
-            PlaceAnswer::Nowhere => {
+            SlotResponse::Nowhere => {
                 given.unknown = true;
                 "nowhere"
             }
@@ -83,10 +83,10 @@
         &mut self,
         wanted: &PlaceWanted,
         now: Instant,
-    ) -> PlaceAnswer {
+    ) -> SlotResponse {
         let slot = slot_name(slot_for(&wanted.service, 0));
         if self.holding.may_order(&slot, now).is_none() {
-            return PlaceAnswer::Nowhere;
+            return SlotResponse::Nowhere;
         }
         let given = self.places.entry(wanted.service.clone()).or_default();
         if given.is_due(now) {
--- a/src/request/places/mod.rs
+++ b/src/request/places/mod.rs
@@ -7,6 +7,6 @@
 
 pub use {
     place_end::PlaceEnd,
-    service_slots::{PlaceAnswer, ServiceSlots, SlotRequest},
+    service_slots::{ServiceSlots, SlotRequest, SlotResponse},
     target_slots::TargetSlots,
 };
--- a/src/request/places/service_slots.rs
+++ b/src/request/places/service_slots.rs
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum PlaceAnswer {
+pub enum SlotResponse {
     Granted {
         target: Arc<str>,
     },
@@ -64,7 +64,7 @@
         &mut self,
         ask: &SlotRequest,
         now: Instant,
-    ) -> PlaceAnswer {
+    ) -> SlotResponse {
         self.aim = ask.aim;
         let open = self
             .targets
@@ -72,17 +72,17 @@
             .filter(|(id, _)| !ask.passed_over.iter().any(|passed| **passed == ***id));
         let loads = open.map(|(id, places)| (id.clone(), places.load(now)));
         let Some((target, load)) = loads.min_by(|(_, a), (_, b)| a.total_cmp(b)) else {
-            return PlaceAnswer::Nowhere;
+            return SlotResponse::Nowhere;
         };
         if load >= 1.0 {
-            return PlaceAnswer::Full {
+            return SlotResponse::Full {
                 come_back: self.next_come_back(),
             };
         }
         if let Some(places) = self.targets.get_mut(&target) {
             places.take(ask.id, now + ask.left);
         }
-        PlaceAnswer::Granted { target }
+        SlotResponse::Granted { target }
     }
 
     /// Releases a slot.
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -4,7 +4,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        request::places::{PlaceAnswer, PlaceEnd, ServiceSlots, SlotRequest, TargetSlots},
+        request::places::{PlaceEnd, ServiceSlots, SlotRequest, SlotResponse, TargetSlots},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -124,15 +124,15 @@
             left: LEFT,
         };
         match places.ask(&ask, now) {
-            PlaceAnswer::Granted { target } => Some(target[1..].parse().unwrap()),
-            PlaceAnswer::Full { come_back } => {
+            SlotResponse::Granted { target } => Some(target[1..].parse().unwrap()),
+            SlotResponse::Full { come_back } => {
                 assert!(
                     come_back >= ms(100) && come_back <= ms(1_000),
                     "{come_back:?}"
                 );
                 None
             }
-            PlaceAnswer::Nowhere => panic!("there are targets"),
+            SlotResponse::Nowhere => panic!("there are targets"),
         }
     }
 
