--- a/src/connection/datagram/message.rs
+++ b/src/connection/datagram/message.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{Address, PermitAnswer, PermitAsk, TargetNews},
-    crate::request::places::PlaceEnd,
+    crate::request::places::SlotOutcome,
     prost::Message as _,
     std::time::Duration,
 };
@@ -440,29 +440,29 @@
         service: &str,
         target: &str,
         id: u64,
-        end: PlaceEnd,
+        end: SlotOutcome,
     ) -> Self {
         let took_ms = match end {
-            PlaceEnd::Answered { took } => Some(took.as_millis() as u32),
-            PlaceEnd::TurnedAway | PlaceEnd::Other => None,
+            SlotOutcome::Answered { took } => Some(took.as_millis() as u32),
+            SlotOutcome::TurnedAway | SlotOutcome::Other => None,
         };
         Self {
             service: service.to_string(),
             target: target.to_string(),
             id,
             took_ms,
-            turned_away: end == PlaceEnd::TurnedAway,
+            turned_away: end == SlotOutcome::TurnedAway,
         }
     }
 
     /// How it ended.
-    pub fn end(&self) -> PlaceEnd {
+    pub fn end(&self) -> SlotOutcome {
         match self.took_ms {
-            Some(took) => PlaceEnd::Answered {
+            Some(took) => SlotOutcome::Answered {
                 took: Duration::from_millis(u64::from(took)),
             },
-            None if self.turned_away => PlaceEnd::TurnedAway,
-            None => PlaceEnd::Other,
+            None if self.turned_away => SlotOutcome::TurnedAway,
+            None => SlotOutcome::Other,
         }
     }
 }
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -7,7 +7,7 @@
             datagram::{PlaceEnded, PlaceGiven, PlaceWanted},
             targets::TargetBoard,
         },
-        request::{direct::CallRequest, notices::Availability, places::PlaceEnd},
+        request::{direct::CallRequest, notices::Availability, places::SlotOutcome},
     },
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
@@ -33,7 +33,7 @@
     service: String,
     id: u64,
     pub target: Arc<str>,
-    pub end: PlaceEnd,
+    pub end: SlotOutcome,
 }
 
 impl Drop for HeldPlace {
@@ -88,7 +88,7 @@
         service: service.to_string(),
         id: given.id,
         target: given.target.as_str().into(),
-        end: PlaceEnd::Other,
+        end: SlotOutcome::Other,
     };
     // What gives places out may know of a target that this host does not know yet.
     let known = board.borrow().links.contains_key(&place.target);
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -21,7 +21,7 @@
         note,
         request::{
             direct::{AttemptEnd, CallRequest, CopyState, NextStep, next_step},
-            places::PlaceEnd,
+            places::SlotOutcome,
             poison::Standing,
             repeats::Paid,
         },
@@ -702,11 +702,11 @@
 fn place_end(
     sent: &Sent,
     took: Duration,
-) -> PlaceEnd {
+) -> SlotOutcome {
     match sent {
-        Sent::Whole(_) => PlaceEnd::Answered { took },
-        Sent::Ended(AttemptEnd::NotRun { .. }) => PlaceEnd::TurnedAway,
-        _ => PlaceEnd::Other,
+        Sent::Whole(_) => SlotOutcome::Answered { took },
+        Sent::Ended(AttemptEnd::NotRun { .. }) => SlotOutcome::TurnedAway,
+        _ => SlotOutcome::Other,
     }
 }
 
--- a/src/request/places/service_slots.rs
+++ b/src/request/places/service_slots.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PlaceEnd, TargetSlots},
+    super::{SlotOutcome, TargetSlots},
     crate::clock::Instant,
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
@@ -90,7 +90,7 @@
         &mut self,
         target: &str,
         id: u64,
-        end: PlaceEnd,
+        end: SlotOutcome,
     ) {
         let aim = self.aim;
         if let Some(places) = self.targets.get_mut(target) {
--- a/src/request/places/place_end.rs
+++ b/src/request/places/slot_outcome.rs
@@ -2,7 +2,7 @@
 
 /// How a request that held a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum PlaceEnd {
+pub enum SlotOutcome {
     /// It was answered after this time.
     Answered { took: Duration },
     /// The target had no capacity for it.
--- a/src/request/places/target_slots.rs
+++ b/src/request/places/target_slots.rs
@@ -1,5 +1,5 @@
 use {
-    super::PlaceEnd,
+    super::SlotOutcome,
     crate::clock::Instant,
     std::{collections::HashMap, time::Duration},
 };
@@ -73,7 +73,7 @@
     pub fn end(
         &mut self,
         id: u64,
-        end: PlaceEnd,
+        end: SlotOutcome,
         aim: Duration,
     ) {
         let taken = self.taken.len() as f64;
@@ -81,15 +81,15 @@
             return;
         }
         let limit = match end {
-            PlaceEnd::Answered { took } if took > aim.mul_f64(AIMED_SHARE) => {
+            SlotOutcome::Answered { took } if took > aim.mul_f64(AIMED_SHARE) => {
                 self.limit - STEP_DOWN
             }
             // A target with free slots shows nothing about its capacity.
-            PlaceEnd::Answered { .. } if taken + 1.0 >= self.limit => {
+            SlotOutcome::Answered { .. } if taken + 1.0 >= self.limit => {
                 self.limit + STEP_UP / self.limit
             }
-            PlaceEnd::TurnedAway => self.limit * CUT,
-            PlaceEnd::Answered { .. } | PlaceEnd::Other => self.limit,
+            SlotOutcome::TurnedAway => self.limit * CUT,
+            SlotOutcome::Answered { .. } | SlotOutcome::Other => self.limit,
         };
         self.limit = limit.clamp(self.slots, self.slots * MOST_LIMIT);
     }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -4,7 +4,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        request::places::{PlaceEnd, ServiceSlots, SlotRequest, SlotResponse, TargetSlots},
+        request::places::{ServiceSlots, SlotOutcome, SlotRequest, SlotResponse, TargetSlots},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -101,7 +101,7 @@
             target.waiting.push_back((id, now));
         } else {
             self.outcome.turned_away += 1;
-            self.tell(at, id, PlaceEnd::TurnedAway);
+            self.tell(at, id, SlotOutcome::TurnedAway);
         }
     }
 
@@ -161,7 +161,7 @@
                 true => self.outcome.in_time += 1,
                 false => self.outcome.late += 1,
             }
-            self.tell(at, id, PlaceEnd::Answered { took });
+            self.tell(at, id, SlotOutcome::Answered { took });
             match self.targets[at].waiting.pop_front() {
                 Some((next, sent)) => self.start(at, next, sent, ended),
                 None => self.targets[at].running -= 1,
@@ -173,7 +173,7 @@
         &mut self,
         at: usize,
         id: u64,
-        end: PlaceEnd,
+        end: SlotOutcome,
     ) {
         if let Some(places) = &mut self.places {
             places.end(&format!("t{at}"), id, end);
@@ -240,10 +240,10 @@
     let now = Instant::now();
     let mut places = TargetSlots::new(6);
     places.take(1, now + LEFT);
-    places.end(1, PlaceEnd::TurnedAway, AIM);
+    places.end(1, SlotOutcome::TurnedAway, AIM);
     let limit = places.limit();
     for _ in 0..10 {
-        places.end(1, PlaceEnd::TurnedAway, AIM);
+        places.end(1, SlotOutcome::TurnedAway, AIM);
     }
     assert_eq!(places.limit(), limit);
 }
