--- a/src/connection/datagram/message.rs
+++ b/src/connection/datagram/message.rs
@@ -444,14 +444,14 @@
     ) -> Self {
         let took_ms = match end {
             SlotOutcome::Answered { took } => Some(took.as_millis() as u32),
-            SlotOutcome::TurnedAway | SlotOutcome::Other => None,
+            SlotOutcome::Rejected | SlotOutcome::Other => None,
         };
         Self {
             service: service.to_string(),
             target: target.to_string(),
             id,
             took_ms,
-            turned_away: end == SlotOutcome::TurnedAway,
+            turned_away: end == SlotOutcome::Rejected,
         }
     }
 
@@ -461,7 +461,7 @@
             Some(took) => SlotOutcome::Answered {
                 took: Duration::from_millis(u64::from(took)),
             },
-            None if self.turned_away => SlotOutcome::TurnedAway,
+            None if self.turned_away => SlotOutcome::Rejected,
             None => SlotOutcome::Other,
         }
     }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -705,7 +705,7 @@
 ) -> SlotOutcome {
     match sent {
         Sent::Whole(_) => SlotOutcome::Answered { took },
-        Sent::Ended(AttemptEnd::NotRun { .. }) => SlotOutcome::TurnedAway,
+        Sent::Ended(AttemptEnd::NotRun { .. }) => SlotOutcome::Rejected,
         _ => SlotOutcome::Other,
     }
 }
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -55,11 +55,11 @@
                 given.target = target.to_string();
                 "granted"
             }
-            SlotResponse::Full { come_back } => {
-                given.come_back_ms = u32::try_from(come_back.as_millis()).unwrap_or(u32::MAX);
+            SlotResponse::Full { retry_after } => {
+                given.come_back_ms = u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX);
                 "full"
             }
-            SlotResponse::Nowhere => {
+            SlotResponse::NoTarget => {
                 given.unknown = true;
                 "nowhere"
             }
@@ -75,7 +75,7 @@
         ended: &PlaceEnded,
     ) {
         if let Some(given) = self.places.get_mut(&ended.service) {
-            given.places.end(&ended.target, ended.id, ended.end());
+            given.places.release(&ended.target, ended.id, ended.end());
         }
     }
 
@@ -86,7 +86,7 @@
     ) -> SlotResponse {
         let slot = slot_name(slot_for(&wanted.service, 0));
         if self.holding.may_order(&slot, now).is_none() {
-            return SlotResponse::Nowhere;
+            return SlotResponse::NoTarget;
         }
         let given = self.places.entry(wanted.service.clone()).or_default();
         if given.is_due(now) {
@@ -100,10 +100,10 @@
         }
         let ask = SlotRequest {
             id: wanted.id,
-            passed_over: &wanted.passed_over,
-            aim: Duration::from_millis(u64::from(wanted.aim_ms)),
-            left: Duration::from_millis(u64::from(wanted.left_ms)),
+            excluded: &wanted.passed_over,
+            latency_goal: Duration::from_millis(u64::from(wanted.aim_ms)),
+            time_left: Duration::from_millis(u64::from(wanted.left_ms)),
         };
-        given.places.ask(&ask, now)
+        given.places.acquire(&ask, now)
     }
 }
--- a/src/request/places/service_slots.rs
+++ b/src/request/places/service_slots.rs
@@ -5,21 +5,21 @@
 };
 
 /// Minimum retry delay for a request that found no free slot.
-const LEAST_COME_BACK: Duration = Duration::from_millis(150);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Retry delays are spread over this time.
-const COME_BACK_SPREAD: Duration = Duration::from_millis(500);
+const RETRY_JITTER: Duration = Duration::from_millis(500);
 
 /// A host's request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlotRequest<'a> {
     pub id: u64,
     /// Ids of targets that must not be chosen.
-    pub passed_over: &'a [String],
+    pub excluded: &'a [String],
     /// The time within which the caller wants an answer.
-    pub aim: Duration,
+    pub latency_goal: Duration,
     /// Time until the request's deadline, after which its slot is released.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -29,19 +29,19 @@
     },
     /// All targets are full.
     Full {
-        come_back: Duration,
+        retry_after: Duration,
     },
     /// No target is eligible.
-    Nowhere,
+    NoTarget,
 }
 
 /// The slots at all targets of one plain service.
 #[derive(Debug, Default)]
 pub struct ServiceSlots {
     targets: BTreeMap<Arc<str>, TargetSlots>,
-    aim: Duration,
+    latency_goal: Duration,
     /// Rejections so far, modulo the number of steps of the retry delay.
-    refused: u32,
+    rejections: u32,
 }
 
 impl ServiceSlots {
@@ -60,55 +60,55 @@
     }
 
     /// Allocates a slot at the eligible target with the lowest load.
-    pub fn ask(
+    pub fn acquire(
         &mut self,
-        ask: &SlotRequest,
+        request: &SlotRequest,
         now: Instant,
     ) -> SlotResponse {
-        self.aim = ask.aim;
-        let open = self
+        self.latency_goal = request.latency_goal;
+        let eligible = self
             .targets
             .iter_mut()
-            .filter(|(id, _)| !ask.passed_over.iter().any(|passed| **passed == ***id));
-        let loads = open.map(|(id, places)| (id.clone(), places.load(now)));
+            .filter(|(id, _)| !request.excluded.iter().any(|other| **other == ***id));
+        let loads = eligible.map(|(id, slots)| (id.clone(), slots.load(now)));
         let Some((target, load)) = loads.min_by(|(_, a), (_, b)| a.total_cmp(b)) else {
-            return SlotResponse::Nowhere;
+            return SlotResponse::NoTarget;
         };
         if load >= 1.0 {
             return SlotResponse::Full {
-                come_back: self.next_come_back(),
+                retry_after: self.next_retry_delay(),
             };
         }
-        if let Some(places) = self.targets.get_mut(&target) {
-            places.take(ask.id, now + ask.left);
+        if let Some(slots) = self.targets.get_mut(&target) {
+            slots.acquire(request.id, now + request.time_left);
         }
         SlotResponse::Granted { target }
     }
 
     /// Releases a slot.
-    pub fn end(
+    pub fn release(
         &mut self,
         target: &str,
         id: u64,
-        end: SlotOutcome,
+        outcome: SlotOutcome,
     ) {
-        let aim = self.aim;
-        if let Some(places) = self.targets.get_mut(target) {
-            places.end(id, end, aim);
+        let latency_goal = self.latency_goal;
+        if let Some(slots) = self.targets.get_mut(target) {
+            slots.release(id, outcome, latency_goal);
         }
     }
 
     /// Returns the slots in use and the sum of the limits.
     pub fn usage(&self) -> (usize, f64) {
-        let taken = self.targets.values().map(TargetSlots::taken).sum();
+        let in_use = self.targets.values().map(TargetSlots::in_use).sum();
         let limit = self.targets.values().map(TargetSlots::limit).sum();
-        (taken, limit)
+        (in_use, limit)
     }
 
-    /// Returns delays in equal steps, so that rejected callers don't retry in step.
-    fn next_come_back(&mut self) -> Duration {
+    /// Cycles through evenly spaced delays, so that rejected callers retry at different times.
+    fn next_retry_delay(&mut self) -> Duration {
         const STEPS: u32 = 8;
-        self.refused = (self.refused + 1) % STEPS;
-        LEAST_COME_BACK + COME_BACK_SPREAD * self.refused / STEPS
+        self.rejections = (self.rejections + 1) % STEPS;
+        MIN_RETRY_DELAY + RETRY_JITTER * self.rejections / STEPS
     }
 }
--- a/src/request/places/slot_outcome.rs
+++ b/src/request/places/slot_outcome.rs
@@ -6,7 +6,7 @@
     /// It was answered after this time.
     Answered { took: Duration },
     /// The target had no capacity for it.
-    TurnedAway,
+    Rejected,
     /// It was not sent, or its response was lost; shows nothing about the target's load.
     Other,
 }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -11,8 +11,8 @@
     std::{cmp::Reverse, collections::BinaryHeap, collections::VecDeque, time::Duration},
 };
 
-const AIM: Duration = Duration::from_millis(300);
-const LEFT: Duration = Duration::from_millis(1_500);
+const LATENCY_GOAL: Duration = Duration::from_millis(300);
+const TIME_LEFT: Duration = Duration::from_millis(1_500);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -30,25 +30,25 @@
 struct Outcome {
     in_time: usize,
     late: usize,
-    refused: usize,
-    turned_away: usize,
+    rejected: usize,
+    rejected_by_target: usize,
 }
 
 /// A simulation of requests at a constant average rate, with or without slot allocation.
-struct Play {
+struct Simulation {
     rng: StdRng,
     targets: Vec<Target>,
-    places: Option<ServiceSlots>,
+    allocator: Option<ServiceSlots>,
     /// Ends of requests: when, target, id, sent when.
     ends: BinaryHeap<Reverse<(Instant, usize, u64, Instant)>>,
     outcome: Outcome,
 }
 
-impl Play {
+impl Simulation {
     fn new(
         seed: u64,
         targets: usize,
-        with_places: bool,
+        with_slots: bool,
     ) -> Self {
         let target = |_| Target {
             slots: 6,
@@ -59,7 +59,7 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             targets: (0..targets).map(target).collect(),
-            places: with_places.then(ServiceSlots::default),
+            allocator: with_slots.then(ServiceSlots::default),
             ends: BinaryHeap::new(),
             outcome: Outcome::default(),
         }
@@ -90,7 +90,7 @@
         now: Instant,
     ) {
         let Some(at) = self.target_for(id, now) else {
-            self.outcome.refused += 1;
+            self.outcome.rejected += 1;
             return;
         };
         let target = &mut self.targets[at];
@@ -100,8 +100,8 @@
         } else if target.waiting.len() < target.queue {
             target.waiting.push_back((id, now));
         } else {
-            self.outcome.turned_away += 1;
-            self.tell(at, id, SlotOutcome::TurnedAway);
+            self.outcome.rejected_by_target += 1;
+            self.release(at, id, SlotOutcome::Rejected);
         }
     }
 
@@ -112,27 +112,27 @@
         now: Instant,
     ) -> Option<usize> {
         let count = self.targets.len();
-        let Some(places) = &mut self.places else {
+        let Some(slots) = &mut self.allocator else {
             return Some(self.rng.random_range(0..count));
         };
         let names: Vec<String> = (0..count).map(|at| format!("t{at}")).collect();
-        places.set_targets(names.iter().map(|name| (name.as_str(), 6)));
-        let ask = SlotRequest {
+        slots.set_targets(names.iter().map(|name| (name.as_str(), 6)));
+        let request = SlotRequest {
             id,
-            passed_over: &[],
-            aim: AIM,
-            left: LEFT,
+            excluded: &[],
+            latency_goal: LATENCY_GOAL,
+            time_left: TIME_LEFT,
         };
-        match places.ask(&ask, now) {
+        match slots.acquire(&request, now) {
             SlotResponse::Granted { target } => Some(target[1..].parse().unwrap()),
-            SlotResponse::Full { come_back } => {
+            SlotResponse::Full { retry_after } => {
                 assert!(
-                    come_back >= ms(100) && come_back <= ms(1_000),
-                    "{come_back:?}"
+                    retry_after >= ms(100) && retry_after <= ms(1_000),
+                    "{retry_after:?}"
                 );
                 None
             }
-            SlotResponse::Nowhere => panic!("there are targets"),
+            SlotResponse::NoTarget => panic!("no eligible target"),
         }
     }
 
@@ -157,11 +157,11 @@
             }
             self.ends.pop();
             let took = ended - sent;
-            match took <= AIM {
+            match took <= LATENCY_GOAL {
                 true => self.outcome.in_time += 1,
                 false => self.outcome.late += 1,
             }
-            self.tell(at, id, SlotOutcome::Answered { took });
+            self.release(at, id, SlotOutcome::Answered { took });
             match self.targets[at].waiting.pop_front() {
                 Some((next, sent)) => self.start(at, next, sent, ended),
                 None => self.targets[at].running -= 1,
@@ -169,14 +169,14 @@
         }
     }
 
-    fn tell(
+    fn release(
         &mut self,
         at: usize,
         id: u64,
-        end: SlotOutcome,
+        outcome: SlotOutcome,
     ) {
-        if let Some(places) = &mut self.places {
-            places.end(&format!("t{at}"), id, end);
+        if let Some(slots) = &mut self.allocator {
+            slots.release(&format!("t{at}"), id, outcome);
         }
     }
 }
@@ -191,21 +191,21 @@
     let time = Duration::from_secs(20);
     let capacity = targets as f64 * 6.0 / 0.066;
     for seed in 0..10 {
-        let outcome = Play::new(seed, targets, true).run(capacity * times, time);
-        let borne = capacity * time.as_secs_f64();
+        let outcome = Simulation::new(seed, targets, true).run(capacity * times, time);
+        let capacity_total = capacity * time.as_secs_f64();
         assert!(
-            outcome.in_time as f64 >= 0.9 * borne,
-            "{outcome:?} of {borne}"
+            outcome.in_time as f64 >= 0.9 * capacity_total,
+            "{outcome:?} of {capacity_total}"
         );
         assert!(outcome.late * 20 < outcome.in_time, "{outcome:?}");
-        assert_eq!(outcome.turned_away, 0, "{outcome:?}");
+        assert_eq!(outcome.rejected_by_target, 0, "{outcome:?}");
     }
 }
 
 /// The overload that the tests simulate does make responses late without slots.
 #[test]
 fn without_places_most_answers_are_late() {
-    let outcome = Play::new(1, 1, false).run(190.0, Duration::from_secs(20));
+    let outcome = Simulation::new(1, 1, false).run(190.0, Duration::from_secs(20));
     println!("{outcome:?}");
     assert!(outcome.late > outcome.in_time, "{outcome:?}");
 }
@@ -215,9 +215,9 @@
 fn with_room_nobody_is_refused(#[values(0.3, 0.6, 0.8)] load: f64) {
     let capacity = 3.0 * 6.0 / 0.066;
     for seed in 0..10 {
-        let outcome = Play::new(seed, 3, true).run(capacity * load, Duration::from_secs(20));
+        let outcome = Simulation::new(seed, 3, true).run(capacity * load, Duration::from_secs(20));
         let answered = outcome.in_time + outcome.late;
-        assert!(outcome.refused * 200 <= answered, "{outcome:?}");
+        assert!(outcome.rejected * 200 <= answered, "{outcome:?}");
     }
 }
 
@@ -225,25 +225,25 @@
 #[test]
 fn places_of_lost_hosts_come_back() {
     let now = Instant::now();
-    let mut places = TargetSlots::new(6);
-    let limit = places.limit() as u64;
+    let mut slots = TargetSlots::new(6);
+    let limit = slots.limit() as u64;
     for id in 0..limit {
-        places.take(id, now + LEFT);
+        slots.acquire(id, now + TIME_LEFT);
     }
-    assert!(places.load(now) >= 1.0);
-    assert_eq!(places.load(now + LEFT), 0.0);
+    assert!(slots.load(now) >= 1.0);
+    assert_eq!(slots.load(now + TIME_LEFT), 0.0);
 }
 
 /// A repeated release must not change the limit.
 #[test]
 fn ends_that_come_twice_say_nothing() {
     let now = Instant::now();
-    let mut places = TargetSlots::new(6);
-    places.take(1, now + LEFT);
-    places.end(1, SlotOutcome::TurnedAway, AIM);
-    let limit = places.limit();
+    let mut slots = TargetSlots::new(6);
+    slots.acquire(1, now + TIME_LEFT);
+    slots.release(1, SlotOutcome::Rejected, LATENCY_GOAL);
+    let limit = slots.limit();
     for _ in 0..10 {
-        places.end(1, SlotOutcome::TurnedAway, AIM);
+        slots.release(1, SlotOutcome::Rejected, LATENCY_GOAL);
     }
-    assert_eq!(places.limit(), limit);
+    assert_eq!(slots.limit(), limit);
 }
