--- a/src/connection/targets/quota_book.rs
+++ b/src/connection/targets/quota_book.rs
@@ -3,7 +3,7 @@
     crate::{
         connection::datagram::ChargeAnswer,
         metrics::{StateLabels, metrics},
-        request::quotas::CustomerUse,
+        request::quotas::CustomerQuota,
     },
     std::collections::BTreeMap,
 };
@@ -11,7 +11,7 @@
 /// Customers' use as this host's requests ask for it.
 #[derive(Debug, Default)]
 pub struct QuotaBook {
-    customers: BTreeMap<String, CustomerUse>,
+    customers: BTreeMap<String, CustomerQuota>,
     pub asks: OpenAsks<ChargeAnswer>,
 }
 
@@ -20,10 +20,10 @@
     pub fn of(
         &mut self,
         customer: &str,
-    ) -> &mut CustomerUse {
+    ) -> &mut CustomerQuota {
         if !self.customers.contains_key(customer) {
             let first_part = rand::random::<u32>() as usize;
-            let known = CustomerUse::new(first_part);
+            let known = CustomerQuota::new(first_part);
             self.customers.insert(customer.to_string(), known);
         }
         self.customers
--- a/src/request/quotas/customer_use.rs
+++ b/src/request/quotas/customer_quota.rs
@@ -42,7 +42,7 @@
 
 /// A customer's quota as seen by one host: what was prefetched, and the state of each part of the limit.
 #[derive(Debug)]
-pub struct CustomerUse {
+pub struct CustomerQuota {
     ahead: Borrowed,
     /// Cost and number of this host's requests within `GRANT_TTL`.
     cost: RecentCount,
@@ -52,7 +52,7 @@
     turn: usize,
 }
 
-impl CustomerUse {
+impl CustomerQuota {
     /// `first_part` differs between hosts, to spread their load.
     pub fn new(first_part: usize) -> Self {
         let recent = || RecentCount::new(GRANT_VALIDITY, Rounding::Down);
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -5,7 +5,7 @@
     coveproxy::{
         clock::Instant,
         request::quotas::{
-            AskedParts, Charge, CustomerUse, PARTS, QuotaLedger, QuotaStep, QuotaTerms, slot_for,
+            AskedParts, Charge, CustomerQuota, PARTS, QuotaLedger, QuotaStep, QuotaTerms, slot_for,
             slot_name, slot_of,
         },
         version::routing::{UseLimit, UseUnit},
@@ -96,7 +96,7 @@
     trouble: Trouble,
     limit: UseLimit,
     parts: Vec<Part>,
-    hosts: Vec<CustomerUse>,
+    hosts: Vec<CustomerQuota>,
     start: Instant,
     /// Waiting requests, and when they retry.
     waiting: Vec<(Instant, Request)>,
@@ -125,7 +125,7 @@
             trouble,
             limit: limit(rate),
             parts: (0..PARTS).map(|_| part()).collect(),
-            hosts: (0..hosts).map(CustomerUse::new).collect(),
+            hosts: (0..hosts).map(CustomerQuota::new).collect(),
             start,
             waiting: Vec::new(),
             passed: Vec::new(),
@@ -403,7 +403,7 @@
 #[test]
 fn the_time_to_come_back_is_that_of_the_bucket() {
     let now = Instant::now();
-    let mut known = CustomerUse::new(0);
+    let mut known = CustomerQuota::new(0);
     let asked = AskedParts::default();
     for part in 0..PARTS {
         known.on_over(part, 1_000.0, ms(400 + 100 * part as u64), now);
@@ -422,7 +422,7 @@
 #[test]
 fn a_time_that_passes_while_others_are_asked_is_no_silence() {
     let now = Instant::now();
-    let mut known = CustomerUse::new(0);
+    let mut known = CustomerQuota::new(0);
     let asked = [true; PARTS];
     for part in 0..PARTS {
         known.on_over(part, 1_000.0, ms(1), now);
