--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -17,7 +17,7 @@
         request::{
             direct::Policy,
             engine_candidates,
-            quotas::{Charge, QuotaLedger, QuotaTerms},
+            quotas::{Charge, QuotaLedger, QuotaPolicy},
         },
         version::{
             AdapterVersion, Change, EngineSpec, SiteConfig, TargetRole, TargetSpec,
@@ -77,7 +77,7 @@
     });
     let start = Instant::now();
     let mut ledger = QuotaLedger::new(Duration::from_secs(8), start);
-    let terms = QuotaTerms {
+    let terms = QuotaPolicy {
         window: Duration::from_secs(8),
         over: 0.1,
         slack: 11_000.0,
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -8,7 +8,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::quotas::{
-            BucketTerms, Charge, QuotaLedger, QuotaTerms, SLOTS, slot_name, slot_of,
+            BucketTerms, Charge, QuotaLedger, QuotaPolicy, SLOTS, slot_name, slot_of,
         },
         timeline::Event,
         version::routing::UseLimit,
@@ -155,7 +155,7 @@
         limit: &UseLimit,
     ) -> BucketTerms {
         let bounds = &self.settings.bounds;
-        let terms = QuotaTerms {
+        let terms = QuotaPolicy {
             window: bounds.quota_window,
             over: bounds.quota_over,
             slack: bounds.quota_slack,
--- a/src/request/quotas/quota_terms.rs
+++ b/src/request/quotas/quota_policy.rs
@@ -13,7 +13,7 @@
 
 /// How limits are enforced, and by how much they may be exceeded over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QuotaTerms {
+pub struct QuotaPolicy {
     /// Length of the sliding window in which usage is counted.
     pub window: Duration,
     /// Permitted excess, as a fraction of the limit in a window.
@@ -31,7 +31,7 @@
     pub capacity: f64,
 }
 
-impl QuotaTerms {
+impl QuotaPolicy {
     /// Returns the maximum usage in any window.
     pub fn allowed(
         &self,
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -5,8 +5,8 @@
     coveproxy::{
         clock::Instant,
         request::quotas::{
-            AskedParts, Charge, CustomerQuota, PARTS, QuotaLedger, QuotaStep, QuotaTerms, slot_for,
-            slot_name, slot_of,
+            AskedParts, Charge, CustomerQuota, PARTS, QuotaLedger, QuotaPolicy, QuotaStep,
+            slot_for, slot_name, slot_of,
         },
         version::routing::{UseLimit, UseUnit},
     },
@@ -29,8 +29,8 @@
     Duration::from_millis(ms)
 }
 
-fn terms() -> QuotaTerms {
-    QuotaTerms {
+fn terms() -> QuotaPolicy {
+    QuotaPolicy {
         window: WINDOW,
         over: 0.1,
         slack: 11_000.0,
