--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -8,7 +8,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::quotas::{
-            BucketTerms, Charge, QuotaLedger, QuotaPolicy, SLOTS, slot_name, slot_of,
+            BucketLimits, Charge, QuotaLedger, QuotaPolicy, SLOTS, slot_name, slot_of,
         },
         timeline::Event,
         version::routing::UseLimit,
@@ -141,7 +141,7 @@
         slot: u32,
         customer: &str,
         now: Instant,
-    ) -> Option<(Option<BucketTerms>, &mut QuotaLedger)> {
+    ) -> Option<(Option<BucketLimits>, &mut QuotaLedger)> {
         let slot = slot as usize;
         let held = self.holding.may_order(&slot_name(slot), now)?;
         let limit = self.routing.customers.named(customer)?.limit;
@@ -153,7 +153,7 @@
     fn bucket_terms(
         &self,
         limit: &UseLimit,
-    ) -> BucketTerms {
+    ) -> BucketLimits {
         let bounds = &self.settings.bounds;
         let terms = QuotaPolicy {
             window: bounds.quota_window,
--- a/src/request/quotas/mod.rs
+++ b/src/request/quotas/mod.rs
@@ -11,7 +11,7 @@
 pub use {
     customer_quota::{AskedParts, CustomerQuota, QuotaStep},
     quota_ledger::{Charge, QuotaLedger},
-    quota_policy::{BucketTerms, GRANT_VALIDITY, PARTS, QuotaPolicy},
+    quota_policy::{BucketLimits, GRANT_VALIDITY, PARTS, QuotaPolicy},
     quota_slot::{SLOTS, slot_for, slot_name, slot_of},
     token_bucket::TokenBucket,
 };
--- a/src/request/quotas/quota_ledger.rs
+++ b/src/request/quotas/quota_ledger.rs
@@ -1,5 +1,5 @@
 use {
-    super::{BucketTerms, TokenBucket, recent_grants::RecentGrants},
+    super::{BucketLimits, TokenBucket, recent_grants::RecentGrants},
     crate::clock::Instant,
     std::{collections::HashMap, time::Duration},
 };
@@ -55,7 +55,7 @@
     pub fn charge(
         &mut self,
         customer: &str,
-        terms: &BucketTerms,
+        terms: &BucketLimits,
         charge: Charge,
         now: Instant,
     ) -> Result<f64, Duration> {
@@ -79,7 +79,7 @@
     pub fn refund(
         &mut self,
         customer: &str,
-        terms: &BucketTerms,
+        terms: &BucketLimits,
         id: u64,
         amount: f64,
         now: Instant,
@@ -96,7 +96,7 @@
     pub fn left(
         &mut self,
         customer: &str,
-        terms: &BucketTerms,
+        terms: &BucketLimits,
         now: Instant,
     ) -> f64 {
         self.account(customer).bucket.balance(terms, now)
--- a/src/request/quotas/quota_policy.rs
+++ b/src/request/quotas/quota_policy.rs
@@ -24,7 +24,7 @@
 
 /// Parameters of one token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BucketTerms {
+pub struct BucketLimits {
     /// Units per second.
     pub rate: f64,
     /// Units.
@@ -47,11 +47,11 @@
     pub fn bucket(
         &self,
         limit: &UseLimit,
-    ) -> BucketTerms {
+    ) -> BucketLimits {
         let parts = PARTS as f64;
         let rate = self.within_limit(limit) / self.window.as_secs_f64();
         let held = self.excess(limit) - rate * GRANT_VALIDITY.as_secs_f64();
-        BucketTerms {
+        BucketLimits {
             rate: rate / parts,
             capacity: HELD_SHARE * held.max(0.0) / parts,
         }
--- a/src/request/quotas/token_bucket.rs
+++ b/src/request/quotas/token_bucket.rs
@@ -1,4 +1,4 @@
-use {super::BucketTerms, crate::clock::Instant, std::time::Duration};
+use {super::BucketLimits, crate::clock::Instant, std::time::Duration};
 
 /// A token bucket that starts empty, since a previous host may just have granted all of it.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// Returns the current balance; negative after a request that cost more than the capacity.
     pub fn balance(
         &mut self,
-        terms: &BucketTerms,
+        terms: &BucketLimits,
         now: Instant,
     ) -> f64 {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
@@ -32,7 +32,7 @@
     pub fn take(
         &mut self,
         amount: f64,
-        terms: &BucketTerms,
+        terms: &BucketLimits,
         now: Instant,
     ) -> Result<(), Duration> {
         let missing = amount.min(terms.capacity) - self.balance(terms, now);
@@ -47,7 +47,7 @@
     pub fn put_back(
         &mut self,
         amount: f64,
-        terms: &BucketTerms,
+        terms: &BucketLimits,
         now: Instant,
     ) {
         self.balance = (self.balance(terms, now) + amount).min(terms.capacity);
