--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -10,7 +10,7 @@
         },
         request::{
             direct::CallRequest,
-            quotas::{AskedParts, Charge, QuotaStep, slot_for},
+            quotas::{Charge, QuotaStep, TriedParts, slot_for},
         },
     },
     std::{cell::RefCell, rc::Rc, time::Duration},
@@ -127,7 +127,7 @@
     }
 
     async fn charge(&self) -> Result<Charged, Uncharged> {
-        let mut asked = AskedParts::default();
+        let mut asked = TriedParts::default();
         loop {
             match self.next_step(&asked) {
                 QuotaStep::Ask { part, charge } => {
@@ -145,7 +145,7 @@
 
     fn next_step(
         &self,
-        asked: &AskedParts,
+        asked: &TriedParts,
     ) -> QuotaStep {
         let mut board = self.board.borrow_mut();
         let known = board.quotas.of(self.customer);
--- a/src/request/quotas/customer_quota.rs
+++ b/src/request/quotas/customer_quota.rs
@@ -25,7 +25,7 @@
 }
 
 /// For one request, which parts were already tried.
-pub type AskedParts = [bool; PARTS];
+pub type TriedParts = [bool; PARTS];
 
 /// What to do next for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -80,7 +80,7 @@
     pub fn next_step(
         &mut self,
         cost: f64,
-        asked: &AskedParts,
+        asked: &TriedParts,
         now: Instant,
     ) -> QuotaStep {
         if self.ahead.left(now) >= cost {
@@ -102,7 +102,7 @@
     fn open_part(
         &self,
         cost: f64,
-        asked: &AskedParts,
+        asked: &TriedParts,
         now: Instant,
     ) -> Option<usize> {
         let in_turn = (0..PARTS).map(|step| (self.turn + step) % PARTS);
--- a/src/request/quotas/mod.rs
+++ b/src/request/quotas/mod.rs
@@ -9,7 +9,7 @@
 mod token_bucket;
 
 pub use {
-    customer_quota::{AskedParts, CustomerQuota, QuotaStep},
+    customer_quota::{CustomerQuota, QuotaStep, TriedParts},
     quota_ledger::{Charge, QuotaLedger},
     quota_policy::{BucketLimits, GRANT_VALIDITY, PARTS, QuotaPolicy},
     quota_slot::{SLOTS, slot_for, slot_name, slot_of},
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -5,7 +5,7 @@
     coveproxy::{
         clock::Instant,
         request::quotas::{
-            AskedParts, Charge, CustomerQuota, PARTS, QuotaLedger, QuotaPolicy, QuotaStep,
+            Charge, CustomerQuota, PARTS, QuotaLedger, QuotaPolicy, QuotaStep, TriedParts,
             slot_for, slot_name, slot_of,
         },
         version::routing::{UseLimit, UseUnit},
@@ -220,7 +220,7 @@
         mut now: Instant,
     ) {
         let Request { host, cost, .. } = request;
-        let mut asked = AskedParts::default();
+        let mut asked = TriedParts::default();
         let mut grant = None;
         loop {
             match self.hosts[host].next_step(cost, &asked, now) {
@@ -404,7 +404,7 @@
 fn the_time_to_come_back_is_that_of_the_bucket() {
     let now = Instant::now();
     let mut known = CustomerQuota::new(0);
-    let asked = AskedParts::default();
+    let asked = TriedParts::default();
     for part in 0..PARTS {
         known.on_over(part, 1_000.0, ms(400 + 100 * part as u64), now);
     }
