--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -10,7 +10,7 @@
         },
         request::{
             direct::CallRequest,
-            quotas::{Charge, QuotaStep, TriedParts, slot_for},
+            quotas::{Charge, QuotaStep, TriedParts, shard_for},
         },
     },
     std::{cell::RefCell, rc::Rc, time::Duration},
@@ -163,7 +163,7 @@
         let granted = self.note_answer(part, &charge, answer, asked_at);
         granted.then(|| {
             self.charged(Some(ChargeRefund {
-                slot: slot_for(self.customer, part) as u32,
+                slot: shard_for(self.customer, part) as u32,
                 customer: self.customer.to_string(),
                 id: charge.id,
                 amount: self.cost.floor() as u32,
@@ -178,7 +178,7 @@
         until: Instant,
     ) -> Option<ChargeAnswer> {
         let asked = ChargeAsk {
-            slot: slot_for(self.customer, part) as u32,
+            slot: shard_for(self.customer, part) as u32,
             customer: self.customer.to_string(),
             id: charge.id,
             need: charge.need.ceil() as u32,
--- a/src/connection/targets/board_counting.rs
+++ b/src/connection/targets/board_counting.rs
@@ -5,7 +5,7 @@
     crate::{
         clock::Instant,
         connection::datagram::{ChargeAsk, ChargeRefund, Loan, LoanAsk, PlaceEnded, PlaceWanted},
-        request::{quotas::slot_for, repeats::RepeatBudget},
+        request::{quotas::shard_for, repeats::RepeatBudget},
     },
     std::net::SocketAddr,
 };
@@ -59,7 +59,7 @@
         &self,
         service: &str,
     ) -> Option<SocketAddr> {
-        self.slot_holder(slot_for(service, 0))
+        self.slot_holder(shard_for(service, 0))
     }
 
     /// The host that holds a slot, if one does that answers.
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -9,7 +9,7 @@
         metrics::{StateLabels, metrics},
         request::{
             places::{ServiceSlots, SlotRequest, SlotResponse},
-            quotas::{slot_for, slot_name},
+            quotas::{shard_for, shard_lease},
         },
     },
     std::{net::SocketAddr, time::Duration},
@@ -84,7 +84,7 @@
         wanted: &PlaceWanted,
         now: Instant,
     ) -> SlotResponse {
-        let slot = slot_name(slot_for(&wanted.service, 0));
+        let slot = shard_lease(shard_for(&wanted.service, 0));
         if self.holding.may_order(&slot, now).is_none() {
             return SlotResponse::NoTarget;
         }
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -8,7 +8,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::quotas::{
-            BucketLimits, Charge, QuotaLedger, QuotaPolicy, SLOTS, slot_name, slot_of,
+            BucketLimits, Charge, QuotaLedger, QuotaPolicy, SLOTS, shard_lease, shard_of_lease,
         },
         timeline::Event,
         version::routing::UseLimit,
@@ -38,7 +38,7 @@
         now: Instant,
     ) -> Vec<usize> {
         let held = self.holding.held(now);
-        held.filter_map(|(name, _)| slot_of(name)).collect()
+        held.filter_map(|(name, _)| shard_of_lease(name)).collect()
     }
 
     /// Begins to count where this host has become the holder. It begins with nothing: what the holder before let be
@@ -48,7 +48,7 @@
         now: Instant,
     ) {
         for slot in self.held_slots(now) {
-            let Some(held) = self.holding.may_order(&slot_name(slot), now) else {
+            let Some(held) = self.holding.may_order(&shard_lease(slot), now) else {
                 continue;
             };
             let known = self.ledgers.get(&slot);
@@ -70,7 +70,7 @@
         &self,
         holders: &HashMap<&str, SocketAddr>,
     ) -> Vec<Option<SocketAddr>> {
-        let holder = |slot| holders.get(slot_name(slot).as_str()).copied();
+        let holder = |slot| holders.get(shard_lease(slot).as_str()).copied();
         (0..self.slot_count()).map(holder).collect()
     }
 
@@ -143,7 +143,7 @@
         now: Instant,
     ) -> Option<(Option<BucketLimits>, &mut QuotaLedger)> {
         let slot = slot as usize;
-        let held = self.holding.may_order(&slot_name(slot), now)?;
+        let held = self.holding.may_order(&shard_lease(slot), now)?;
         let limit = self.routing.customers.named(customer)?.limit;
         let terms = limit.map(|limit| self.bucket_terms(&limit));
         let known = self.ledgers.get_mut(&slot)?;
--- a/src/request/quotas/mod.rs
+++ b/src/request/quotas/mod.rs
@@ -12,6 +12,6 @@
     customer_quota::{CustomerQuota, QuotaStep, TriedParts},
     quota_ledger::{Charge, QuotaLedger},
     quota_policy::{BucketLimits, GRANT_VALIDITY, PARTS, QuotaPolicy},
-    quota_slot::{SLOTS, slot_for, slot_name, slot_of},
+    quota_slot::{SLOTS, shard_for, shard_lease, shard_of_lease},
     token_bucket::TokenBucket,
 };
--- a/src/request/quotas/quota_slot.rs
+++ b/src/request/quotas/quota_slot.rs
@@ -6,18 +6,18 @@
 const PREFIX: &str = "quota/";
 
 /// Returns the lease name of a shard. It can't collide with an engine's id, which has no slash.
-pub fn slot_name(slot: usize) -> String {
+pub fn shard_lease(slot: usize) -> String {
     format!("{PREFIX}{slot}")
 }
 
 /// Returns the shard with this lease name; `None` for engines.
-pub fn slot_of(name: &str) -> Option<usize> {
+pub fn shard_of_lease(name: &str) -> Option<usize> {
     let slot = name.strip_prefix(PREFIX)?.parse().ok()?;
     (slot < SLOTS).then_some(slot)
 }
 
 /// Returns the shard that counts a part of a customer's limit. The parts of one customer are in different shards.
-pub fn slot_for(
+pub fn shard_for(
     customer: &str,
     part: usize,
 ) -> usize {
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -6,7 +6,7 @@
         clock::Instant,
         request::quotas::{
             Charge, CustomerQuota, PARTS, QuotaLedger, QuotaPolicy, QuotaStep, TriedParts,
-            slot_for, slot_name, slot_of,
+            shard_for, shard_lease, shard_of_lease,
         },
         version::routing::{UseLimit, UseUnit},
     },
@@ -490,12 +490,12 @@
 #[test]
 fn parts_lie_in_slots_of_their_own() {
     for customer in ["a", "hule930", "c-17"] {
-        let mut slots: Vec<usize> = (0..PARTS).map(|part| slot_for(customer, part)).collect();
+        let mut slots: Vec<usize> = (0..PARTS).map(|part| shard_for(customer, part)).collect();
         slots.sort_unstable();
         slots.dedup();
         assert_eq!(slots.len(), PARTS);
     }
-    assert_eq!(slot_of(&slot_name(5)), Some(5));
-    assert_eq!(slot_of("i-7f3a91c2"), None);
-    assert_eq!(slot_of("quota/99"), None);
+    assert_eq!(shard_of_lease(&shard_lease(5)), Some(5));
+    assert_eq!(shard_of_lease("i-7f3a91c2"), None);
+    assert_eq!(shard_of_lease("quota/99"), None);
 }
