--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -8,7 +8,8 @@
         metrics::{StateLabels, metrics},
         note,
         request::quotas::{
-            BucketLimits, Charge, QuotaLedger, QuotaPolicy, SLOTS, shard_lease, shard_of_lease,
+            BucketLimits, Charge, QUOTA_SHARDS, QuotaLedger, QuotaPolicy, shard_lease,
+            shard_of_lease,
         },
         timeline::Event,
         version::routing::UseLimit,
@@ -27,7 +28,7 @@
     /// Slots in which use is counted: none where no customer has a limit.
     pub(super) fn slot_count(&self) -> usize {
         match self.routing.customers.any_limited() {
-            true => SLOTS,
+            true => QUOTA_SHARDS,
             false => 0,
         }
     }
--- a/src/request/quotas/customer_quota.rs
+++ b/src/request/quotas/customer_quota.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Charge, GRANT_VALIDITY, PARTS},
+    super::{Charge, GRANT_TTL, LIMIT_PARTS},
     crate::{
         clock::Instant,
         request::repeats::{Borrowed, RecentCount, Rounding},
@@ -25,7 +25,7 @@
 }
 
 /// For one request, which parts were already tried.
-pub type TriedParts = [bool; PARTS];
+pub type TriedParts = [bool; LIMIT_PARTS];
 
 /// What to do next for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -47,7 +47,7 @@
     /// Cost and number of this host's requests within `GRANT_TTL`.
     cost: RecentCount,
     requests: RecentCount,
-    parts: [PartState; PARTS],
+    parts: [PartState; LIMIT_PARTS],
     /// The part that is tried first; rotates with each request.
     turn: usize,
 }
@@ -55,13 +55,13 @@
 impl CustomerQuota {
     /// `first_part` differs between hosts, to spread their load.
     pub fn new(first_part: usize) -> Self {
-        let recent = || RecentCount::new(GRANT_VALIDITY, Rounding::Down);
+        let recent = || RecentCount::new(GRANT_TTL, Rounding::Down);
         Self {
             ahead: Borrowed::default(),
             cost: recent(),
             requests: recent(),
             parts: Default::default(),
-            turn: first_part % PARTS,
+            turn: first_part % LIMIT_PARTS,
         }
     }
 
@@ -73,7 +73,7 @@
     ) {
         self.cost.add(cost, now);
         self.requests.add(1.0, now);
-        self.turn = (self.turn + 1) % PARTS;
+        self.turn = (self.turn + 1) % LIMIT_PARTS;
     }
 
     /// Returns the next step for a request for which the parts in `asked` were already tried.
@@ -105,7 +105,7 @@
         asked: &TriedParts,
         now: Instant,
     ) -> Option<usize> {
-        let in_turn = (0..PARTS).map(|step| (self.turn + step) % PARTS);
+        let in_turn = (0..LIMIT_PARTS).map(|step| (self.turn + step) % LIMIT_PARTS);
         let mut open = in_turn.filter(|part| !asked[*part]);
         let may_have = |part: &usize| {
             let part = &self.parts[*part];
@@ -142,7 +142,7 @@
         asked: Instant,
     ) {
         if amount > 0.0 {
-            self.ahead.add(amount, asked + GRANT_VALIDITY);
+            self.ahead.add(amount, asked + GRANT_TTL);
         }
     }
 
--- a/src/request/quotas/mod.rs
+++ b/src/request/quotas/mod.rs
@@ -11,7 +11,7 @@
 pub use {
     customer_quota::{CustomerQuota, QuotaStep, TriedParts},
     quota_ledger::{Charge, QuotaLedger},
-    quota_policy::{BucketLimits, GRANT_VALIDITY, PARTS, QuotaPolicy},
-    quota_slot::{SLOTS, shard_for, shard_lease, shard_of_lease},
+    quota_policy::{BucketLimits, GRANT_TTL, LIMIT_PARTS, QuotaPolicy},
+    quota_slot::{QUOTA_SHARDS, shard_for, shard_lease, shard_of_lease},
     token_bucket::TokenBucket,
 };
--- a/src/request/quotas/quota_policy.rs
+++ b/src/request/quotas/quota_policy.rs
@@ -2,10 +2,10 @@
 
 /// Number of parts of a customer's limit, each counted by another host. While one of them is down, the customer has the
 /// rest of its limit.
-pub const PARTS: usize = 3;
+pub const LIMIT_PARTS: usize = 3;
 
 /// Prefetched quota expires after this time. Usage in a window may include quota that was granted this long before it.
-pub const GRANT_VALIDITY: Duration = Duration::from_millis(250);
+pub const GRANT_TTL: Duration = Duration::from_millis(250);
 
 /// Fraction of the permitted excess that buckets hold for bursts. The rest is a reserve for outside observers, who see
 /// requests when they arrive, not when they are admitted.
@@ -48,9 +48,9 @@
         &self,
         limit: &UseLimit,
     ) -> BucketLimits {
-        let parts = PARTS as f64;
+        let parts = LIMIT_PARTS as f64;
         let rate = self.within_limit(limit) / self.window.as_secs_f64();
-        let held = self.excess(limit) - rate * GRANT_VALIDITY.as_secs_f64();
+        let held = self.excess(limit) - rate * GRANT_TTL.as_secs_f64();
         BucketLimits {
             rate: rate / parts,
             capacity: HELD_SHARE * held.max(0.0) / parts,
--- a/src/request/quotas/quota_slot.rs
+++ b/src/request/quotas/quota_slot.rs
@@ -1,7 +1,7 @@
-use {super::PARTS, xxhash_rust::xxh3::xxh3_64};
+use {super::LIMIT_PARTS, xxhash_rust::xxh3::xxh3_64};
 
 /// Number of groups of customers; each group is counted by the host that holds its lease.
-pub const SLOTS: usize = 12;
+pub const QUOTA_SHARDS: usize = 12;
 
 const PREFIX: &str = "quota/";
 
@@ -13,7 +13,7 @@
 /// Returns the shard with this lease name; `None` for engines.
 pub fn shard_of_lease(name: &str) -> Option<usize> {
     let slot = name.strip_prefix(PREFIX)?.parse().ok()?;
-    (slot < SLOTS).then_some(slot)
+    (slot < QUOTA_SHARDS).then_some(slot)
 }
 
 /// Returns the shard that counts a part of a customer's limit. The parts of one customer are in different shards.
@@ -21,6 +21,6 @@
     customer: &str,
     part: usize,
 ) -> usize {
-    let first = (xxh3_64(customer.as_bytes()) % SLOTS as u64) as usize;
-    (first + part * (SLOTS / PARTS)) % SLOTS
+    let first = (xxh3_64(customer.as_bytes()) % QUOTA_SHARDS as u64) as usize;
+    (first + part * (QUOTA_SHARDS / LIMIT_PARTS)) % QUOTA_SHARDS
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -5,7 +5,7 @@
     coveproxy::{
         clock::Instant,
         request::quotas::{
-            Charge, CustomerQuota, PARTS, QuotaLedger, QuotaPolicy, QuotaStep, TriedParts,
+            Charge, CustomerQuota, LIMIT_PARTS, QuotaLedger, QuotaPolicy, QuotaStep, TriedParts,
             shard_for, shard_lease, shard_of_lease,
         },
         version::routing::{UseLimit, UseUnit},
@@ -124,7 +124,7 @@
             rng: StdRng::seed_from_u64(seed),
             trouble,
             limit: limit(rate),
-            parts: (0..PARTS).map(|_| part()).collect(),
+            parts: (0..LIMIT_PARTS).map(|_| part()).collect(),
             hosts: (0..hosts).map(CustomerQuota::new).collect(),
             start,
             waiting: Vec::new(),
@@ -194,7 +194,7 @@
         &mut self,
         now: Instant,
     ) {
-        let part = self.rng.random_range(0..PARTS);
+        let part = self.rng.random_range(0..LIMIT_PARTS);
         self.parts[part] = Part {
             ledger: QuotaLedger::new(WINDOW, now),
             from: now,
@@ -206,7 +206,7 @@
         &mut self,
         now: Instant,
     ) {
-        let part = self.rng.random_range(0..PARTS);
+        let part = self.rng.random_range(0..LIMIT_PARTS);
         let from = now + LEASE_GAP;
         self.parts[part] = Part {
             ledger: QuotaLedger::new(WINDOW, from),
@@ -405,7 +405,7 @@
     let now = Instant::now();
     let mut known = CustomerQuota::new(0);
     let asked = TriedParts::default();
-    for part in 0..PARTS {
+    for part in 0..LIMIT_PARTS {
         known.on_over(part, 1_000.0, ms(400 + 100 * part as u64), now);
     }
     let step = known.next_step(1_000.0, &asked, now + ms(100));
@@ -423,15 +423,15 @@
 fn a_time_that_passes_while_others_are_asked_is_no_silence() {
     let now = Instant::now();
     let mut known = CustomerQuota::new(0);
-    let asked = [true; PARTS];
-    for part in 0..PARTS {
+    let asked = [true; LIMIT_PARTS];
+    for part in 0..LIMIT_PARTS {
         known.on_over(part, 1_000.0, ms(1), now);
     }
     let step = known.next_step(1_000.0, &asked, now + ms(5));
     let come_back = Duration::ZERO;
     assert_eq!(step, QuotaStep::Over { come_back });
     // Once the parts are unresponsive, their earlier responses no longer count.
-    for part in 0..PARTS {
+    for part in 0..LIMIT_PARTS {
         known.on_silent(part, now + ms(5));
     }
     let step = known.next_step(1_000.0, &asked, now + ms(6));
@@ -490,10 +490,12 @@
 #[test]
 fn parts_lie_in_slots_of_their_own() {
     for customer in ["a", "hule930", "c-17"] {
-        let mut slots: Vec<usize> = (0..PARTS).map(|part| shard_for(customer, part)).collect();
+        let mut slots: Vec<usize> = (0..LIMIT_PARTS)
+            .map(|part| shard_for(customer, part))
+            .collect();
         slots.sort_unstable();
         slots.dedup();
-        assert_eq!(slots.len(), PARTS);
+        assert_eq!(slots.len(), LIMIT_PARTS);
     }
     assert_eq!(shard_of_lease(&shard_lease(5)), Some(5));
     assert_eq!(shard_of_lease("i-7f3a91c2"), None);
