--- a/src/request/quotas/mod.rs
+++ b/src/request/quotas/mod.rs
@@ -4,7 +4,7 @@
 mod customer_quota;
 mod quota_ledger;
 mod quota_policy;
-mod quota_slot;
+mod quota_shard;
 mod recent_grants;
 mod token_bucket;
 
@@ -12,6 +12,6 @@
     customer_quota::{CustomerQuota, QuotaStep, TriedParts},
     quota_ledger::{Charge, QuotaLedger},
     quota_policy::{BucketLimits, GRANT_TTL, LIMIT_PARTS, QuotaPolicy},
-    quota_slot::{QUOTA_SHARDS, shard_for, shard_lease, shard_of_lease},
+    quota_shard::{QUOTA_SHARDS, shard_for, shard_lease, shard_of_lease},
     token_bucket::TokenBucket,
 };
--- a/src/request/quotas/quota_slot.rs
+++ b/src/request/quotas/quota_slot.rs
@@ -6,14 +6,14 @@
 const PREFIX: &str = "quota/";
 
 /// Returns the lease name of a shard. It can't collide with an engine's id, which has no slash.
-pub fn shard_lease(slot: usize) -> String {
-    format!("{PREFIX}{slot}")
+pub fn shard_lease(shard: usize) -> String {
+    format!("{PREFIX}{shard}")
 }
 
 /// Returns the shard with this lease name; `None` for engines.
 pub fn shard_of_lease(name: &str) -> Option<usize> {
-    let slot = name.strip_prefix(PREFIX)?.parse().ok()?;
-    (slot < QUOTA_SHARDS).then_some(slot)
+    let shard = name.strip_prefix(PREFIX)?.parse().ok()?;
+    (shard < QUOTA_SHARDS).then_some(shard)
 }
 
 /// Returns the shard that counts a part of a customer's limit. The parts of one customer are in different shards.
