--- a/src/request/repeats/borrowed.rs
+++ b/src/request/repeats/borrowed.rs
@@ -6,7 +6,7 @@
     until: Instant,
 }
 
-/// What other hosts have lent this one, each part until a time of its own.
+/// Amounts that each expire at a time of their own.
 #[derive(Debug, Default)]
 pub struct Borrowed {
     loans: VecDeque<Loan>,
@@ -29,11 +29,11 @@
         while self.loans.front().is_some_and(|loan| loan.until <= now) {
             self.loans.pop_front();
         }
-        // Not `sum`, which makes -0 of none.
+        // Not `sum`, which returns -0.0 for an empty iterator.
         self.loans.iter().fold(0.0, |sum, loan| sum + loan.amount)
     }
 
-    /// Spends up to this amount, what ends first before the rest; returns what was spent.
+    /// Spends up to this amount, earliest expiry first; returns the amount spent.
     pub fn spend(
         &mut self,
         amount: f64,
--- a/src/request/repeats/budget_terms.rs
+++ b/src/request/repeats/budget_terms.rs
@@ -1,44 +1,43 @@
 use std::time::Duration;
 
-/// A repeat arrives at its target this long after it was paid for, at the latest: connections come up within
-/// 0.3 s, and a host's thread rarely stands still for longer.
+/// Maximum time from charging a repeat to its arrival at the target.
 pub const ARRIVAL_LAG: Duration = Duration::from_millis(500);
 
-/// What was lent can be spent for so long after it was asked for: four times as long as hosts look ahead, so
-/// that little of it ends unspent. The lender goes without it for the window besides.
+/// Borrowed quota expires this long after it was requested. The lender counts it as used for longer, so that it is
+/// never spent twice.
 pub const LOAN_VALIDITY: Duration = Duration::from_secs(2);
 
-/// Time until hosts that all start for the first time have heard of each other.
+/// Time in which the hosts of a new site learn of each other.
 const SETTLING: Duration = Duration::from_secs(2);
 
-/// Part of the extra allowance that is given out; the rest is for hosts that a part of the site does not
-/// know of yet: each such host adds one share on one side of a cut.
+/// Fraction of the extra allowance that is shared out. The rest covers hosts that others don't know yet, which count
+/// themselves in and so take too large a share.
 const GIVEN_OUT: f64 = 0.9;
 
-/// Part of a window's earnings that may be kept for a moment of need.
+/// Unused quota is kept up to this fraction of what accrues in a window.
 pub(super) const KEPT_PART: f64 = 0.1;
 
-/// Part of the ratio that requests earn. What is kept was earned before the window in which it is spent, and
-/// the two together must stay within the ratio.
+/// Fraction of the ratio that accrues. Unused quota from before a window may be spent in it, so that the two together
+/// must stay within the ratio.
 const EARNED_PART: f64 = 1.0 / (1.0 + KEPT_PART);
 
-/// The allowance of repeats of one service, over all hosts.
+/// The limit on repeats of one service, over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetTerms {
     pub window: Duration,
-    /// Repeats allowed for each request.
+    /// Repeats allowed per request.
     pub ratio: f64,
-    /// Repeats allowed besides, over all hosts.
+    /// Repeats allowed per window besides, over all hosts.
     pub extra: f64,
 }
 
 impl BudgetTerms {
-    /// What one request earns.
+    /// Returns the quota that one request accrues.
     pub(super) fn earned_by_request(&self) -> f64 {
         self.ratio * EARNED_PART
     }
 
-    /// A host's share of the extra allowance among so many.
+    /// Returns one host's share of the extra allowance.
     pub(super) fn share(
         &self,
         hosts: usize,
@@ -49,18 +48,18 @@
         }
     }
 
-    /// Time for which what was spent counts.
+    /// Returns how long spent quota counts against the share.
     pub(super) fn spent_time(&self) -> Duration {
         self.window + ARRIVAL_LAG
     }
 
-    /// Time for which what was lent counts.
+    /// Returns how long lent quota counts against the share.
     pub(super) fn lent_time(&self) -> Duration {
         self.spent_time() + LOAN_VALIDITY
     }
 
-    /// Time from its start until a process has a share. Its host's process before may have spent or lent
-    /// that share until the moment of the start; at the very first start of a site there was none.
+    /// Returns the time from the start of a process until it may use its share: a previous process of the host may have
+    /// spent or lent the share until just now, but not on the first start of the site.
     pub fn share_after(
         &self,
         first_start: bool,
--- a/src/request/repeats/earned.rs
+++ b/src/request/repeats/earned.rs
@@ -7,10 +7,10 @@
     crate::clock::Instant,
 };
 
-/// Repeats that a host's own requests have earned.
+/// Quota that a host's own requests accrue.
 ///
-/// What is kept is a fixed part of what a window earns, so that a process that starts anew, or a demand that
-/// moves from host to host, can't bring the earnings of two windows into one.
+/// The balance is capped at a fraction of what accrues in a window, so that a restart, or demand that moves from host
+/// to host, can't use the accruals of two windows in one.
 #[derive(Debug)]
 pub struct Earned {
     terms: BudgetTerms,
@@ -35,7 +35,7 @@
         self.kept += self.terms.earned_by_request();
     }
 
-    /// What can be spent.
+    /// Returns the balance.
     pub fn left(
         &mut self,
         now: Instant,
@@ -45,7 +45,7 @@
         self.kept
     }
 
-    /// Spends up to this amount; returns what was spent.
+    /// Spends up to this amount; returns the amount spent.
     pub fn spend(
         &mut self,
         amount: f64,
--- a/src/request/repeats/extra_share.rs
+++ b/src/request/repeats/extra_share.rs
@@ -6,11 +6,11 @@
     crate::clock::Instant,
 };
 
-/// A host's own share of the extra allowance: what it has spent and lent of it.
+/// A host's share of the extra allowance, and what it has spent and lent of it.
 #[derive(Debug)]
 pub struct ExtraShare {
     terms: BudgetTerms,
-    /// The process has no share before.
+    /// The share is zero before.
     from: Instant,
     spent: RecentCount,
     lent: RecentCount,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The whole share, among so many hosts.
+    /// Returns the current share, if the allowance is divided among this many hosts.
     pub fn share(
         &self,
         hosts: usize,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The share of a host that has one.
+    /// Returns the share of a host that is past its start.
     pub fn full_share(
         &self,
         hosts: usize,
--- a/src/request/repeats/loan_asks.rs
+++ b/src/request/repeats/loan_asks.rs
@@ -4,30 +4,27 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Time between two rounds of asking, at the least.
+/// Minimum time between two rounds of requests.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Hosts asked in one round. With the pause it makes 80 messages a second: 300 hosts are asked within 4 s,
-/// and asked by one of them each gets a message in 4 s.
+/// Maximum number of hosts in one round.
 const ASKED_AT_ONCE: usize = 8;
 
-/// So many asks that bring nothing double the pause.
+/// The interval between rounds doubles per this many failed requests.
 const FRUITLESS: u32 = 16;
 
-/// A loan makes up for so many asks that brought nothing: as long as one in sixteen brings
-/// something, it goes on.
+/// A successful request cancels this many failed ones.
 const MADE_UP: u32 = 16;
 
-/// Asks that brought nothing and count, at the most.
 const MOST_FRUITLESS: u32 = FRUITLESS * (MOST_DOUBLINGS + 1);
 
-/// Doublings of the pause, at the most: 1.6 s, so that hosts which are all in need send 5 messages a second.
+/// Limits the interval to 1.6 s.
 const MOST_DOUBLINGS: u32 = 4;
 
-/// A host that answers does so within this time, also from another region.
+/// Time after which a request is no longer expected to succeed, also across regions.
 const ANSWER_TIME: Duration = Duration::from_millis(200);
 
-/// Least amount that is asked for: what one repeat costs.
+/// Minimum requested amount: one repeat.
 const LEAST: f64 = 1.0;
 
 #[derive(Debug)]
@@ -37,10 +34,10 @@
     expected: f64,
 }
 
-/// Loans that were asked for.
+/// Requests to borrow quota from other hosts.
 #[derive(Debug)]
 pub struct LoanAsks {
-    /// Ids rise from a number drawn by chance: an answer to the process before means nothing to this one.
+    /// Starts at a random number, so that responses to a previous process don't match.
     next_id: u64,
     open: VecDeque<Open>,
     next_round: Option<Instant>,
@@ -57,8 +54,8 @@
         }
     }
 
-    /// The ids of loans to ask for now, each of a host of its own, and the amount; `likely` is what a host
-    /// can lend.
+    /// Starts a round, if one is due: returns the ids of the requests, each for a different host, and the requested
+    /// amount. `likely` is what a host is expected to lend.
     pub fn round(
         &mut self,
         missing: f64,
@@ -95,7 +92,8 @@
         id
     }
 
-    /// A loan has come: until when it can be spent, or `None` if it is too late or was not asked for.
+    /// Handles the response to a request: returns when the borrowed quota expires, or `None` if it has expired or the
+    /// id is unknown.
     pub fn on_loan(
         &mut self,
         id: u64,
@@ -108,7 +106,7 @@
         Some(open.at + LOAN_VALIDITY)
     }
 
-    /// What hosts that were just asked are expected to lend.
+    /// Returns the amount that pending requests are expected to bring.
     pub fn awaited(
         &mut self,
         now: Instant,
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -1,5 +1,5 @@
-//! How often requests may arrive at targets again, over all hosts of a site: each host has a part of the
-//! allowance, and hosts lend each other what they are unlikely to need. Nothing here waits or sends.
+//! Limits how often requests are repeated at targets, over all hosts of a site. Each host has a share of the allowance,
+//! and hosts borrow unused quota from each other. No I/O.
 
 mod borrowed;
 mod budget_terms;
--- a/src/request/repeats/paid.rs
+++ b/src/request/repeats/paid.rs
@@ -1,11 +1,12 @@
 use crate::clock::Instant;
-/// What one repeat was paid with.
+
+/// The sources from which one repeat was charged.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Paid {
     pub at: Instant,
-    /// Earned by the host's own requests.
+    /// Accrued by the host's own requests.
     pub earned: f64,
-    /// Lent by other hosts.
+    /// Borrowed from other hosts.
     pub borrowed: f64,
     /// From the host's own share.
     pub own: f64,
--- a/src/request/repeats/recent_count.rs
+++ b/src/request/repeats/recent_count.rs
@@ -3,19 +3,19 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Slices of the time over which something is counted; what was spent counts for a fortieth of it too long.
+/// Number of slices of the window, which bounds the error of a sum.
 const SLICES: u32 = 40;
 
-/// Which way a count errs by the length of a slice.
+/// How a sum treats the slice at the window's end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rounding {
-    /// What happened within the time may be left out already.
+    /// Amounts within the window may be left out.
     Down,
-    /// What happened before may be counted still.
+    /// Amounts from before the window may be counted.
     Up,
 }
 
-/// What happened within a sliding time.
+/// The sum of amounts within a sliding window.
 #[derive(Debug)]
 pub struct RecentCount {
     time: Duration,
@@ -52,7 +52,7 @@
         self.sum += amount;
     }
 
-    /// Takes back what was added at a time.
+    /// Subtracts from what was added at a time.
     pub fn take_back(
         &mut self,
         amount: f64,
@@ -89,7 +89,7 @@
             dropped = true;
         }
         if dropped {
-            // Summed anew, so that errors of many small steps don't add up.
+            // Recomputed, so that rounding errors don't accumulate.
             self.sum = self.slices.iter().map(|(_, count)| count).sum();
         }
     }
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -11,39 +11,38 @@
     std::time::Duration,
 };
 
-/// Time that a host looks ahead: it wants at hand what it needed in so long. Loans come within 0.2 s.
+/// A host borrows to cover the demand of this time.
 const AHEAD: Duration = Duration::from_millis(500);
 
-/// Part of what is idle that one ask gets, so that several hosts in need get some.
+/// Fraction of the idle quota that one request can borrow, so that several hosts get some.
 const LENT_PART: f64 = 0.5;
 
-/// Below this a lender gives all that is idle: it could not pay for a repeat of its own with it, while parts
-/// of many hosts add up.
+/// Below twice this amount a lender gives all its idle quota, which could not pay for a repeat of its own.
 const WHOLE: f64 = 1.0;
 
-/// Amounts are rounded at this: 0.1 + 0.2 pays for three tenths.
+/// Tolerance for floating point errors of sums.
 const ROUNDING: f64 = 1e-9;
 
-/// The allowance of repeats of one service at one host: what its requests earn, what others lend it, and
-/// its share of what all hosts have together.
+/// One host's budget for repeats of one service: quota accrued by its requests, borrowed quota, and its share of the
+/// extra allowance.
 #[derive(Debug)]
 pub struct RepeatBudget {
     earned: Earned,
     borrowed: Borrowed,
     extra: ExtraShare,
     asks: LoanAsks,
-    /// Hosts that the extra allowance is divided by.
+    /// Number of hosts that share the extra allowance.
     hosts: usize,
-    /// Repeats wanted within the time looked ahead, paid or not.
+    /// Recent demand for repeats, charged or not.
     wanted: RecentCount,
-    /// What the own share was wanted for within a window.
+    /// Recent demand on the host's own share; not lent.
     needed: RecentCount,
     paid: u32,
     refused: u32,
 }
 
 impl RepeatBudget {
-    /// The process has a share of its own after `share_from`.
+    /// The host's share is zero before `share_from`.
     pub fn new(
         terms: BudgetTerms,
         share_from: Instant,
@@ -62,7 +61,6 @@
         }
     }
 
-    /// So many hosts share the extra allowance.
     pub fn set_hosts(
         &mut self,
         hosts: usize,
@@ -70,7 +68,7 @@
         self.hosts = hosts;
     }
 
-    /// A caller sent a request for the service.
+    /// Accrues quota for a request by a caller.
     pub fn on_request(
         &mut self,
         now: Instant,
@@ -78,7 +76,7 @@
         self.earned.on_request(now);
     }
 
-    /// What can be spent.
+    /// Returns the available quota.
     pub fn left(
         &mut self,
         now: Instant,
@@ -86,7 +84,7 @@
         self.earned.left(now) + self.borrowed.left(now) + self.extra.left(self.hosts, now)
     }
 
-    /// True if another repeat can be paid for.
+    /// Returns true if another repeat can be charged.
     pub fn allows(
         &mut self,
         now: Instant,
@@ -94,7 +92,7 @@
         self.left(now) + ROUNDING >= 1.0
     }
 
-    /// Pays for a repeat that is sent now; `None` if it must not be sent.
+    /// Charges a repeat that is sent now; `None` if it must not be sent.
     pub fn pay(
         &mut self,
         now: Instant,
@@ -104,7 +102,7 @@
         }
         self.wanted.add(1.0, now);
         self.paid += 1;
-        // What is lost first is spent first.
+        // Quota that expires first is spent first.
         let earned = self.earned.spend(1.0, now);
         let borrowed = self.borrowed.spend(1.0 - earned, now);
         let own = 1.0 - earned - borrowed;
@@ -118,7 +116,7 @@
         })
     }
 
-    /// A repeat that was paid for did not arrive anywhere. What was borrowed for it is lost.
+    /// Refunds a charge whose repeat did not arrive anywhere. Borrowed quota is not refunded.
     pub fn give_back(
         &mut self,
         paid: &Paid,
@@ -127,7 +125,7 @@
         self.extra.give_back(paid.own, paid.at);
     }
 
-    /// A repeat was not sent for want of allowance.
+    /// Records that a repeat was rejected for lack of quota.
     pub fn on_refused(
         &mut self,
         now: Instant,
@@ -137,7 +135,7 @@
         self.refused += 1;
     }
 
-    /// A repeat waits for allowance.
+    /// Records that a repeat waits for quota.
     pub fn on_wanted(
         &mut self,
         now: Instant,
@@ -145,7 +143,7 @@
         self.wanted.add(1.0, now);
     }
 
-    /// The ids of loans to ask for now, each of a host of its own, and the amount.
+    /// Returns the ids of requests to send now, each to a different host, and the amount to borrow.
     pub fn loans_to_ask(
         &mut self,
         now: Instant,
@@ -159,7 +157,7 @@
         self.asks.round(missing, likely, now)
     }
 
-    /// True if a host that was just asked may still lend something.
+    /// Returns true if a pending request may still bring quota.
     pub fn awaits_loans(
         &mut self,
         now: Instant,
@@ -167,7 +165,7 @@
         self.asks.awaited(now) > 0.0
     }
 
-    /// A loan that was asked for has come; false if it is too late, or came twice.
+    /// Adds borrowed quota; returns false if the response is late or repeated.
     pub fn on_loan(
         &mut self,
         id: u64,
@@ -181,8 +179,7 @@
         true
     }
 
-    /// Another host asks for a loan: what it gets. It counts as spent here from now on, whether or not the
-    /// answer arrives.
+    /// Lends quota to another host and returns the amount. It counts as spent, whether or not the response arrives.
     pub fn lend(
         &mut self,
         asked: f64,
@@ -196,7 +193,7 @@
         amount
     }
 
-    /// How the host stands, and what it did since the last call.
+    /// Returns the current usage, and the counts since the last call.
     pub fn take_usage(
         &mut self,
         now: Instant,
@@ -214,7 +211,7 @@
     }
 }
 
-/// What a host that has so much idle lends to one that asks.
+/// Returns what a host with this much idle quota lends to one request.
 fn lendable(idle: f64) -> f64 {
     match idle > 2.0 * WHOLE {
         true => idle * LENT_PART,
--- a/src/request/repeats/usage.rs
+++ b/src/request/repeats/usage.rs
@@ -1,23 +1,22 @@
-/// How a host stands with the repeats of one service, and what it did in the last period.
+/// A host's usage of the budget of one service, as logged and exported.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RepeatUsage {
-    /// Hosts among which the extra allowance is divided.
     pub hosts: usize,
-    /// Its own share; none for a process that has just started.
+    /// The host's own share; zero shortly after a start.
     pub share: f64,
-    /// What it has spent and lent of its share within the window.
+    /// What was spent and lent of the share within the window.
     pub spent: f64,
     pub lent: f64,
-    /// What it can spend of what its requests earned and others lent.
+    /// Available quota that was accrued and borrowed.
     pub earned_left: f64,
     pub borrowed_left: f64,
-    /// Repeats of the period that were paid for, and those that were not for want of allowance.
+    /// Repeats charged and rejected in the last period.
     pub paid: u32,
     pub refused: u32,
 }
 
 impl RepeatUsage {
-    /// Adds what another service had.
+    /// Adds the usage of another service.
     pub fn add(
         &mut self,
         other: &Self,
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -1,4 +1,5 @@
-//! The budget of repeats over all hosts of a site.
+//! The budget of repeats over all hosts of a site: no window has more repeats than allowed, whatever happens to hosts
+//! and messages.
 
 use {
     coveproxy::{
@@ -16,7 +17,6 @@
 
 const RATIO: f64 = 0.2;
 
-/// Time between two steps of a site.
 const STEP: Duration = Duration::from_millis(50);
 
 fn ms(ms: u64) -> Duration {
@@ -31,13 +31,12 @@
     }
 }
 
-/// A message between two hosts.
 #[derive(Clone)]
 struct Message {
     from: usize,
     to: usize,
     due: Instant,
-    /// The loan's id, and the amount asked for or lent.
+    /// Id of the request to borrow, and the amount requested or lent.
     id: u64,
     amount: f64,
     is_answer: bool,
@@ -45,24 +44,24 @@
 
 struct Host {
     budget: RepeatBudget,
-    /// It stands still until then; its messages wait.
+    /// The process is paused until then; its messages are queued.
     frozen_until: Instant,
-    /// It has no process until then.
+    /// The process is down until then.
     down_until: Option<Instant>,
-    /// Which side of a cut it is on.
+    /// Partition of the network.
     side: u32,
-    /// Whom it asks next, each once a round.
+    /// Hosts still to ask in this round.
     lenders: Vec<usize>,
 }
 
-/// Hosts with their budgets, messages that are lost and late, and all that callers and targets saw.
+/// Hosts with their budgets, the messages between them, and the requests and repeats so far.
 struct Site {
     terms: BudgetTerms,
     now: Instant,
     rng: StdRng,
     hosts: Vec<Host>,
     messages: Vec<Message>,
-    /// Share of messages that are lost.
+    /// Probability that a message is lost.
     lost: f64,
     late: Duration,
     requests: Vec<Instant>,
@@ -71,7 +70,7 @@
 }
 
 impl Site {
-    /// Hosts that have their shares.
+    /// Creates hosts that have their shares.
     fn new(
         hosts: usize,
         extra: f64,
@@ -111,7 +110,7 @@
         });
     }
 
-    /// All hosts know of all, those that are dead or cut off included.
+    /// All hosts are counted, also those that are down or partitioned.
     fn set_hosts(&mut self) {
         let count = self.hosts.len();
         for host in &mut self.hosts {
@@ -119,7 +118,7 @@
         }
     }
 
-    /// A host is killed, and starts again after a time.
+    /// Restarts a host after a time.
     fn kill(
         &mut self,
         at: usize,
@@ -155,7 +154,7 @@
         }
     }
 
-    /// A host wants to repeat a request; true if it did.
+    /// Tries to repeat a request; returns true if it was charged.
     fn repeat(
         &mut self,
         at: usize,
@@ -182,7 +181,7 @@
         self.arrivals.push(paid.at + lag);
     }
 
-    /// Time passes: hosts ask, lend and borrow.
+    /// Advances the time by one step.
     fn step(&mut self) {
         self.now += STEP;
         for at in 0..self.hosts.len() {
@@ -241,7 +240,7 @@
             return;
         }
         self.messages.push(message.clone());
-        // Some come twice.
+        // Some messages are delivered twice.
         if self.rng.random_bool(self.lost / 2.0) {
             message.due += late;
             self.messages.push(message);
@@ -275,7 +274,7 @@
         }
     }
 
-    /// The most that a window had beyond what it is allowed; negative if all kept within it.
+    /// Returns by how much the worst window exceeds its limit; negative if none does.
     fn worst_excess(&mut self) -> f64 {
         self.arrivals.sort_unstable();
         self.requests.sort_unstable();
@@ -288,7 +287,7 @@
         for end in &self.arrivals {
             let end = *end + ms(1);
             let arrivals = within(&self.arrivals, end - WINDOW, end);
-            // Those of the window count, or of the one before it or half before it.
+            // The requests of the window itself, of the one before it, or of half of each.
             let requests = [Duration::ZERO, WINDOW / 2, WINDOW]
                 .map(|back| within(&self.requests, end - back - WINDOW, end - back));
             let requests = requests.into_iter().fold(0.0, f64::max);
@@ -299,9 +298,7 @@
     }
 }
 
-/// Callers of a site under load saw more repeats than it is allowed: half of its hosts were killed every
-/// 1.5 s while targets turned requests away. Each process that started counted from nothing and had its
-/// host's whole share of the allowance, which the process before it had spent in the same window.
+/// A restarted process must not get a new share while what the previous one spent is in the same window.
 #[test]
 fn a_host_that_starts_again_has_no_second_share() {
     let mut site = Site::new(6, 60.0, 1);
@@ -323,7 +320,7 @@
     assert!(repeats <= 60, "{repeats} repeats in 7.5 s, 60 are allowed");
 }
 
-/// What an adversary does to a site.
+/// Faults of hosts and messages.
 #[derive(Clone, Copy)]
 struct Troubles {
     kills: f64,
@@ -331,7 +328,7 @@
     cuts: f64,
     lost: f64,
     late: Duration,
-    /// Every host wants as many repeats as it may have at a time.
+    /// Probability per step that an idle host demands many repeats.
     greed: f64,
 }
 
@@ -344,7 +341,7 @@
     greed: 0.1,
 };
 
-/// Two minutes of troubles.
+/// Simulates two minutes.
 fn play(
     site: &mut Site,
     troubles: Troubles,
@@ -397,8 +394,8 @@
     }
 }
 
-/// Whatever is killed, frozen, cut off, lost or late, and however demand moves: no window has more repeats
-/// than its requests and the extra allowance make up.
+/// No window exceeds what its requests and the extra allowance allow, under any combination of faults and however
+/// demand moves.
 #[rstest]
 #[case::calm(CALM)]
 #[case::kills(Troubles { kills: 0.02, greed: 0.5, ..CALM })]
@@ -427,7 +424,8 @@
     }
 }
 
-/// Hosts that join have a share after a window, when the others have long divided by more.
+/// Hosts that join must not add to the allowance: their share starts a window later, when the others divide by more
+/// hosts.
 #[test]
 fn hosts_that_join_bring_no_allowance() {
     let mut site = Site::new(4, 60.0, 3);
@@ -436,7 +434,7 @@
             let share_from = site.now + site.terms.share_after(false);
             site.add_host(share_from);
         }
-        // The others hear of it within two seconds.
+        // The others learn of the host within two seconds.
         if step % 100 == 90 {
             site.set_hosts();
         }
@@ -449,10 +447,8 @@
     assert!(excess <= 0.0, "{excess} too many");
 }
 
-/// On a large site a share is less than one repeat. Repeats wanted at one host alone are paid for by loans:
-/// of the site's allowance it gets nearly all in the first window, but the tenth that is held back for hosts
-/// that are not known yet; later on lenders go without what they lent for longer than a window, and it gets
-/// half at the least.
+/// On a large site a share is less than one repeat, so that demand at one host must be covered by borrowing: nearly all
+/// of the allowance in the first window, at least half later, while lenders still count what they lent.
 #[rstest]
 #[case::of_a_large_site(300, 430.0)]
 #[case::shares_far_below_one(300, 52.0)]
@@ -463,7 +459,6 @@
 ) {
     let mut site = Site::new(hosts, extra, 5);
     let mut repeats = [0; 6];
-    // Six windows.
     for step in 0..1_200 {
         repeats[step / 200] += (0..3).take_while(|_| site.repeat(0)).count();
         site.step();
@@ -478,7 +473,7 @@
     assert!(messages <= 81.0, "{messages} messages a second");
 }
 
-/// Hosts that are all in need have nothing to lend, and must not flood each other with questions.
+/// Hosts that all lack quota must not flood each other with requests.
 #[test]
 fn hosts_in_need_ask_seldom() {
     let mut site = Site::new(60, 52.0, 6);
@@ -492,7 +487,7 @@
     assert!(each < 8.0, "{each} messages a second and host");
 }
 
-/// A loan can be spent until a time counted from when it was asked for, whenever it comes, and once.
+/// Borrowed quota expires at a time counted from the request, and is added once.
 #[rstest]
 #[case::at_once(10, true)]
 #[case::late(1_990, true)]
@@ -531,16 +526,16 @@
     };
     assert_eq!(repeats(1, 0, 50.0), 45);
     assert_eq!(repeats(5, 0, 50.0), 9);
-    // A tenth of what a window earns can be kept: 1.8 of 18.
+    // A tenth of a window's accrual can be kept: 1.8 of 18.
     assert_eq!(repeats(5, 100, 50.0), 10);
-    // Parts add up: 0.9 of a share and a tenth earned.
+    // Sources add up: 0.9 of a share and 0.1 accrued.
     assert_eq!(repeats(10, 0, 10.0), 0);
     assert_eq!(repeats(10, 6, 10.0), 1);
-    // A host that knows of none has no share.
+    // Without known hosts there is no share.
     assert_eq!(repeats(0, 0, 50.0), 0);
 }
 
-/// Requests pay for repeats at their own pace for as long as they come.
+/// Steady requests accrue steady repeats.
 #[test]
 fn steady_requests_earn_steady_repeats() {
     let start = Instant::now();
@@ -605,7 +600,8 @@
     }
 }
 
-/// Each side of a cut, and hosts that outlive others, would divide the allowance among too few.
+/// Hosts are counted long after they were last seen: otherwise each side of a partition would divide the allowance
+/// among too few.
 #[rstest]
 #[case::just_heard(RumorState::Alive, 1, 8)]
 #[case::cut_off_for_an_hour(RumorState::Alive, 3_600, 8)]
@@ -628,8 +624,8 @@
     assert_eq!(table.known_count(), expected);
 }
 
-/// A process that has just started does not know of hosts that are dead or cut off; the others do. What it
-/// tells is its own count, so that a count that went round would not stay for ever.
+/// A process that has just started doesn't know of hosts that are down or partitioned, and takes the count of others.
+/// It reports only its own count, so that a wrong count doesn't circulate for ever.
 #[test]
 fn a_process_that_starts_takes_the_count_of_others() {
     let start = Instant::now();
