--- a/src/request/repeats/budget_terms.rs
+++ b/src/request/repeats/budget_terms.rs
@@ -10,8 +10,8 @@
 /// Time in which the hosts of a new site learn of each other.
 const SETTLING: Duration = Duration::from_secs(2);
 
-/// Fraction of the extra allowance that is shared out. The rest covers hosts that others don't know yet, which count
-/// themselves in and so take too large a share.
+/// Fraction of the extra allowance that is shared out. The rest covers hosts that others don't know yet: each adds one
+/// share.
 const GIVEN_OUT: f64 = 0.9;
 
 /// Unused quota is kept up to this fraction of what accrues in a window.
