--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -5,7 +5,7 @@
         connection::datagram::{Loan, LoanAsk},
         metrics::{StateLabels, metrics},
         note,
-        request::repeats::{BudgetTerms, RepeatBudget, RepeatUsage},
+        request::repeats::{RepeatBudget, RepeatPolicy, RepeatUsage},
         timeline::Event,
     },
     std::{collections::BTreeMap, time::Duration},
@@ -20,7 +20,7 @@
 /// The budgets of repeats of all services at this host.
 #[derive(Debug)]
 pub struct RepeatBudgets {
-    terms: BudgetTerms,
+    terms: RepeatPolicy,
     /// This process has a share of its own from then on.
     share_from: Instant,
     hosts: usize,
@@ -34,7 +34,7 @@
         settings: &BoardSettings,
         now: Instant,
     ) -> Self {
-        let terms = BudgetTerms {
+        let terms = RepeatPolicy {
             window: settings.budget_window,
             ratio: settings.budget_ratio,
             extra: settings.budget_extra,
--- a/src/request/repeats/earned.rs
+++ b/src/request/repeats/earned.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        BudgetTerms,
-        budget_terms::KEPT_PART,
+        RepeatPolicy,
         recent_count::{RecentCount, Rounding},
+        repeat_policy::KEPT_PART,
     },
     crate::clock::Instant,
 };
@@ -13,13 +13,13 @@
 /// to host, can't use the accruals of two windows in one.
 #[derive(Debug)]
 pub struct Earned {
-    terms: BudgetTerms,
+    terms: RepeatPolicy,
     requests: RecentCount,
     kept: f64,
 }
 
 impl Earned {
-    pub fn new(terms: BudgetTerms) -> Self {
+    pub fn new(terms: RepeatPolicy) -> Self {
         Self {
             terms,
             requests: RecentCount::new(terms.window, Rounding::Down),
--- a/src/request/repeats/extra_share.rs
+++ b/src/request/repeats/extra_share.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        BudgetTerms,
+        RepeatPolicy,
         recent_count::{RecentCount, Rounding},
     },
     crate::clock::Instant,
@@ -9,7 +9,7 @@
 /// A host's share of the extra allowance, and what it has spent and lent of it.
 #[derive(Debug)]
 pub struct ExtraShare {
-    terms: BudgetTerms,
+    terms: RepeatPolicy,
     /// The share is zero before.
     from: Instant,
     spent: RecentCount,
@@ -18,7 +18,7 @@
 
 impl ExtraShare {
     pub fn new(
-        terms: BudgetTerms,
+        terms: RepeatPolicy,
         from: Instant,
     ) -> Self {
         Self {
--- a/src/request/repeats/loan_asks.rs
+++ b/src/request/repeats/loan_asks.rs
@@ -1,5 +1,5 @@
 use {
-    super::budget_terms::LOAN_VALIDITY,
+    super::repeat_policy::LOAN_VALIDITY,
     crate::clock::Instant,
     std::{collections::VecDeque, time::Duration},
 };
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -2,20 +2,20 @@
 //! and hosts borrow unused quota from each other. No I/O.
 
 mod borrowed;
-mod budget_terms;
 mod earned;
 mod extra_share;
 mod loan_asks;
 mod paid;
 mod recent_count;
 mod repeat_budget;
+mod repeat_policy;
 mod usage;
 
 pub use {
     borrowed::Borrowed,
-    budget_terms::{ARRIVAL_LAG, BudgetTerms, LOAN_VALIDITY},
     paid::Paid,
     recent_count::{RecentCount, Rounding},
     repeat_budget::RepeatBudget,
+    repeat_policy::{ARRIVAL_LAG, LOAN_VALIDITY, RepeatPolicy},
     usage::RepeatUsage,
 };
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        BudgetTerms, Paid, RepeatUsage,
+        Paid, RepeatPolicy, RepeatUsage,
         borrowed::Borrowed,
         earned::Earned,
         extra_share::ExtraShare,
@@ -44,7 +44,7 @@
 impl RepeatBudget {
     /// The host's share is zero before `share_from`.
     pub fn new(
-        terms: BudgetTerms,
+        terms: RepeatPolicy,
         share_from: Instant,
         first_ask: u64,
     ) -> Self {
--- a/src/request/repeats/budget_terms.rs
+++ b/src/request/repeats/repeat_policy.rs
@@ -23,7 +23,7 @@
 
 /// The limit on repeats of one service, over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetTerms {
+pub struct RepeatPolicy {
     pub window: Duration,
     /// Repeats allowed per request.
     pub ratio: f64,
@@ -31,7 +31,7 @@
     pub extra: f64,
 }
 
-impl BudgetTerms {
+impl RepeatPolicy {
     /// Returns the quota that one request accrues.
     pub(super) fn earned_by_request(&self) -> f64 {
         self.ratio * EARNED_PART
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -6,7 +6,7 @@
         clock::Instant,
         connection::datagram::{HostRumor, RumorState},
         process::hosts::{HostIdentity, HostTable, HostTimings},
-        request::repeats::{ARRIVAL_LAG, BudgetTerms, LOAN_VALIDITY, Paid, RepeatBudget},
+        request::repeats::{ARRIVAL_LAG, LOAN_VALIDITY, Paid, RepeatBudget, RepeatPolicy},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom},
     rstest::rstest,
@@ -23,8 +23,8 @@
     Duration::from_millis(ms)
 }
 
-fn terms(extra: f64) -> BudgetTerms {
-    BudgetTerms {
+fn terms(extra: f64) -> RepeatPolicy {
+    RepeatPolicy {
         window: WINDOW,
         ratio: RATIO,
         extra,
@@ -56,7 +56,7 @@
 
 /// Hosts with their budgets, the messages between them, and the requests and repeats so far.
 struct Site {
-    terms: BudgetTerms,
+    terms: RepeatPolicy,
     now: Instant,
     rng: StdRng,
     hosts: Vec<Host>,
