--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -23,7 +23,7 @@
             direct::{AttemptEnd, CallRequest, CopyState, NextStep, next_step},
             places::SlotOutcome,
             poison::Standing,
-            repeats::Paid,
+            repeats::RepeatCharge,
         },
         timeline::Event,
         version::routing::RouteKind,
@@ -510,7 +510,7 @@
     fn pay_for_repeat(
         &self,
         request: &CallRequest,
-    ) -> Option<Paid> {
+    ) -> Option<RepeatCharge> {
         let now = Instant::now();
         let mut board = self.board.borrow_mut();
         let budget = board.budget(&request.service.name);
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -5,17 +5,17 @@
 mod earned;
 mod extra_share;
 mod loan_asks;
-mod paid;
 mod recent_count;
 mod repeat_budget;
+mod repeat_charge;
 mod repeat_policy;
 mod usage;
 
 pub use {
     borrowed::Borrowed,
-    paid::Paid,
     recent_count::{RecentCount, Rounding},
     repeat_budget::RepeatBudget,
+    repeat_charge::RepeatCharge,
     repeat_policy::{ARRIVAL_LAG, LOAN_VALIDITY, RepeatPolicy},
     usage::RepeatUsage,
 };
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Paid, RepeatPolicy, RepeatUsage,
+        RepeatCharge, RepeatPolicy, RepeatUsage,
         borrowed::Borrowed,
         earned::Earned,
         extra_share::ExtraShare,
@@ -96,7 +96,7 @@
     pub fn pay(
         &mut self,
         now: Instant,
-    ) -> Option<Paid> {
+    ) -> Option<RepeatCharge> {
         if !self.allows(now) {
             return None;
         }
@@ -108,7 +108,7 @@
         let own = 1.0 - earned - borrowed;
         self.extra.spend(own, now);
         self.needed.add(own, now);
-        Some(Paid {
+        Some(RepeatCharge {
             at: now,
             earned,
             borrowed,
@@ -119,7 +119,7 @@
     /// Refunds a charge whose repeat did not arrive anywhere. Borrowed quota is not refunded.
     pub fn give_back(
         &mut self,
-        paid: &Paid,
+        paid: &RepeatCharge,
     ) {
         self.earned.give_back(paid.earned);
         self.extra.give_back(paid.own, paid.at);
--- a/src/request/repeats/paid.rs
+++ b/src/request/repeats/repeat_charge.rs
@@ -2,7 +2,7 @@
 
 /// The sources from which one repeat was charged.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Paid {
+pub struct RepeatCharge {
     pub at: Instant,
     /// Accrued by the host's own requests.
     pub earned: f64,
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -6,7 +6,7 @@
         clock::Instant,
         connection::datagram::{HostRumor, RumorState},
         process::hosts::{HostIdentity, HostTable, HostTimings},
-        request::repeats::{ARRIVAL_LAG, LOAN_VALIDITY, Paid, RepeatBudget, RepeatPolicy},
+        request::repeats::{ARRIVAL_LAG, LOAN_VALIDITY, RepeatBudget, RepeatCharge, RepeatPolicy},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom},
     rstest::rstest,
@@ -175,7 +175,7 @@
 
     fn arrive(
         &mut self,
-        paid: &Paid,
+        paid: &RepeatCharge,
     ) {
         let lag = self.rng.random_range(Duration::ZERO..ARRIVAL_LAG);
         self.arrivals.push(paid.at + lag);
