--- a/src/request/quotas/customer_quota.rs
+++ b/src/request/quotas/customer_quota.rs
@@ -2,7 +2,7 @@
     super::{Charge, GRANT_TTL, LIMIT_PARTS},
     crate::{
         clock::Instant,
-        request::repeats::{Borrowed, RecentCount, Rounding},
+        request::repeats::{Borrowed, Rounding, SlidingSum},
     },
     std::time::Duration,
 };
@@ -45,8 +45,8 @@
 pub struct CustomerQuota {
     prefetched: Borrowed,
     /// Cost and number of this host's requests within `GRANT_TTL`.
-    cost: RecentCount,
-    requests: RecentCount,
+    cost: SlidingSum,
+    requests: SlidingSum,
     parts: [PartStatus; LIMIT_PARTS],
     /// The part that is tried first; rotates with each request.
     first_part: usize,
@@ -55,7 +55,7 @@
 impl CustomerQuota {
     /// `first_part` differs between hosts, to spread their load.
     pub fn new(first_part: usize) -> Self {
-        let recent = || RecentCount::new(GRANT_TTL, Rounding::Down);
+        let recent = || SlidingSum::new(GRANT_TTL, Rounding::Down);
         Self {
             prefetched: Borrowed::default(),
             cost: recent(),
--- a/src/request/repeats/earned.rs
+++ b/src/request/repeats/earned.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         RepeatPolicy,
-        recent_count::{RecentCount, Rounding},
         repeat_policy::KEPT_PART,
+        sliding_sum::{Rounding, SlidingSum},
     },
     crate::clock::Instant,
 };
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Earned {
     terms: RepeatPolicy,
-    requests: RecentCount,
+    requests: SlidingSum,
     kept: f64,
 }
 
@@ -22,7 +22,7 @@
     pub fn new(terms: RepeatPolicy) -> Self {
         Self {
             terms,
-            requests: RecentCount::new(terms.window, Rounding::Down),
+            requests: SlidingSum::new(terms.window, Rounding::Down),
             kept: 0.0,
         }
     }
--- a/src/request/repeats/extra_share.rs
+++ b/src/request/repeats/extra_share.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         RepeatPolicy,
-        recent_count::{RecentCount, Rounding},
+        sliding_sum::{Rounding, SlidingSum},
     },
     crate::clock::Instant,
 };
@@ -12,8 +12,8 @@
     terms: RepeatPolicy,
     /// The share is zero before.
     from: Instant,
-    spent: RecentCount,
-    lent: RecentCount,
+    spent: SlidingSum,
+    lent: SlidingSum,
 }
 
 impl ExtraShare {
@@ -24,8 +24,8 @@
         Self {
             terms,
             from,
-            spent: RecentCount::new(terms.spent_time(), Rounding::Up),
-            lent: RecentCount::new(terms.lent_time(), Rounding::Up),
+            spent: SlidingSum::new(terms.spent_time(), Rounding::Up),
+            lent: SlidingSum::new(terms.lent_time(), Rounding::Up),
         }
     }
 
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -5,17 +5,17 @@
 mod earned;
 mod extra_share;
 mod loan_asks;
-mod recent_count;
 mod repeat_budget;
 mod repeat_charge;
 mod repeat_policy;
+mod sliding_sum;
 mod usage;
 
 pub use {
     borrowed::Borrowed,
-    recent_count::{RecentCount, Rounding},
     repeat_budget::RepeatBudget,
     repeat_charge::RepeatCharge,
     repeat_policy::{ARRIVAL_LAG, LOAN_VALIDITY, RepeatPolicy},
+    sliding_sum::{Rounding, SlidingSum},
     usage::RepeatUsage,
 };
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -5,7 +5,7 @@
         earned::Earned,
         extra_share::ExtraShare,
         loan_asks::LoanAsks,
-        recent_count::{RecentCount, Rounding},
+        sliding_sum::{Rounding, SlidingSum},
     },
     crate::clock::Instant,
     std::time::Duration,
@@ -34,9 +34,9 @@
     /// Number of hosts that share the extra allowance.
     hosts: usize,
     /// Recent demand for repeats, charged or not.
-    wanted: RecentCount,
+    wanted: SlidingSum,
     /// Recent demand on the host's own share; not lent.
-    needed: RecentCount,
+    needed: SlidingSum,
     paid: u32,
     refused: u32,
 }
@@ -54,8 +54,8 @@
             extra: ExtraShare::new(terms, share_from),
             asks: LoanAsks::new(first_ask),
             hosts: 0,
-            wanted: RecentCount::new(AHEAD, Rounding::Up),
-            needed: RecentCount::new(terms.window, Rounding::Up),
+            wanted: SlidingSum::new(AHEAD, Rounding::Up),
+            needed: SlidingSum::new(terms.window, Rounding::Up),
             paid: 0,
             refused: 0,
         }
--- a/src/request/repeats/recent_count.rs
+++ b/src/request/repeats/sliding_sum.rs
@@ -17,14 +17,14 @@
 
 /// The sum of amounts within a sliding window.
 #[derive(Debug)]
-pub struct RecentCount {
+pub struct SlidingSum {
     time: Duration,
     rounding: Rounding,
     slices: VecDeque<(Instant, f64)>,
     sum: f64,
 }
 
-impl RecentCount {
+impl SlidingSum {
     pub fn new(
         time: Duration,
         rounding: Rounding,
