--- a/src/request/quotas/customer_quota.rs
+++ b/src/request/quotas/customer_quota.rs
@@ -2,7 +2,7 @@
     super::{Charge, GRANT_TTL, LIMIT_PARTS},
     crate::{
         clock::Instant,
-        request::repeats::{Borrowed, Rounding, SlidingSum},
+        request::repeats::{ExpiringBalance, Rounding, SlidingSum},
     },
     std::time::Duration,
 };
@@ -43,7 +43,7 @@
 /// A customer's quota as seen by one host: what was prefetched, and the state of each part of the limit.
 #[derive(Debug)]
 pub struct CustomerQuota {
-    prefetched: Borrowed,
+    prefetched: ExpiringBalance,
     /// Cost and number of this host's requests within `GRANT_TTL`.
     cost: SlidingSum,
     requests: SlidingSum,
@@ -57,7 +57,7 @@
     pub fn new(first_part: usize) -> Self {
         let recent = || SlidingSum::new(GRANT_TTL, Rounding::Down);
         Self {
-            prefetched: Borrowed::default(),
+            prefetched: ExpiringBalance::default(),
             cost: recent(),
             requests: recent(),
             parts: Default::default(),
--- a/src/request/repeats/borrowed.rs
+++ b/src/request/repeats/expiring_balance.rs
@@ -8,11 +8,11 @@
 
 /// Amounts that each expire at a time of their own.
 #[derive(Debug, Default)]
-pub struct Borrowed {
+pub struct ExpiringBalance {
     loans: VecDeque<Loan>,
 }
 
-impl Borrowed {
+impl ExpiringBalance {
     pub fn add(
         &mut self,
         amount: f64,
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -1,8 +1,8 @@
 //! Limits how often requests are repeated at targets, over all hosts of a site. Each host has a share of the allowance,
 //! and hosts borrow unused quota from each other. No I/O.
 
-mod borrowed;
 mod earned;
+mod expiring_balance;
 mod extra_share;
 mod loan_asks;
 mod repeat_budget;
@@ -12,7 +12,7 @@
 mod usage;
 
 pub use {
-    borrowed::Borrowed,
+    expiring_balance::ExpiringBalance,
     repeat_budget::RepeatBudget,
     repeat_charge::RepeatCharge,
     repeat_policy::{ARRIVAL_LAG, LOAN_VALIDITY, RepeatPolicy},
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         RepeatCharge, RepeatPolicy, RepeatUsage,
-        borrowed::Borrowed,
         earned::Earned,
+        expiring_balance::ExpiringBalance,
         extra_share::ExtraShare,
         loan_asks::LoanAsks,
         sliding_sum::{Rounding, SlidingSum},
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct RepeatBudget {
     earned: Earned,
-    borrowed: Borrowed,
+    borrowed: ExpiringBalance,
     extra: ExtraShare,
     asks: LoanAsks,
     /// Number of hosts that share the extra allowance.
@@ -50,7 +50,7 @@
     ) -> Self {
         Self {
             earned: Earned::new(terms),
-            borrowed: Borrowed::default(),
+            borrowed: ExpiringBalance::default(),
             extra: ExtraShare::new(terms, share_from),
             asks: LoanAsks::new(first_ask),
             hosts: 0,
@@ -105,7 +105,7 @@
         // Quota that expires first is spent first.
         let earned = self.earned.spend(1.0, now);
         let borrowed = self.borrowed.spend(1.0 - earned, now);
-        let own = 1.0 - earned - borrowed;
+        let own = 1.0 - earned - expiring_balance;
         self.extra.spend(own, now);
         self.needed.add(own, now);
         Some(RepeatCharge {
