--- a/src/request/repeats/earned.rs
+++ b/src/request/repeats/accrued_quota.rs
@@ -12,13 +12,13 @@
 /// The balance is capped at a fraction of what accrues in a window, so that a restart, or demand that moves from host
 /// to host, can't use the accruals of two windows in one.
 #[derive(Debug)]
-pub struct Earned {
+pub struct AccruedQuota {
     terms: RepeatPolicy,
     requests: SlidingSum,
     kept: f64,
 }
 
-impl Earned {
+impl AccruedQuota {
     pub fn new(terms: RepeatPolicy) -> Self {
         Self {
             terms,
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -1,7 +1,7 @@
 //! Limits how often requests are repeated at targets, over all hosts of a site. Each host has a share of the allowance,
 //! and hosts borrow unused quota from each other. No I/O.
 
-mod earned;
+mod accrued_quota;
 mod expiring_balance;
 mod extra_share;
 mod loan_asks;
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         RepeatCharge, RepeatPolicy, RepeatUsage,
-        earned::Earned,
+        accrued_quota::AccruedQuota,
         expiring_balance::ExpiringBalance,
         extra_share::ExtraShare,
         loan_asks::LoanAsks,
@@ -27,7 +27,7 @@
 /// extra allowance.
 #[derive(Debug)]
 pub struct RepeatBudget {
-    earned: Earned,
+    earned: AccruedQuota,
     borrowed: ExpiringBalance,
     extra: ExtraShare,
     asks: LoanAsks,
@@ -49,7 +49,7 @@
         first_ask: u64,
     ) -> Self {
         Self {
-            earned: Earned::new(terms),
+            earned: AccruedQuota::new(terms),
             borrowed: ExpiringBalance::default(),
             extra: ExtraShare::new(terms, share_from),
             asks: LoanAsks::new(first_ask),
