--- a/src/request/repeats/extra_share.rs
+++ b/src/request/repeats/host_share.rs
@@ -8,7 +8,7 @@
 
 /// A host's share of the extra allowance, and what it has spent and lent of it.
 #[derive(Debug)]
-pub struct ExtraShare {
+pub struct HostShare {
     terms: RepeatPolicy,
     /// The share is zero before.
     from: Instant,
@@ -16,7 +16,7 @@
     lent: SlidingSum,
 }
 
-impl ExtraShare {
+impl HostShare {
     pub fn new(
         terms: RepeatPolicy,
         from: Instant,
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -3,7 +3,7 @@
 
 mod accrued_quota;
 mod expiring_balance;
-mod extra_share;
+mod host_share;
 mod loan_asks;
 mod repeat_budget;
 mod repeat_charge;
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -3,7 +3,7 @@
         RepeatCharge, RepeatPolicy, RepeatUsage,
         accrued_quota::AccruedQuota,
         expiring_balance::ExpiringBalance,
-        extra_share::ExtraShare,
+        host_share::HostShare,
         loan_asks::LoanAsks,
         sliding_sum::{Rounding, SlidingSum},
     },
@@ -29,7 +29,7 @@
 pub struct RepeatBudget {
     earned: AccruedQuota,
     borrowed: ExpiringBalance,
-    extra: ExtraShare,
+    extra: HostShare,
     asks: LoanAsks,
     /// Number of hosts that share the extra allowance.
     hosts: usize,
@@ -51,7 +51,7 @@
         Self {
             earned: AccruedQuota::new(terms),
             borrowed: ExpiringBalance::default(),
-            extra: ExtraShare::new(terms, share_from),
+            extra: HostShare::new(terms, share_from),
             asks: LoanAsks::new(first_ask),
             hosts: 0,
             wanted: SlidingSum::new(AHEAD, Rounding::Up),
