--- a/src/request/repeats/loan_asks.rs
+++ b/src/request/repeats/borrow_requests.rs
@@ -36,7 +36,7 @@
 
 /// Requests to borrow quota from other hosts.
 #[derive(Debug)]
-pub struct LoanAsks {
+pub struct BorrowRequests {
     /// Starts at a random number, so that responses to a previous process don't match.
     next_id: u64,
     open: VecDeque<Open>,
@@ -44,7 +44,7 @@
     fruitless: u32,
 }
 
-impl LoanAsks {
+impl BorrowRequests {
     pub fn new(first_id: u64) -> Self {
         Self {
             next_id: first_id,
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -2,9 +2,9 @@
 //! and hosts borrow unused quota from each other. No I/O.
 
 mod accrued_quota;
+mod borrow_requests;
 mod expiring_balance;
 mod host_share;
-mod loan_asks;
 mod repeat_budget;
 mod repeat_charge;
 mod repeat_policy;
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -2,9 +2,9 @@
     super::{
         RepeatCharge, RepeatPolicy, RepeatUsage,
         accrued_quota::AccruedQuota,
+        borrow_requests::BorrowRequests,
         expiring_balance::ExpiringBalance,
         host_share::HostShare,
-        loan_asks::LoanAsks,
         sliding_sum::{Rounding, SlidingSum},
     },
     crate::clock::Instant,
@@ -30,7 +30,7 @@
     earned: AccruedQuota,
     borrowed: ExpiringBalance,
     extra: HostShare,
-    asks: LoanAsks,
+    asks: BorrowRequests,
     /// Number of hosts that share the extra allowance.
     hosts: usize,
     /// Recent demand for repeats, charged or not.
@@ -52,7 +52,7 @@
             earned: AccruedQuota::new(terms),
             borrowed: ExpiringBalance::default(),
             extra: HostShare::new(terms, share_from),
-            asks: LoanAsks::new(first_ask),
+            asks: BorrowRequests::new(first_ask),
             hosts: 0,
             wanted: SlidingSum::new(AHEAD, Rounding::Up),
             needed: SlidingSum::new(terms.window, Rounding::Up),
