--- a/src/request/repeats/borrow_requests.rs
+++ b/src/request/repeats/borrow_requests.rs
@@ -1,5 +1,5 @@
 use {
-    super::repeat_policy::LOAN_VALIDITY,
+    super::repeat_policy::BORROWED_TTL,
     crate::clock::Instant,
     std::{collections::VecDeque, time::Duration},
 };
@@ -103,7 +103,7 @@
         let place = self.open.iter().position(|open| open.id == id)?;
         let open = self.open.remove(place)?;
         self.fruitless = self.fruitless.saturating_sub(MADE_UP);
-        Some(open.at + LOAN_VALIDITY)
+        Some(open.at + BORROWED_TTL)
     }
 
     /// Returns the amount that pending requests are expected to bring.
@@ -121,7 +121,7 @@
         &mut self,
         now: Instant,
     ) {
-        let old = |open: &Open| now.saturating_duration_since(open.at) >= LOAN_VALIDITY;
+        let old = |open: &Open| now.saturating_duration_since(open.at) >= BORROWED_TTL;
         while self.open.front().is_some_and(old) {
             self.open.pop_front();
         }
--- a/src/request/repeats/mod.rs
+++ b/src/request/repeats/mod.rs
@@ -15,7 +15,7 @@
     expiring_balance::ExpiringBalance,
     repeat_budget::RepeatBudget,
     repeat_charge::RepeatCharge,
-    repeat_policy::{ARRIVAL_LAG, LOAN_VALIDITY, RepeatPolicy},
+    repeat_policy::{BORROWED_TTL, MAX_ARRIVAL_DELAY, RepeatPolicy},
     sliding_sum::{Rounding, SlidingSum},
     usage::RepeatUsage,
 };
--- a/src/request/repeats/repeat_policy.rs
+++ b/src/request/repeats/repeat_policy.rs
@@ -1,11 +1,11 @@
 use std::time::Duration;
 
 /// Maximum time from charging a repeat to its arrival at the target.
-pub const ARRIVAL_LAG: Duration = Duration::from_millis(500);
+pub const MAX_ARRIVAL_DELAY: Duration = Duration::from_millis(500);
 
 /// Borrowed quota expires this long after it was requested. The lender counts it as used for longer, so that it is
 /// never spent twice.
-pub const LOAN_VALIDITY: Duration = Duration::from_secs(2);
+pub const BORROWED_TTL: Duration = Duration::from_secs(2);
 
 /// Time in which the hosts of a new site learn of each other.
 const SETTLING: Duration = Duration::from_secs(2);
@@ -50,12 +50,12 @@
 
     /// Returns how long spent quota counts against the share.
     pub(super) fn spent_time(&self) -> Duration {
-        self.window + ARRIVAL_LAG
+        self.window + MAX_ARRIVAL_DELAY
     }
 
     /// Returns how long lent quota counts against the share.
     pub(super) fn lent_time(&self) -> Duration {
-        self.spent_time() + LOAN_VALIDITY
+        self.spent_time() + BORROWED_TTL
     }
 
     /// Returns the time from the start of a process until it may use its share: a previous process of the host may have
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -6,7 +6,9 @@
         clock::Instant,
         connection::datagram::{HostRumor, RumorState},
         process::hosts::{HostIdentity, HostTable, HostTimings},
-        request::repeats::{ARRIVAL_LAG, LOAN_VALIDITY, RepeatBudget, RepeatCharge, RepeatPolicy},
+        request::repeats::{
+            BORROWED_TTL, MAX_ARRIVAL_DELAY, RepeatBudget, RepeatCharge, RepeatPolicy,
+        },
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom},
     rstest::rstest,
@@ -177,7 +179,7 @@
         &mut self,
         paid: &RepeatCharge,
     ) {
-        let lag = self.rng.random_range(Duration::ZERO..ARRIVAL_LAG);
+        let lag = self.rng.random_range(Duration::ZERO..MAX_ARRIVAL_DELAY);
         self.arrivals.push(paid.at + lag);
     }
 
@@ -496,7 +498,7 @@
     #[case] after: u64,
     #[case] good: bool,
 ) {
-    assert_eq!(LOAN_VALIDITY, ms(2_000));
+    assert_eq!(BORROWED_TTL, ms(2_000));
     let start = Instant::now();
     let mut budget = RepeatBudget::new(terms(0.0), start, 7);
     budget.on_refused(start);
@@ -508,7 +510,7 @@
     assert!(!budget.on_loan(ids[0], 1.0, comes), "it came twice");
     assert!(!budget.on_loan(99, 1.0, comes), "it was not asked for");
     assert_eq!(budget.allows(comes), good);
-    assert!(!budget.allows(start + LOAN_VALIDITY));
+    assert!(!budget.allows(start + BORROWED_TTL));
 }
 
 #[test]
@@ -560,7 +562,7 @@
     budget.give_back(&first);
     assert!(budget.allows(start));
     assert!(budget.pay(start).is_some());
-    let lag = WINDOW + ARRIVAL_LAG;
+    let lag = WINDOW + MAX_ARRIVAL_DELAY;
     assert!(!budget.allows(start + lag));
     assert!(budget.allows(start + lag + ms(600)));
 }
