--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -41,7 +41,7 @@
         };
         Self {
             terms,
-            share_from: now + terms.share_after(settings.first_start),
+            share_from: now + terms.share_delay(settings.first_start),
             hosts: 0,
             services: BTreeMap::new(),
             next_tell: now + TELL_PERIOD,
--- a/src/request/repeats/repeat_policy.rs
+++ b/src/request/repeats/repeat_policy.rs
@@ -60,7 +60,7 @@
 
     /// Returns the time from the start of a process until it may use its share: a previous process of the host may have
     /// spent or lent the share until just now, but not on the first start of the site.
-    pub fn share_after(
+    pub fn share_delay(
         &self,
         first_start: bool,
     ) -> Duration {
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -127,7 +127,7 @@
         down: Duration,
     ) {
         let started = self.now + down;
-        let share_from = started + self.terms.share_after(false);
+        let share_from = started + self.terms.share_delay(false);
         let first_ask = self.rng.random();
         let count = self.hosts.len();
         let host = &mut self.hosts[at];
@@ -433,7 +433,7 @@
     let mut site = Site::new(4, 60.0, 3);
     for step in 0..1_200 {
         if step % 100 == 50 {
-            let share_from = site.now + site.terms.share_after(false);
+            let share_from = site.now + site.terms.share_delay(false);
             site.add_host(share_from);
         }
         // The others learn of the host within two seconds.
