--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -105,7 +105,7 @@
         // Quota that expires first is spent first.
         let earned = self.earned.spend(1.0, now);
         let borrowed = self.borrowed.spend(1.0 - earned, now);
-        let own = 1.0 - earned - expiring_balance;
+        let own = 1.0 - earned - borrowed;
         self.extra.spend(own, now);
         self.needed.add(own, now);
         Some(RepeatCharge {
--- a/src/request/repeats/usage.rs
+++ b/src/request/repeats/usage.rs
@@ -26,7 +26,7 @@
         self.lent += other.lent;
         self.earned_left += other.earned_left;
         self.borrowed_left += other.borrowed_left;
-        self.paid += other.repeat_charge;
+        self.paid += other.paid;
         self.refused += other.refused;
     }
 }
