--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -453,7 +453,7 @@
         }
         let repeats = step == NextStep::Resend { repeats: true };
         if repeats && !self.wait_for_allowance(request).await {
-            self.board.borrow_mut().budget(service).on_refused(now);
+            self.board.borrow_mut().budget(service).on_rejected(now);
             step = next_step(&request.route, &tries.history, end, false);
         }
         match step {
@@ -496,10 +496,10 @@
                     return true;
                 }
                 if now == begun {
-                    board.budget(service).on_wanted(now);
+                    board.budget(service).on_waiting(now);
                 }
                 board.ask_for_loans(service, now);
-                if now >= until || !board.budget(service).awaits_loans(now) {
+                if now >= until || !board.budget(service).is_borrowing(now) {
                     return false;
                 }
             }
@@ -516,7 +516,7 @@
         let budget = board.budget(&request.service.name);
         let paid = budget.pay(now);
         if paid.is_none() {
-            budget.on_refused(now);
+            budget.on_rejected(now);
         }
         paid
     }
--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -85,7 +85,7 @@
         service: &str,
         now: Instant,
     ) -> Vec<LoanAsk> {
-        let (ids, amount) = self.of(service).loans_to_ask(now);
+        let (ids, amount) = self.of(service).next_borrow_requests(now);
         let ask = |id| LoanAsk {
             service: service.to_string(),
             id,
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -126,7 +126,7 @@
     }
 
     /// Records that a repeat was rejected for lack of quota.
-    pub fn on_refused(
+    pub fn on_rejected(
         &mut self,
         now: Instant,
     ) {
@@ -136,7 +136,7 @@
     }
 
     /// Records that a repeat waits for quota.
-    pub fn on_wanted(
+    pub fn on_waiting(
         &mut self,
         now: Instant,
     ) {
@@ -144,7 +144,7 @@
     }
 
     /// Returns the ids of requests to send now, each to a different host, and the amount to borrow.
-    pub fn loans_to_ask(
+    pub fn next_borrow_requests(
         &mut self,
         now: Instant,
     ) -> (Vec<u64>, f64) {
@@ -158,7 +158,7 @@
     }
 
     /// Returns true if a pending request may still bring quota.
-    pub fn awaits_loans(
+    pub fn is_borrowing(
         &mut self,
         now: Instant,
     ) -> bool {
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -168,8 +168,8 @@
         match paid {
             Some(paid) => self.arrive(&paid),
             None => {
-                self.hosts[at].budget.on_wanted(self.now);
-                self.hosts[at].budget.on_refused(self.now);
+                self.hosts[at].budget.on_waiting(self.now);
+                self.hosts[at].budget.on_rejected(self.now);
             }
         }
         paid.is_some()
@@ -206,7 +206,7 @@
         &mut self,
         at: usize,
     ) {
-        let (ids, amount) = self.hosts[at].budget.loans_to_ask(self.now);
+        let (ids, amount) = self.hosts[at].budget.next_borrow_requests(self.now);
         for id in ids {
             self.asked += 1;
             if self.hosts[at].lenders.is_empty() {
@@ -501,9 +501,9 @@
     assert_eq!(BORROWED_TTL, ms(2_000));
     let start = Instant::now();
     let mut budget = RepeatBudget::new(terms(0.0), start, 7);
-    budget.on_refused(start);
-    budget.on_wanted(start);
-    let (ids, amount) = budget.loans_to_ask(start);
+    budget.on_rejected(start);
+    budget.on_waiting(start);
+    let (ids, amount) = budget.next_borrow_requests(start);
     assert!(amount >= 1.0);
     let comes = start + ms(after);
     assert_eq!(budget.on_loan(ids[0], 1.0, comes), good);
