--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -315,7 +315,7 @@
             drop(place);
             if let Some(paid) = paid.filter(|_| sent.never_arrived()) {
                 let mut board = self.board.borrow_mut();
-                board.budget(&request.service.name).give_back(&paid);
+                board.budget(&request.service.name).refund(&paid);
             }
             let end = match sent {
                 Sent::Whole(answer) => {
@@ -492,7 +492,7 @@
             let now = Instant::now();
             {
                 let mut board = self.board.borrow_mut();
-                if board.budget(service).allows(now) {
+                if board.budget(service).can_repeat(now) {
                     return true;
                 }
                 if now == begun {
@@ -514,7 +514,7 @@
         let now = Instant::now();
         let mut board = self.board.borrow_mut();
         let budget = board.budget(&request.service.name);
-        let paid = budget.pay(now);
+        let paid = budget.charge(now);
         if paid.is_none() {
             budget.on_rejected(now);
         }
--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -126,7 +126,7 @@
         let Some(budget) = self.services.get_mut(&loan.service) else {
             return;
         };
-        let in_time = budget.on_loan(loan.id, f64::from(loan.amount) / PARTS, now);
+        let in_time = budget.on_borrowed(loan.id, f64::from(loan.amount) / PARTS, now);
         count_loans(if in_time { "borrowed" } else { "late" }, 1);
     }
 
--- a/src/request/quotas/customer_quota.rs
+++ b/src/request/quotas/customer_quota.rs
@@ -83,7 +83,7 @@
         tried: &TriedParts,
         now: Instant,
     ) -> QuotaStep {
-        if self.prefetched.left(now) >= cost {
+        if self.prefetched.available(now) >= cost {
             self.prefetched.spend(cost, now);
             return QuotaStep::Prepaid;
         }
@@ -130,7 +130,7 @@
             id: rand::random(),
             need: cost,
             prefetch: match busy {
-                true => (self.cost.sum(now) - self.prefetched.left(now)).max(0.0),
+                true => (self.cost.sum(now) - self.prefetched.available(now)).max(0.0),
                 false => 0.0,
             },
         }
--- a/src/request/repeats/accrued_quota.rs
+++ b/src/request/repeats/accrued_quota.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         RepeatPolicy,
-        repeat_policy::KEPT_PART,
+        repeat_policy::MAX_BALANCE_FRACTION,
         sliding_sum::{Rounding, SlidingSum},
     },
     crate::clock::Instant,
@@ -13,17 +13,17 @@
 /// to host, can't use the accruals of two windows in one.
 #[derive(Debug)]
 pub struct AccruedQuota {
-    terms: RepeatPolicy,
+    policy: RepeatPolicy,
     requests: SlidingSum,
-    kept: f64,
+    balance: f64,
 }
 
 impl AccruedQuota {
-    pub fn new(terms: RepeatPolicy) -> Self {
+    pub fn new(policy: RepeatPolicy) -> Self {
         Self {
-            terms,
-            requests: SlidingSum::new(terms.window, Rounding::Down),
-            kept: 0.0,
+            policy,
+            requests: SlidingSum::new(policy.window, Rounding::Down),
+            balance: 0.0,
         }
     }
 
@@ -32,17 +32,17 @@
         now: Instant,
     ) {
         self.requests.add(1.0, now);
-        self.kept += self.terms.earned_by_request();
+        self.balance += self.policy.accrued_per_request();
     }
 
     /// Returns the balance.
-    pub fn left(
+    pub fn available(
         &mut self,
         now: Instant,
     ) -> f64 {
-        let earned = self.requests.sum(now) * self.terms.earned_by_request();
-        self.kept = self.kept.min(earned * KEPT_PART);
-        self.kept
+        let accrued = self.requests.sum(now) * self.policy.accrued_per_request();
+        self.balance = self.balance.min(accrued * MAX_BALANCE_FRACTION);
+        self.balance
     }
 
     /// Spends up to this amount; returns the amount spent.
@@ -51,15 +51,15 @@
         amount: f64,
         now: Instant,
     ) -> f64 {
-        let spent = self.left(now).min(amount);
-        self.kept -= spent;
+        let spent = self.available(now).min(amount);
+        self.balance -= spent;
         spent
     }
 
-    pub fn give_back(
+    pub fn refund(
         &mut self,
         amount: f64,
     ) {
-        self.kept += amount;
+        self.balance += amount;
     }
 }
--- a/src/request/repeats/expiring_balance.rs
+++ b/src/request/repeats/expiring_balance.rs
@@ -1,36 +1,44 @@
 use {crate::clock::Instant, std::collections::VecDeque};
 
 #[derive(Debug)]
-struct Loan {
+struct Entry {
     amount: f64,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Amounts that each expire at a time of their own.
 #[derive(Debug, Default)]
 pub struct ExpiringBalance {
-    loans: VecDeque<Loan>,
+    entries: VecDeque<Entry>,
 }
 
 impl ExpiringBalance {
     pub fn add(
         &mut self,
         amount: f64,
-        until: Instant,
+        expires_at: Instant,
     ) {
-        let place = self.loans.partition_point(|loan| loan.until <= until);
-        self.loans.insert(place, Loan { amount, until });
+        let index = self
+            .entries
+            .partition_point(|entry| entry.expires_at <= expires_at);
+        self.entries.insert(index, Entry { amount, expires_at });
     }
 
-    pub fn left(
+    pub fn available(
         &mut self,
         now: Instant,
     ) -> f64 {
-        while self.loans.front().is_some_and(|loan| loan.until <= now) {
-            self.loans.pop_front();
+        while self
+            .entries
+            .front()
+            .is_some_and(|entry| entry.expires_at <= now)
+        {
+            self.entries.pop_front();
         }
         // Not `sum`, which returns -0.0 for an empty iterator.
-        self.loans.iter().fold(0.0, |sum, loan| sum + loan.amount)
+        self.entries
+            .iter()
+            .fold(0.0, |sum, entry| sum + entry.amount)
     }
 
     /// Spends up to this amount, earliest expiry first; returns the amount spent.
@@ -39,16 +47,16 @@
         amount: f64,
         now: Instant,
     ) -> f64 {
-        self.left(now);
+        self.available(now);
         let mut spent = 0.0;
-        while let Some(loan) = self.loans.front_mut() {
-            let part = loan.amount.min(amount - spent);
-            loan.amount -= part;
+        while let Some(entry) = self.entries.front_mut() {
+            let part = entry.amount.min(amount - spent);
+            entry.amount -= part;
             spent += part;
-            if loan.amount > 0.0 {
+            if entry.amount > 0.0 {
                 break;
             }
-            self.loans.pop_front();
+            self.entries.pop_front();
         }
         spent
     }
--- a/src/request/repeats/host_share.rs
+++ b/src/request/repeats/host_share.rs
@@ -9,35 +9,35 @@
 /// A host's share of the extra allowance, and what it has spent and lent of it.
 #[derive(Debug)]
 pub struct HostShare {
-    terms: RepeatPolicy,
+    policy: RepeatPolicy,
     /// The share is zero before.
-    from: Instant,
+    active_from: Instant,
     spent: SlidingSum,
     lent: SlidingSum,
 }
 
 impl HostShare {
     pub fn new(
-        terms: RepeatPolicy,
-        from: Instant,
+        policy: RepeatPolicy,
+        active_from: Instant,
     ) -> Self {
         Self {
-            terms,
-            from,
-            spent: SlidingSum::new(terms.spent_time(), Rounding::Up),
-            lent: SlidingSum::new(terms.lent_time(), Rounding::Up),
+            policy,
+            active_from,
+            spent: SlidingSum::new(policy.spent_window(), Rounding::Up),
+            lent: SlidingSum::new(policy.lent_window(), Rounding::Up),
         }
     }
 
     /// Returns the current share, if the allowance is divided among this many hosts.
-    pub fn share(
+    pub fn current(
         &self,
         hosts: usize,
         now: Instant,
     ) -> f64 {
-        match now < self.from {
+        match now < self.active_from {
             true => 0.0,
-            false => self.terms.share(hosts),
+            false => self.policy.host_share(hosts),
         }
     }
 
@@ -46,16 +46,16 @@
         &self,
         hosts: usize,
     ) -> f64 {
-        self.terms.share(hosts)
+        self.policy.host_share(hosts)
     }
 
-    pub fn left(
+    pub fn available(
         &mut self,
         hosts: usize,
         now: Instant,
     ) -> f64 {
         let used = self.spent.sum(now) + self.lent.sum(now);
-        (self.share(hosts, now) - used).max(0.0)
+        (self.current(hosts, now) - used).max(0.0)
     }
 
     pub fn spend(
@@ -66,12 +66,12 @@
         self.spent.add(amount, now);
     }
 
-    pub fn give_back(
+    pub fn refund(
         &mut self,
         amount: f64,
         at: Instant,
     ) {
-        self.spent.take_back(amount, at);
+        self.spent.subtract(amount, at);
     }
 
     pub fn lend(
--- a/src/request/repeats/repeat_budget.rs
+++ b/src/request/repeats/repeat_budget.rs
@@ -11,32 +11,32 @@
     std::time::Duration,
 };
 
-/// A host borrows to cover the demand of this time.
-const AHEAD: Duration = Duration::from_millis(500);
+/// Window of the recent demand that a host borrows quota for.
+const LOOKAHEAD: Duration = Duration::from_millis(500);
 
 /// Fraction of the idle quota that one request can borrow, so that several hosts get some.
-const LENT_PART: f64 = 0.5;
+const LENT_FRACTION: f64 = 0.5;
 
 /// Below twice this amount a lender gives all its idle quota, which could not pay for a repeat of its own.
-const WHOLE: f64 = 1.0;
+const ONE_REPEAT: f64 = 1.0;
 
 /// Tolerance for floating point errors of sums.
-const ROUNDING: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 
 /// One host's budget for repeats of one service: quota accrued by its requests, borrowed quota, and its share of the
 /// extra allowance.
 #[derive(Debug)]
 pub struct RepeatBudget {
-    earned: AccruedQuota,
+    accrued: AccruedQuota,
     borrowed: ExpiringBalance,
-    extra: HostShare,
-    asks: BorrowRequests,
+    share: HostShare,
+    borrow_requests: BorrowRequests,
     /// Number of hosts that share the extra allowance.
     hosts: usize,
     /// Recent demand for repeats, charged or not.
-    wanted: SlidingSum,
+    recent_demand: SlidingSum,
     /// Recent demand on the host's own share; not lent.
-    needed: SlidingSum,
+    share_demand: SlidingSum,
     paid: u32,
     refused: u32,
 }
@@ -44,18 +44,18 @@
 impl RepeatBudget {
     /// The host's share is zero before `share_from`.
     pub fn new(
-        terms: RepeatPolicy,
+        policy: RepeatPolicy,
         share_from: Instant,
-        first_ask: u64,
+        first_request_id: u64,
     ) -> Self {
         Self {
-            earned: AccruedQuota::new(terms),
+            accrued: AccruedQuota::new(policy),
             borrowed: ExpiringBalance::default(),
-            extra: HostShare::new(terms, share_from),
-            asks: BorrowRequests::new(first_ask),
+            share: HostShare::new(policy, share_from),
+            borrow_requests: BorrowRequests::new(first_request_id),
             hosts: 0,
-            wanted: SlidingSum::new(AHEAD, Rounding::Up),
-            needed: SlidingSum::new(terms.window, Rounding::Up),
+            recent_demand: SlidingSum::new(LOOKAHEAD, Rounding::Up),
+            share_demand: SlidingSum::new(policy.window, Rounding::Up),
             paid: 0,
             refused: 0,
         }
@@ -73,56 +73,58 @@
         &mut self,
         now: Instant,
     ) {
-        self.earned.on_request(now);
+        self.accrued.on_request(now);
     }
 
     /// Returns the available quota.
-    pub fn left(
+    pub fn available(
         &mut self,
         now: Instant,
     ) -> f64 {
-        self.earned.left(now) + self.borrowed.left(now) + self.extra.left(self.hosts, now)
+        self.accrued.available(now)
+            + self.borrowed.available(now)
+            + self.share.available(self.hosts, now)
     }
 
     /// Returns true if another repeat can be charged.
-    pub fn allows(
+    pub fn can_repeat(
         &mut self,
         now: Instant,
     ) -> bool {
-        self.left(now) + ROUNDING >= 1.0
+        self.available(now) + EPSILON >= 1.0
     }
 
     /// Charges a repeat that is sent now; `None` if it must not be sent.
-    pub fn pay(
+    pub fn charge(
         &mut self,
         now: Instant,
     ) -> Option<RepeatCharge> {
-        if !self.allows(now) {
+        if !self.can_repeat(now) {
             return None;
         }
-        self.wanted.add(1.0, now);
+        self.recent_demand.add(1.0, now);
         self.paid += 1;
         // Quota that expires first is spent first.
-        let earned = self.earned.spend(1.0, now);
-        let borrowed = self.borrowed.spend(1.0 - earned, now);
-        let own = 1.0 - earned - borrowed;
-        self.extra.spend(own, now);
-        self.needed.add(own, now);
+        let accrued = self.accrued.spend(1.0, now);
+        let borrowed = self.borrowed.spend(1.0 - accrued, now);
+        let own = 1.0 - accrued - borrowed;
+        self.share.spend(own, now);
+        self.share_demand.add(own, now);
         Some(RepeatCharge {
-            at: now,
-            earned,
+            charged_at: now,
+            accrued,
             borrowed,
             own,
         })
     }
 
     /// Refunds a charge whose repeat did not arrive anywhere. Borrowed quota is not refunded.
-    pub fn give_back(
+    pub fn refund(
         &mut self,
-        paid: &RepeatCharge,
+        charge: &RepeatCharge,
     ) {
-        self.earned.give_back(paid.earned);
-        self.extra.give_back(paid.own, paid.at);
+        self.accrued.refund(charge.accrued);
+        self.share.refund(charge.own, charge.charged_at);
     }
 
     /// Records that a repeat was rejected for lack of quota.
@@ -130,8 +132,8 @@
         &mut self,
         now: Instant,
     ) {
-        self.wanted.add(1.0, now);
-        self.needed.add(1.0, now);
+        self.recent_demand.add(1.0, now);
+        self.share_demand.add(1.0, now);
         self.refused += 1;
     }
 
@@ -140,7 +142,7 @@
         &mut self,
         now: Instant,
     ) {
-        self.wanted.add(1.0, now);
+        self.recent_demand.add(1.0, now);
     }
 
     /// Returns the ids of requests to send now, each to a different host, and the amount to borrow.
@@ -148,13 +150,13 @@
         &mut self,
         now: Instant,
     ) -> (Vec<u64>, f64) {
-        let wanted = self.wanted.sum(now);
-        if wanted == 0.0 {
+        let demand = self.recent_demand.sum(now);
+        if demand == 0.0 {
             return (Vec::new(), 0.0);
         }
-        let missing = wanted.max(1.0) - self.left(now);
-        let likely = lendable(self.extra.full_share(self.hosts));
-        self.asks.round(missing, likely, now)
+        let missing = demand.max(1.0) - self.available(now);
+        let likely = lendable(self.share.full_share(self.hosts));
+        self.borrow_requests.start_round(missing, likely, now)
     }
 
     /// Returns true if a pending request may still bring quota.
@@ -162,33 +164,33 @@
         &mut self,
         now: Instant,
     ) -> bool {
-        self.asks.awaited(now) > 0.0
+        self.borrow_requests.expected_amount(now) > 0.0
     }
 
     /// Adds borrowed quota; returns false if the response is late or repeated.
-    pub fn on_loan(
+    pub fn on_borrowed(
         &mut self,
         id: u64,
         amount: f64,
         now: Instant,
     ) -> bool {
-        let Some(until) = self.asks.on_loan(id, now) else {
+        let Some(expires_at) = self.borrow_requests.on_borrowed(id, now) else {
             return false;
         };
-        self.borrowed.add(amount, until);
+        self.borrowed.add(amount, expires_at);
         true
     }
 
     /// Lends quota to another host and returns the amount. It counts as spent, whether or not the response arrives.
     pub fn lend(
         &mut self,
-        asked: f64,
+        requested: f64,
         now: Instant,
     ) -> f64 {
-        let idle = self.extra.left(self.hosts, now) - self.needed.sum(now);
-        let amount = lendable(idle).min(asked).max(0.0);
+        let idle = self.share.available(self.hosts, now) - self.share_demand.sum(now);
+        let amount = lendable(idle).min(requested).max(0.0);
         if amount > 0.0 {
-            self.extra.lend(amount, now);
+            self.share.lend(amount, now);
         }
         amount
     }
@@ -200,11 +202,11 @@
     ) -> RepeatUsage {
         RepeatUsage {
             hosts: self.hosts,
-            share: self.extra.share(self.hosts, now),
-            spent: self.extra.spent(now),
-            lent: self.extra.lent(now),
-            earned_left: self.earned.left(now),
-            borrowed_left: self.borrowed.left(now),
+            share: self.share.current(self.hosts, now),
+            spent: self.share.spent(now),
+            lent: self.share.lent(now),
+            earned_left: self.accrued.available(now),
+            borrowed_left: self.borrowed.available(now),
             paid: std::mem::take(&mut self.paid),
             refused: std::mem::take(&mut self.refused),
         }
@@ -213,8 +215,8 @@
 
 /// Returns what a host with this much idle quota lends to one request.
 fn lendable(idle: f64) -> f64 {
-    match idle > 2.0 * WHOLE {
-        true => idle * LENT_PART,
+    match idle > 2.0 * ONE_REPEAT {
+        true => idle * LENT_FRACTION,
         false => idle,
     }
 }
--- a/src/request/repeats/sliding_sum.rs
+++ b/src/request/repeats/sliding_sum.rs
@@ -18,7 +18,7 @@
 /// The sum of amounts within a sliding window.
 #[derive(Debug)]
 pub struct SlidingSum {
-    time: Duration,
+    window: Duration,
     rounding: Rounding,
     slices: VecDeque<(Instant, f64)>,
     sum: f64,
@@ -26,11 +26,11 @@
 
 impl SlidingSum {
     pub fn new(
-        time: Duration,
+        window: Duration,
         rounding: Rounding,
     ) -> Self {
         Self {
-            time,
+            window,
             rounding,
             slices: VecDeque::new(),
             sum: 0.0,
@@ -42,8 +42,8 @@
         amount: f64,
         now: Instant,
     ) {
-        self.drop_old(now);
-        let length = self.time / SLICES;
+        self.evict_expired(now);
+        let length = self.window / SLICES;
         let fits = |from: Instant| now.saturating_duration_since(from) < length;
         match self.slices.back_mut() {
             Some((from, count)) if fits(*from) => *count += amount,
@@ -53,16 +53,16 @@
     }
 
     /// Subtracts from what was added at a time.
-    pub fn take_back(
+    pub fn subtract(
         &mut self,
         amount: f64,
         at: Instant,
     ) {
         let slice = self.slices.iter_mut().rev().find(|(from, _)| *from <= at);
         if let Some((_, count)) = slice {
-            let back = amount.min(*count);
-            *count -= back;
-            self.sum -= back;
+            let removed = amount.min(*count);
+            *count -= removed;
+            self.sum -= removed;
         }
     }
 
@@ -70,25 +70,29 @@
         &mut self,
         now: Instant,
     ) -> f64 {
-        self.drop_old(now);
+        self.evict_expired(now);
         self.sum
     }
 
-    fn drop_old(
+    fn evict_expired(
         &mut self,
         now: Instant,
     ) {
-        let kept = match self.rounding {
-            Rounding::Down => self.time,
-            Rounding::Up => self.time + self.time / SLICES,
+        let retention = match self.rounding {
+            Rounding::Down => self.window,
+            Rounding::Up => self.window + self.window / SLICES,
         };
-        let old = |from: Instant| now.saturating_duration_since(from) > kept;
-        let mut dropped = false;
-        while self.slices.front().is_some_and(|(from, _)| old(*from)) {
+        let is_expired = |from: Instant| now.saturating_duration_since(from) > retention;
+        let mut evicted = false;
+        while self
+            .slices
+            .front()
+            .is_some_and(|(from, _)| is_expired(*from))
+        {
             self.slices.pop_front();
-            dropped = true;
+            evicted = true;
         }
-        if dropped {
+        if evicted {
             // Recomputed, so that rounding errors don't accumulate.
             self.sum = self.slices.iter().map(|(_, count)| count).sum();
         }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -25,7 +25,7 @@
     Duration::from_millis(ms)
 }
 
-fn terms(extra: f64) -> RepeatPolicy {
+fn policy(extra: f64) -> RepeatPolicy {
     RepeatPolicy {
         window: WINDOW,
         ratio: RATIO,
@@ -41,34 +41,34 @@
     /// Id of the request to borrow, and the amount requested or lent.
     id: u64,
     amount: f64,
-    is_answer: bool,
+    is_response: bool,
 }
 
 struct Host {
     budget: RepeatBudget,
     /// The process is paused until then; its messages are queued.
-    frozen_until: Instant,
+    paused_until: Instant,
     /// The process is down until then.
     down_until: Option<Instant>,
     /// Partition of the network.
-    side: u32,
+    partition: u32,
     /// Hosts still to ask in this round.
     lenders: Vec<usize>,
 }
 
 /// Hosts with their budgets, the messages between them, and the requests and repeats so far.
 struct Site {
-    terms: RepeatPolicy,
+    policy: RepeatPolicy,
     now: Instant,
     rng: StdRng,
     hosts: Vec<Host>,
     messages: Vec<Message>,
     /// Probability that a message is lost.
-    lost: f64,
-    late: Duration,
+    loss_rate: f64,
+    max_delay: Duration,
     requests: Vec<Instant>,
     arrivals: Vec<Instant>,
-    asked: usize,
+    borrow_requests: usize,
 }
 
 impl Site {
@@ -80,16 +80,16 @@
     ) -> Self {
         let now = Instant::now();
         let mut site = Self {
-            terms: terms(extra),
+            policy: policy(extra),
             now,
             rng: StdRng::seed_from_u64(seed),
             hosts: Vec::new(),
             messages: Vec::new(),
-            lost: 0.0,
-            late: ms(5),
+            loss_rate: 0.0,
+            max_delay: ms(5),
             requests: Vec::new(),
             arrivals: Vec::new(),
-            asked: 0,
+            borrow_requests: 0,
         };
         for _ in 0..hosts {
             site.add_host(now);
@@ -102,12 +102,12 @@
         &mut self,
         share_from: Instant,
     ) {
-        let first_ask = self.rng.random();
+        let first_id = self.rng.random();
         self.hosts.push(Host {
-            budget: RepeatBudget::new(self.terms, share_from, first_ask),
-            frozen_until: self.now,
+            budget: RepeatBudget::new(self.policy, share_from, first_id),
+            paused_until: self.now,
             down_until: None,
-            side: 0,
+            partition: 0,
             lenders: Vec::new(),
         });
     }
@@ -121,36 +121,36 @@
     }
 
     /// Restarts a host after a time.
-    fn kill(
+    fn restart(
         &mut self,
         at: usize,
         down: Duration,
     ) {
         let started = self.now + down;
-        let share_from = started + self.terms.share_delay(false);
-        let first_ask = self.rng.random();
+        let share_from = started + self.policy.share_delay(false);
+        let first_id = self.rng.random();
         let count = self.hosts.len();
         let host = &mut self.hosts[at];
-        host.budget = RepeatBudget::new(self.terms, share_from, first_ask);
+        host.budget = RepeatBudget::new(self.policy, share_from, first_id);
         host.budget.set_hosts(count);
         host.down_until = Some(started);
         self.messages
             .retain(|message| message.to != at || message.due >= started);
     }
 
-    fn runs(
+    fn is_running(
         &self,
         at: usize,
     ) -> bool {
         let host = &self.hosts[at];
-        host.down_until.is_none_or(|until| self.now >= until) && self.now >= host.frozen_until
+        host.down_until.is_none_or(|until| self.now >= until) && self.now >= host.paused_until
     }
 
     fn request(
         &mut self,
         at: usize,
     ) {
-        if self.runs(at) {
+        if self.is_running(at) {
             self.hosts[at].budget.on_request(self.now);
             self.requests.push(self.now);
         }
@@ -161,34 +161,34 @@
         &mut self,
         at: usize,
     ) -> bool {
-        if !self.runs(at) {
+        if !self.is_running(at) {
             return false;
         }
-        let paid = self.hosts[at].budget.pay(self.now);
-        match paid {
-            Some(paid) => self.arrive(&paid),
+        let charge = self.hosts[at].budget.charge(self.now);
+        match charge {
+            Some(charge) => self.arrive(&charge),
             None => {
                 self.hosts[at].budget.on_waiting(self.now);
                 self.hosts[at].budget.on_rejected(self.now);
             }
         }
-        paid.is_some()
+        charge.is_some()
     }
 
     fn arrive(
         &mut self,
-        paid: &RepeatCharge,
+        charge: &RepeatCharge,
     ) {
         let lag = self.rng.random_range(Duration::ZERO..MAX_ARRIVAL_DELAY);
-        self.arrivals.push(paid.at + lag);
+        self.arrivals.push(charge.charged_at + lag);
     }
 
     /// Advances the time by one step.
     fn step(&mut self) {
         self.now += STEP;
         for at in 0..self.hosts.len() {
-            if self.runs(at) {
-                self.ask(at);
+            if self.is_running(at) {
+                self.borrow(at);
             }
         }
         let now = self.now;
@@ -202,13 +202,13 @@
         }
     }
 
-    fn ask(
+    fn borrow(
         &mut self,
         at: usize,
     ) {
         let (ids, amount) = self.hosts[at].budget.next_borrow_requests(self.now);
         for id in ids {
-            self.asked += 1;
+            self.borrow_requests += 1;
             if self.hosts[at].lenders.is_empty() {
                 let mut others: Vec<usize> = (0..self.hosts.len()).collect();
                 others.retain(|other| *other != at);
@@ -227,24 +227,24 @@
         to: usize,
         id: u64,
         amount: f64,
-        is_answer: bool,
+        is_response: bool,
     ) {
-        let late = self.late;
+        let max_delay = self.max_delay;
         let mut message = Message {
             from,
             to,
-            due: self.now + self.rng.random_range(Duration::ZERO..late),
+            due: self.now + self.rng.random_range(Duration::ZERO..max_delay),
             id,
             amount,
-            is_answer,
+            is_response,
         };
-        if self.rng.random_bool(self.lost) {
+        if self.rng.random_bool(self.loss_rate) {
             return;
         }
         self.messages.push(message.clone());
         // Some messages are delivered twice.
-        if self.rng.random_bool(self.lost / 2.0) {
-            message.due += late;
+        if self.rng.random_bool(self.loss_rate / 2.0) {
+            message.due += max_delay;
             self.messages.push(message);
         }
     }
@@ -254,20 +254,20 @@
         mut message: Message,
     ) {
         let (from, to) = (message.from, message.to);
-        if self.hosts[from].side != self.hosts[to].side {
+        if self.hosts[from].partition != self.hosts[to].partition {
             return;
         }
-        if self.now < self.hosts[to].frozen_until {
-            message.due = self.hosts[to].frozen_until;
+        if self.now < self.hosts[to].paused_until {
+            message.due = self.hosts[to].paused_until;
             self.messages.push(message);
             return;
         }
-        if !self.runs(to) {
+        if !self.is_running(to) {
             return;
         }
-        if message.is_answer {
+        if message.is_response {
             let budget = &mut self.hosts[to].budget;
-            budget.on_loan(message.id, message.amount, self.now);
+            budget.on_borrowed(message.id, message.amount, self.now);
             return;
         }
         let lent = self.hosts[to].budget.lend(message.amount, self.now);
@@ -293,7 +293,7 @@
             let requests = [Duration::ZERO, WINDOW / 2, WINDOW]
                 .map(|back| within(&self.requests, end - back - WINDOW, end - back));
             let requests = requests.into_iter().fold(0.0, f64::max);
-            let allowed = RATIO * requests + self.terms.extra;
+            let allowed = RATIO * requests + self.policy.extra;
             worst = worst.max(arrivals - allowed);
         }
         worst
@@ -312,7 +312,7 @@
             }
         }
         for at in 0..3 {
-            site.kill(at, ms(500));
+            site.restart(at, ms(500));
         }
         for _ in 0..30 {
             site.step();
@@ -324,32 +324,32 @@
 
 /// Faults of hosts and messages.
 #[derive(Clone, Copy)]
-struct Troubles {
-    kills: f64,
-    freezes: f64,
-    cuts: f64,
-    lost: f64,
-    late: Duration,
+struct Faults {
+    restarts: f64,
+    pauses: f64,
+    partitions: f64,
+    loss_rate: f64,
+    max_delay: Duration,
     /// Probability per step that an idle host demands many repeats.
-    greed: f64,
+    demand: f64,
 }
 
-const CALM: Troubles = Troubles {
-    kills: 0.0,
-    freezes: 0.0,
-    cuts: 0.0,
-    lost: 0.0,
-    late: Duration::from_millis(20),
-    greed: 0.1,
+const NO_FAULTS: Faults = Faults {
+    restarts: 0.0,
+    pauses: 0.0,
+    partitions: 0.0,
+    loss_rate: 0.0,
+    max_delay: Duration::from_millis(20),
+    demand: 0.1,
 };
 
 /// Simulates two minutes.
-fn play(
+fn simulate(
     site: &mut Site,
-    troubles: Troubles,
+    faults: Faults,
 ) {
-    site.lost = troubles.lost;
-    site.late = troubles.late;
+    site.loss_rate = faults.loss_rate;
+    site.max_delay = faults.max_delay;
     let mut busy = 0;
     for _ in 0..2_400 {
         let count = site.hosts.len();
@@ -364,63 +364,63 @@
             site.request(at);
         }
         for at in 0..count {
-            trouble(site, at, &troubles);
-            let greed = if at == busy { 0.5 } else { troubles.greed };
-            if site.rng.random_bool(greed) {
-                let most = site.rng.random_range(1..60);
-                let _ = (0..most).take_while(|_| site.repeat(at)).count();
+            inject_faults(site, at, &faults);
+            let demand = if at == busy { 0.5 } else { faults.demand };
+            if site.rng.random_bool(demand) {
+                let max_repeats = site.rng.random_range(1..60);
+                let _ = (0..max_repeats).take_while(|_| site.repeat(at)).count();
             }
         }
-        if site.rng.random_bool(troubles.cuts) {
-            let sides = site.rng.random_range(1..4);
+        if site.rng.random_bool(faults.partitions) {
+            let partitions = site.rng.random_range(1..4);
             for at in 0..count {
-                site.hosts[at].side = site.rng.random_range(0..sides);
+                site.hosts[at].partition = site.rng.random_range(0..partitions);
             }
         }
         site.step();
     }
 }
 
-fn trouble(
+fn inject_faults(
     site: &mut Site,
     at: usize,
-    troubles: &Troubles,
+    faults: &Faults,
 ) {
-    if site.rng.random_bool(troubles.kills) {
+    if site.rng.random_bool(faults.restarts) {
         let down = ms(site.rng.random_range(50..3_000));
-        site.kill(at, down);
+        site.restart(at, down);
     }
-    if site.rng.random_bool(troubles.freezes) {
+    if site.rng.random_bool(faults.pauses) {
         let still = ms(site.rng.random_range(50..15_000));
-        site.hosts[at].frozen_until = site.now + still;
+        site.hosts[at].paused_until = site.now + still;
     }
 }
 
 /// No window exceeds what its requests and the extra allowance allow, under any combination of faults and however
 /// demand moves.
 #[rstest]
-#[case::calm(CALM)]
-#[case::kills(Troubles { kills: 0.02, greed: 0.5, ..CALM })]
-#[case::kills_now_and_then(Troubles { kills: 0.002, lost: 0.1, ..CALM })]
-#[case::freezes(Troubles { freezes: 0.005, ..CALM })]
-#[case::cuts(Troubles { cuts: 0.02, kills: 0.005, ..CALM })]
-#[case::late_messages(Troubles { lost: 0.2, late: Duration::from_secs(4), greed: 0.02, ..CALM })]
-#[case::all(Troubles {
-    kills: 0.003,
-    freezes: 0.003,
-    cuts: 0.01,
-    lost: 0.2,
-    late: Duration::from_secs(1),
-    greed: 0.2,
+#[case::calm(NO_FAULTS)]
+#[case::kills(Faults { restarts: 0.02, demand: 0.5, ..NO_FAULTS })]
+#[case::kills_now_and_then(Faults { restarts: 0.002, loss_rate: 0.1, ..NO_FAULTS })]
+#[case::freezes(Faults { pauses: 0.005, ..NO_FAULTS })]
+#[case::cuts(Faults { partitions: 0.02, restarts: 0.005, ..NO_FAULTS })]
+#[case::late_messages(Faults { loss_rate: 0.2, max_delay: Duration::from_secs(4), demand: 0.02, ..NO_FAULTS })]
+#[case::all(Faults {
+    restarts: 0.003,
+    pauses: 0.003,
+    partitions: 0.01,
+    loss_rate: 0.2,
+    max_delay: Duration::from_secs(1),
+    demand: 0.2,
 })]
 fn no_window_has_more_repeats_than_allowed(
-    #[case] troubles: Troubles,
+    #[case] faults: Faults,
     #[values(2, 6, 40)] hosts: usize,
     #[values(52.0, 430.0)] extra: f64,
 ) {
     for seed in 0..8 {
         let mut site = Site::new(hosts, extra, seed);
-        play(&mut site, troubles);
+        simulate(&mut site, faults);
         let excess = site.worst_excess();
         assert!(excess <= 0.0, "seed {seed}: {excess} too many");
     }
@@ -433,7 +433,7 @@
     let mut site = Site::new(4, 60.0, 3);
     for step in 0..1_200 {
         if step % 100 == 50 {
-            let share_from = site.now + site.terms.share_delay(false);
+            let share_from = site.now + site.policy.share_delay(false);
             site.add_host(share_from);
         }
         // The others learn of the host within two seconds.
@@ -471,7 +471,7 @@
     let later = f64::from(later as u32) / 5.0 / extra;
     assert!((0.5..=1.0).contains(&later), "{later} in a window later on");
     assert!(site.worst_excess() <= 0.0);
-    let messages = site.asked as f64 / 60.0;
+    let messages = site.borrow_requests as f64 / 60.0;
     assert!(messages <= 81.0, "{messages} messages a second");
 }
 
@@ -485,7 +485,7 @@
         }
         site.step();
     }
-    let each = site.asked as f64 / 60.0 / 20.0;
+    let each = site.borrow_requests as f64 / 60.0 / 20.0;
     assert!(each < 8.0, "{each} messages a second and host");
 }
 
@@ -496,34 +496,34 @@
 #[case::too_late(2_000, false)]
 fn a_loan_is_good_for_a_time_from_the_asking(
     #[case] after: u64,
-    #[case] good: bool,
+    #[case] is_valid: bool,
 ) {
     assert_eq!(BORROWED_TTL, ms(2_000));
     let start = Instant::now();
-    let mut budget = RepeatBudget::new(terms(0.0), start, 7);
+    let mut budget = RepeatBudget::new(policy(0.0), start, 7);
     budget.on_rejected(start);
     budget.on_waiting(start);
     let (ids, amount) = budget.next_borrow_requests(start);
     assert!(amount >= 1.0);
     let comes = start + ms(after);
-    assert_eq!(budget.on_loan(ids[0], 1.0, comes), good);
-    assert!(!budget.on_loan(ids[0], 1.0, comes), "it came twice");
-    assert!(!budget.on_loan(99, 1.0, comes), "it was not asked for");
-    assert_eq!(budget.allows(comes), good);
-    assert!(!budget.allows(start + BORROWED_TTL));
+    assert_eq!(budget.on_borrowed(ids[0], 1.0, comes), is_valid);
+    assert!(!budget.on_borrowed(ids[0], 1.0, comes), "it came twice");
+    assert!(!budget.on_borrowed(99, 1.0, comes), "it was not asked for");
+    assert_eq!(budget.can_repeat(comes), is_valid);
+    assert!(!budget.can_repeat(start + BORROWED_TTL));
 }
 
 #[test]
 fn requests_earn_repeats_and_shares_add_to_them() {
     let start = Instant::now();
     let repeats = |hosts: usize, requests: u32, extra: f64| {
-        let mut budget = RepeatBudget::new(terms(extra), start, 0);
+        let mut budget = RepeatBudget::new(policy(extra), start, 0);
         budget.set_hosts(hosts);
         for _ in 0..requests {
             budget.on_request(start);
         }
         (0..1_000)
-            .take_while(|_| budget.pay(start).is_some())
+            .take_while(|_| budget.charge(start).is_some())
             .count()
     };
     assert_eq!(repeats(1, 0, 50.0), 45);
@@ -541,12 +541,12 @@
 #[test]
 fn steady_requests_earn_steady_repeats() {
     let start = Instant::now();
-    let mut budget = RepeatBudget::new(terms(0.0), start, 0);
+    let mut budget = RepeatBudget::new(policy(0.0), start, 0);
     let mut repeats = 0;
     for step in 0..3_000 {
         let now = start + ms(20 * step);
         budget.on_request(now);
-        repeats += u32::from(budget.pay(now).is_some());
+        repeats += u32::from(budget.charge(now).is_some());
     }
     let part = f64::from(repeats) / 3_000.0;
     assert!((0.177..=0.183).contains(&part), "{part} repeats a request");
@@ -555,16 +555,16 @@
 #[test]
 fn a_repeat_that_never_left_is_given_back() {
     let start = Instant::now();
-    let mut budget = RepeatBudget::new(terms(60.0), start, 0);
+    let mut budget = RepeatBudget::new(policy(60.0), start, 0);
     budget.set_hosts(30);
-    let first = budget.pay(start).unwrap();
-    assert!(!budget.allows(start));
-    budget.give_back(&first);
-    assert!(budget.allows(start));
-    assert!(budget.pay(start).is_some());
+    let first = budget.charge(start).unwrap();
+    assert!(!budget.can_repeat(start));
+    budget.refund(&first);
+    assert!(budget.can_repeat(start));
+    assert!(budget.charge(start).is_some());
     let lag = WINDOW + MAX_ARRIVAL_DELAY;
-    assert!(!budget.allows(start + lag));
-    assert!(budget.allows(start + lag + ms(600)));
+    assert!(!budget.can_repeat(start + lag));
+    assert!(budget.can_repeat(start + lag + ms(600)));
 }
 
 fn address(host: usize) -> SocketAddr {
