--- a/src/request/poison/fingerprint.rs
+++ b/src/request/poison/fingerprint.rs
@@ -5,22 +5,22 @@
     thiserror::Error,
 };
 
-/// Bytes of a fingerprint: short enough for datagrams, and nobody finds two requests with the same one.
+/// Length in bytes: short enough for datagrams, long enough against collisions.
 const BYTES: usize = 16;
 
-/// Names what is the same request when it comes again, under whatever id and at whatever host.
+/// Identifies repeats of a request, under any request id and at any host.
 ///
-/// A digest that can't be steered: with a weaker one a caller could have somebody else's request refused.
+/// A cryptographic digest, so that a caller can't craft a request that gets another caller's request rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; BYTES]);
 
-/// A text that names no request.
+/// A text that is not a fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("a fingerprint has {} hexadecimal digits", BYTES * 2)]
 pub struct NoFingerprint;
 
 impl Fingerprint {
-    /// The fingerprint of a request to a site's name.
+    /// Returns the fingerprint of a request to a site.
     pub fn of(
         site: &str,
         method: &str,
@@ -30,7 +30,7 @@
         let mut digest = Sha256::new();
         for part in [site, method, path_and_query] {
             digest.update(part.as_bytes());
-            // No part's end can be taken for the next one's begin.
+            // Separates the parts, so that they can't run into each other.
             digest.update([0]);
         }
         digest.update(body);
--- a/src/request/poison/mod.rs
+++ b/src/request/poison/mod.rs
@@ -1,5 +1,5 @@
-//! Requests that end the targets which begin them: what makes one known again, what speaks against it, and what all hosts
-//! know of it together. Nothing here waits or sends.
+//! Poison requests, which crash the targets that process them: their identification, the evidence against them, and its
+//! exchange between hosts. No I/O.
 
 mod fingerprint;
 mod poison_ledger;
--- a/src/request/poison/poison_ledger.rs
+++ b/src/request/poison/poison_ledger.rs
@@ -4,27 +4,27 @@
     std::collections::BTreeMap,
 };
 
-/// Requests that are suspected at one time, at the most: some 300 kB. Each needs a target that ended.
+/// Maximum number of suspected requests.
 pub const MAX_SUSPECTED: usize = 1024;
 
-/// Requests that are refused at one time, at the most: some 1 MB. Each has ended three targets, so a caller who makes them up
-/// needs 12,000 ends of targets in a day to push one out.
+/// Maximum number of rejected requests. To push one out takes the crashes of thousands of targets within a day.
 pub const MAX_REFUSED: usize = 4096;
 
-/// What this host knows of requests that end targets.
+/// The poison records that this host knows.
 ///
-/// Suspected and refused ones have room of their own, so that no number of suspects pushes a refused one out.
+/// Suspected and rejected requests are bounded separately, so that no number of suspected ones pushes out a rejected
+/// one.
 #[derive(Debug, Default)]
 pub struct PoisonLedger {
     records: BTreeMap<Fingerprint, PoisonRecord>,
     /// Sum of the records' digests.
     digest: u64,
-    /// Requests that others were kept in place of, until they are told.
+    /// Requests whose records were pushed out by newer ones, until the next `evict_expired`.
     pushed_out: Vec<Fingerprint>,
 }
 
 impl PoisonLedger {
-    /// Takes in what was told of a request; true if that is news.
+    /// Merges an update; returns true if it changed anything.
     pub fn join(
         &mut self,
         told: &ToldPoison,
@@ -50,7 +50,7 @@
         changed
     }
 
-    /// A target gave the request a whole answer; true if anything spoke against it.
+    /// Records that a target answered the request completely; returns true if there was a record.
     pub fn clear(
         &mut self,
         fingerprint: &Fingerprint,
@@ -63,7 +63,8 @@
         changed
     }
 
-    /// Forgets what is old; gives the requests that are known no longer, those that others were kept in place of included.
+    /// Evicts expired records. Returns the requests that have lost their record, including those pushed out by newer
+    /// ones.
     pub fn drop_old(
         &mut self,
         now: Instant,
@@ -82,7 +83,7 @@
         gone
     }
 
-    /// What is thought of a request; `None` if nothing speaks against it.
+    /// Returns the status of a request, or `None` if there is no evidence against it.
     pub fn standing(
         &self,
         fingerprint: &Fingerprint,
@@ -97,7 +98,7 @@
         self.records.get(fingerprint)
     }
 
-    /// Equal at hosts that know the same.
+    /// Returns a digest of the records, equal at hosts that know the same.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -106,7 +107,7 @@
         self.records.is_empty()
     }
 
-    /// How many requests stand so.
+    /// Returns the number of requests with this status.
     pub fn count(
         &self,
         standing: Standing,
@@ -115,7 +116,7 @@
         self.records.values().filter(stands).count()
     }
 
-    /// Up to `count` records as they are told, those behind `after` first, around the end to the begin.
+    /// Returns up to `count` records as updates, in order of fingerprints from the one after `after`, wrapping around.
     pub fn page(
         &self,
         after: Option<Fingerprint>,
@@ -132,7 +133,8 @@
             .collect()
     }
 
-    /// Makes room for a record among those that stand alike; false if it is older than all that would have to go.
+    /// Makes room among the records of the same status by removing the oldest; returns false if the new record is older
+    /// than all of them.
     fn makes_room(
         &mut self,
         record: &PoisonRecord,
--- a/src/request/poison/poison_record.rs
+++ b/src/request/poison/poison_record.rs
@@ -8,48 +8,48 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// So many targets that ended alone under a request are enough to refuse it: others that ran there would have had to
-/// be on three targets out of many, right at their begin, and never on one that answered.
+/// Isolated crashes that get a request rejected. An innocent request would have to be at its start on three crashing
+/// targets, and never be answered.
 const ENOUGH_ALONE: usize = 3;
 
-/// The same if other targets ended with them. A loss of power ends many at once, and callers send again what was
-/// lost: three losses in a row must not make a request look guilty. Requests that come at once end many targets at once,
-/// too, so that these can't count for nothing.
+/// The same if other targets crashed at about the same time. More, since a power loss crashes many targets, and callers
+/// then send the lost requests again.
 const ENOUGH: usize = 4;
 
-/// Strikes that are kept of one request; more than are enough change nothing.
+/// Maximum number of crashes kept per request, above those that get it rejected.
 const MAX_STRIKES: usize = 8;
 
-/// Ends that no longer speak against a request: a late strike of one must not come back.
+/// Maximum number of cleared crashes kept per request, so that late evidence of one is ignored.
 const MAX_CLEARED: usize = 32;
 
-/// A request that is not refused is forgotten so long after its last strike: callers come again within seconds or
-/// minutes.
+/// Time from the last crash until a suspected request's record expires; callers retry within minutes.
 pub const KEEP_SUSPECTED: Duration = Duration::from_secs(600);
 
-/// One that is refused: nobody mends a target's software faster than in a day, and each time it is forgotten costs three targets.
+/// Time from the last crash until a rejected request's record expires. Long, as each expiry may cost three targets, and
+/// a target's software is rarely fixed within a day.
 pub const KEEP_REFUSED: Duration = Duration::from_secs(24 * 3600);
 
-/// What one end of a target proves.
+/// The circumstances of one crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Proof {
     begun: bool,
     alone: bool,
 }
 
-/// What speaks against one request.
+/// The evidence against one request.
 ///
-/// Two records are joined by the union of their parts, so that hosts come to the same whatever is told twice, late or in another order.
+/// Records are merged by the union of their crashes, so that hosts converge whatever arrives late, repeated or in
+/// another order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoisonRecord {
     strikes: BTreeMap<TargetEnd, Proof>,
     cleared: BTreeSet<TargetEnd>,
-    /// The last strike.
+    /// When the last crash happened.
     latest: Instant,
 }
 
 impl PoisonRecord {
-    /// A record of what was told; it counts from `latest`.
+    /// Creates the record of an update.
     pub fn new(
         told: &ToldPoison,
         latest: Instant,
@@ -63,7 +63,7 @@
         record
     }
 
-    /// Takes in what was told; true if that changed anything but the time.
+    /// Merges an update; returns true if anything but the time changed.
     pub fn join(
         &mut self,
         told: &ToldPoison,
@@ -85,8 +85,7 @@
         before != (self.strikes.clone(), self.cleared.clone())
     }
 
-    /// A target gave a whole answer: what ended under the request before was ended by others. True if that changed
-    /// anything.
+    /// Clears all crashes, since a target has answered the request completely; returns true if there were any.
     pub fn clear(&mut self) -> bool {
         let ends: Vec<TargetEnd> = self.strikes.keys().copied().collect();
         self.cleared.extend(ends);
@@ -95,7 +94,7 @@
         changed
     }
 
-    /// The same parts are left out at every host.
+    /// Drops what exceeds the bounds, the same at every host.
     fn trim(&mut self) {
         while self.cleared.len() > MAX_CLEARED {
             self.cleared.pop_first();
@@ -106,7 +105,7 @@
         }
     }
 
-    /// What is thought of the request; `None` if nothing speaks against it.
+    /// Returns the request's status, or `None` if there is no evidence against it.
     pub fn standing(&self) -> Option<Standing> {
         if self.strikes.is_empty() {
             return None;
@@ -119,8 +118,8 @@
         }
     }
 
-    /// Ends that count: those that it may have come too late for count as one, since a caller that sends again at
-    /// once meets every target that a loss of power has ended.
+    /// Returns the number of crashes that count. Those for which the request may have arrived too late count as one in
+    /// all: a caller that retries at once meets every target that a power loss has crashed.
     fn proofs(
         &self,
         counts: impl Fn(&Proof) -> bool,
@@ -134,12 +133,12 @@
         self.strikes.len()
     }
 
-    /// The last strike.
+    /// Returns when the last crash happened.
     pub fn latest(&self) -> Instant {
         self.latest
     }
 
-    /// When it is forgotten.
+    /// Returns when the record expires.
     pub fn kept_until(&self) -> Instant {
         let keep = match self.standing() {
             Some(Standing::Refused) => KEEP_REFUSED,
@@ -148,7 +147,7 @@
         self.latest + keep
     }
 
-    /// The record as it is told.
+    /// Returns the record as an update for other hosts and the store.
     pub fn told(
         &self,
         fingerprint: Fingerprint,
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Equal for records that mean the same.
+    /// Returns a digest, equal for records with the same crashes.
     pub fn digest(
         &self,
         fingerprint: &Fingerprint,
--- a/src/request/poison/poison_report.rs
+++ b/src/request/poison/poison_report.rs
@@ -1,10 +1,10 @@
 use super::{Fingerprint, Strike};
 
-/// What a host's own requests tell of one of them.
+/// An observation of this host about poison requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PoisonReport {
-    /// A target ended as it had just begun these.
+    /// A target crashed right after it had started these requests.
     Struck { strikes: Vec<(Fingerprint, Strike)> },
-    /// A target gave a whole answer, or an operator lets the request pass.
+    /// A target answered the request completely, or an operator cleared it.
     Cleared { fingerprint: Fingerprint },
 }
--- a/src/request/poison/standing.rs
+++ b/src/request/poison/standing.rs
@@ -1,14 +1,14 @@
-/// What is thought of a request under which targets have ended.
+/// The status of a request whose targets have crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// It may have been others that ended them: it is served, but not sent again by itself.
+    /// Served, but not retried, as other requests may have caused the crashes.
     Suspected,
-    /// It is sent to no target any more.
+    /// No longer sent to any target.
     Refused,
 }
 
 impl Standing {
-    /// The standing in logs; none is that of every other request.
+    /// Returns the status as written to logs and metrics; `None` is that of a request without evidence against it.
     pub fn word(standing: Option<Self>) -> &'static str {
         match standing {
             None => "cleared",
--- a/src/request/poison/strike.rs
+++ b/src/request/poison/strike.rs
@@ -4,7 +4,7 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Names the end of one start of a target, the same at all hosts.
+/// Identifies the crash of one start of a target, the same at all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetEnd(u64);
 
@@ -27,13 +27,13 @@
     }
 }
 
-/// A target ended as it had just begun a request.
+/// Evidence that a request was starting on a target when it crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strike {
     pub end: TargetEnd,
-    /// The request had begun there: the target had answered right before, or did not break it off at once. One that was gone
-    /// already takes connections and ends them, too, behind some proxies.
+    /// The request had started there: the target had answered right before, or did not drop the connection at once.
+    /// Behind some proxies a dead target still accepts connections, and then drops them.
     pub begun: bool,
-    /// No other target was seen to break off answers at about the same time, as many do in a loss of power.
+    /// No other target dropped responses at about the same time, as happens in a power loss.
     pub alone: bool,
 }
--- a/src/request/poison/told_poison.rs
+++ b/src/request/poison/told_poison.rs
@@ -4,13 +4,13 @@
     std::time::Duration,
 };
 
-/// What hosts tell one another of one request, and what is kept of it in the store.
+/// The evidence against one request, as hosts exchange and store it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldPoison {
     pub fingerprint: Fingerprint,
     pub strikes: Vec<Strike>,
-    /// Ends that no longer speak against it.
+    /// Crashes that no longer count.
     pub cleared: Vec<TargetEnd>,
-    /// Time since the last strike, as the teller knows it.
+    /// Time since the last crash.
     pub age: Duration,
 }
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -1,4 +1,4 @@
-//! What speaks against a request under which targets end, and what all hosts come to know of it.
+//! Poison requests: when evidence gets a request rejected, and that hosts converge on the same records.
 
 use {
     coveproxy::{
@@ -58,7 +58,7 @@
     assert_eq!(ledger.standing(&fingerprint(2)), None);
 }
 
-/// A caller that sends again at once meets every target that has just ended.
+/// A caller that retries at once meets every target that has just crashed.
 #[test]
 fn ends_that_a_request_may_have_come_too_late_for_count_as_one() {
     let mut ledger = PoisonLedger::default();
@@ -94,7 +94,7 @@
     assert!(ledger.clear(&fingerprint(1)));
     assert!(!ledger.join(&struck(1, &[1, 2], true), now));
     assert_eq!(ledger.standing(&fingerprint(1)), None);
-    // Later ends count anew.
+    // Later crashes count again.
     ledger.join(&struck(1, &[3, 4, 5], true), now);
     assert_eq!(ledger.standing(&fingerprint(1)), Some(Standing::Refused));
 }
@@ -116,7 +116,7 @@
         for _ in 0..3 {
             news.shuffle(&mut rng);
             let mut ledger = PoisonLedger::default();
-            // Some are told twice.
+            // Some updates arrive twice.
             for told in news.iter().chain(news.iter().take(10)) {
                 ledger.join(told, now);
             }
@@ -143,7 +143,7 @@
     }
     assert_eq!(ledger.standing(&fingerprint(0)), Some(Standing::Refused));
     assert_eq!(ledger.count(Standing::Suspected), MAX_SUSPECTED);
-    // Those that had to go are told, once.
+    // Records that were pushed out are reported once.
     let later = now + Duration::from_secs(10);
     assert_eq!(ledger.drop_old(later).len(), MAX_SUSPECTED * 2 - 1);
     assert!(ledger.drop_old(later).is_empty());
@@ -165,7 +165,7 @@
     assert!(ledger.drop_old(now + KEEP_REFUSED / 2).is_empty());
     assert_eq!(ledger.drop_old(now + KEEP_REFUSED), vec![fingerprint(2)]);
     assert_eq!(ledger.digest(), PoisonLedger::default().digest());
-    // What another host still tells of it is too old, too.
+    // Another host's update has expired, too.
     let mut old = struck(2, &[1, 2, 3], true);
     old.age = KEEP_REFUSED;
     assert!(!ledger.join(&old, now + KEEP_REFUSED));
@@ -230,7 +230,7 @@
     assert!(watch.accuse(&run, accused(3)));
 }
 
-/// A loss of a whole hall must not make a host tell all others of each target.
+/// The loss of a whole hall must not cause a message to all hosts per target.
 #[test]
 fn few_targets_are_looked_at_when_many_end_at_once() {
     let mut watch = CrashWatch::default();
