--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -11,7 +11,7 @@
         note,
         request::{
             direct::CallRequest,
-            poison::{PoisonReport, Strike, TargetEnd},
+            poison::{CrashEvidence, PoisonReport, TargetEnd},
         },
         timeline::Event,
     },
@@ -186,7 +186,7 @@
         }
         let strike = |accused: &Accused| {
             let begun = accused.begun;
-            (accused.fingerprint, Strike { end, begun, alone })
+            (accused.fingerprint, CrashEvidence { end, begun, alone })
         };
         let strikes = accused.iter().map(strike).collect();
         board.report_poison(PoisonReport::Struck { strikes });
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -14,7 +14,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::poison::{
-            Fingerprint, PoisonLedger, PoisonReport, Standing, Strike, TargetEnd, ToldPoison,
+            CrashEvidence, Fingerprint, PoisonLedger, PoisonReport, Standing, TargetEnd, ToldPoison,
         },
         timeline::Event,
     },
@@ -84,7 +84,7 @@
 
     fn strike(
         &mut self,
-        strikes: &[(Fingerprint, Strike)],
+        strikes: &[(Fingerprint, CrashEvidence)],
         now: Instant,
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
@@ -318,7 +318,7 @@
     })
 }
 
-fn strike_to_wire(strike: &Strike) -> PoisonStrike {
+fn strike_to_wire(strike: &CrashEvidence) -> PoisonStrike {
     PoisonStrike {
         end: strike.end.number(),
         alone: strike.alone,
@@ -328,7 +328,7 @@
 
 /// What an entry tells; `None` if it names no request.
 fn told_of(entry: &PoisonEntry) -> Option<ToldPoison> {
-    let strike = |strike: &PoisonStrike| Strike {
+    let strike = |strike: &PoisonStrike| CrashEvidence {
         end: TargetEnd::from_number(strike.end),
         alone: strike.alone,
         begun: strike.begun,
--- a/src/request/poison/strike.rs
+++ b/src/request/poison/crash_evidence.rs
@@ -29,7 +29,7 @@
 
 /// Evidence that a request was starting on a target when it crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Strike {
+pub struct CrashEvidence {
     pub end: TargetEnd,
     /// The request had started there: the target had answered right before, or did not drop the connection at once.
     /// Behind some proxies a dead target still accepts connections, and then drops them.
--- a/src/request/poison/poison_record.rs
+++ b/src/request/poison/poison_record.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Fingerprint, Standing, Strike, TargetEnd, ToldPoison},
+    super::{CrashEvidence, Fingerprint, Standing, TargetEnd, ToldPoison},
     crate::clock::Instant,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -153,7 +153,7 @@
         fingerprint: Fingerprint,
         now: Instant,
     ) -> ToldPoison {
-        let strike = |(end, proof): (&TargetEnd, &Proof)| Strike {
+        let strike = |(end, proof): (&TargetEnd, &Proof)| CrashEvidence {
             end: *end,
             begun: proof.begun,
             alone: proof.alone,
--- a/src/request/poison/poison_report.rs
+++ b/src/request/poison/poison_report.rs
@@ -1,10 +1,12 @@
-use super::{Fingerprint, Strike};
+use super::{CrashEvidence, Fingerprint};
 
 /// An observation of this host about poison requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PoisonReport {
     /// A target crashed right after it had started these requests.
-    Struck { strikes: Vec<(Fingerprint, Strike)> },
+    Struck {
+        strikes: Vec<(Fingerprint, CrashEvidence)>,
+    },
     /// A target answered the request completely, or an operator cleared it.
     Cleared { fingerprint: Fingerprint },
 }
--- a/src/request/poison/told_poison.rs
+++ b/src/request/poison/told_poison.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Fingerprint, Strike, TargetEnd},
+    super::{CrashEvidence, Fingerprint, TargetEnd},
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldPoison {
     pub fingerprint: Fingerprint,
-    pub strikes: Vec<Strike>,
+    pub strikes: Vec<CrashEvidence>,
     /// Crashes that no longer count.
     pub cleared: Vec<TargetEnd>,
     /// Time since the last crash.
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -5,8 +5,8 @@
         clock::Instant,
         connection::targets::{Accused, CrashWatch},
         request::poison::{
-            Fingerprint, KEEP_REFUSED, KEEP_SUSPECTED, MAX_REFUSED, MAX_SUSPECTED, PoisonLedger,
-            Standing, Strike, TargetEnd, ToldPoison,
+            CrashEvidence, Fingerprint, KEEP_REFUSED, KEEP_SUSPECTED, MAX_REFUSED, MAX_SUSPECTED,
+            PoisonLedger, Standing, TargetEnd, ToldPoison,
         },
     },
     rand::{SeedableRng, rngs::StdRng, seq::SliceRandom},
@@ -23,7 +23,7 @@
     ends: &[u64],
     alone: bool,
 ) -> ToldPoison {
-    let strike = |end: &u64| Strike {
+    let strike = |end: &u64| CrashEvidence {
         end: TargetEnd::from_number(*end),
         begun: true,
         alone,
