--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -11,7 +11,7 @@
         note,
         request::{
             direct::CallRequest,
-            poison::{CrashEvidence, PoisonReport, TargetEnd},
+            poison::{CrashEvidence, CrashId, PoisonReport},
         },
         timeline::Event,
     },
@@ -171,7 +171,7 @@
             return;
         }
         let alone = board.crashes.was_alone(&self.run.0, self.lost);
-        let end = TargetEnd::of(&self.run.0, self.run.1);
+        let end = CrashId::of(&self.run.0, self.run.1);
         let beside = accused.len() - 1;
         for accused in &accused {
             note!(
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -14,7 +14,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::poison::{
-            CrashEvidence, Fingerprint, PoisonLedger, PoisonReport, Standing, TargetEnd, ToldPoison,
+            CrashEvidence, CrashId, Fingerprint, PoisonLedger, PoisonReport, Standing, ToldPoison,
         },
         timeline::Event,
     },
@@ -329,7 +329,7 @@
 /// What an entry tells; `None` if it names no request.
 fn told_of(entry: &PoisonEntry) -> Option<ToldPoison> {
     let strike = |strike: &PoisonStrike| CrashEvidence {
-        end: TargetEnd::from_number(strike.end),
+        end: CrashId::from_number(strike.end),
         alone: strike.alone,
         begun: strike.begun,
     };
@@ -340,7 +340,7 @@
             .cleared
             .iter()
             .copied()
-            .map(TargetEnd::from_number)
+            .map(CrashId::from_number)
             .collect(),
         age: Duration::from_secs(u64::from(entry.age_s)),
     })
--- a/src/request/poison/crash_evidence.rs
+++ b/src/request/poison/crash_evidence.rs
@@ -6,9 +6,9 @@
 
 /// Identifies the crash of one start of a target, the same at all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TargetEnd(u64);
+pub struct CrashId(u64);
 
-impl TargetEnd {
+impl CrashId {
     pub fn of(
         target: &str,
         started: Option<TargetStart>,
@@ -30,7 +30,7 @@
 /// Evidence that a request was starting on a target when it crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashEvidence {
-    pub end: TargetEnd,
+    pub end: CrashId,
     /// The request had started there: the target had answered right before, or did not drop the connection at once.
     /// Behind some proxies a dead target still accepts connections, and then drops them.
     pub begun: bool,
--- a/src/request/poison/mod.rs
+++ b/src/request/poison/mod.rs
@@ -10,7 +10,7 @@
 mod told_poison;
 
 pub use {
-    crash_evidence::{CrashEvidence, TargetEnd},
+    crash_evidence::{CrashEvidence, CrashId},
     fingerprint::Fingerprint,
     poison_ledger::{MAX_REFUSED, MAX_SUSPECTED, PoisonLedger},
     poison_record::{KEEP_REFUSED, KEEP_SUSPECTED, PoisonRecord},
--- a/src/request/poison/poison_record.rs
+++ b/src/request/poison/poison_record.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CrashEvidence, Fingerprint, Standing, TargetEnd, ToldPoison},
+    super::{CrashEvidence, CrashId, Fingerprint, Standing, ToldPoison},
     crate::clock::Instant,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -42,8 +42,8 @@
 /// another order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoisonRecord {
-    strikes: BTreeMap<TargetEnd, Proof>,
-    cleared: BTreeSet<TargetEnd>,
+    strikes: BTreeMap<CrashId, Proof>,
+    cleared: BTreeSet<CrashId>,
     /// When the last crash happened.
     latest: Instant,
 }
@@ -87,7 +87,7 @@
 
     /// Clears all crashes, since a target has answered the request completely; returns true if there were any.
     pub fn clear(&mut self) -> bool {
-        let ends: Vec<TargetEnd> = self.strikes.keys().copied().collect();
+        let ends: Vec<CrashId> = self.strikes.keys().copied().collect();
         self.cleared.extend(ends);
         let changed = !self.strikes.is_empty();
         self.trim();
@@ -153,7 +153,7 @@
         fingerprint: Fingerprint,
         now: Instant,
     ) -> ToldPoison {
-        let strike = |(end, proof): (&TargetEnd, &Proof)| CrashEvidence {
+        let strike = |(end, proof): (&CrashId, &Proof)| CrashEvidence {
             end: *end,
             begun: proof.begun,
             alone: proof.alone,
--- a/src/request/poison/told_poison.rs
+++ b/src/request/poison/told_poison.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CrashEvidence, Fingerprint, TargetEnd},
+    super::{CrashEvidence, CrashId, Fingerprint},
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
@@ -10,7 +10,7 @@
     pub fingerprint: Fingerprint,
     pub strikes: Vec<CrashEvidence>,
     /// Crashes that no longer count.
-    pub cleared: Vec<TargetEnd>,
+    pub cleared: Vec<CrashId>,
     /// Time since the last crash.
     pub age: Duration,
 }
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -5,8 +5,8 @@
         clock::Instant,
         connection::targets::{Accused, CrashWatch},
         request::poison::{
-            CrashEvidence, Fingerprint, KEEP_REFUSED, KEEP_SUSPECTED, MAX_REFUSED, MAX_SUSPECTED,
-            PoisonLedger, Standing, TargetEnd, ToldPoison,
+            CrashEvidence, CrashId, Fingerprint, KEEP_REFUSED, KEEP_SUSPECTED, MAX_REFUSED,
+            MAX_SUSPECTED, PoisonLedger, Standing, ToldPoison,
         },
     },
     rand::{SeedableRng, rngs::StdRng, seq::SliceRandom},
@@ -24,7 +24,7 @@
     alone: bool,
 ) -> ToldPoison {
     let strike = |end: &u64| CrashEvidence {
-        end: TargetEnd::from_number(*end),
+        end: CrashId::from_number(*end),
         begun: true,
         alone,
     };
@@ -109,7 +109,7 @@
             .collect();
         for cleared in 0..4 {
             let mut told = struck(cleared, &[], true);
-            told.cleared = vec![TargetEnd::from_number(cleared * 5)];
+            told.cleared = vec![CrashId::from_number(cleared * 5)];
             news.push(told);
         }
         let mut ledgers = Vec::new();
