--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -14,7 +14,7 @@
         metrics::{StateLabels, metrics},
         note,
         request::poison::{
-            CrashEvidence, CrashId, Fingerprint, PoisonLedger, PoisonReport, Standing, ToldPoison,
+            CrashEvidence, CrashId, Fingerprint, PoisonLedger, PoisonReport, PoisonUpdate, Standing,
         },
         timeline::Event,
     },
@@ -89,7 +89,7 @@
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
         for (fingerprint, strike) in strikes {
-            let told = ToldPoison {
+            let told = PoisonUpdate {
                 fingerprint: *fingerprint,
                 strikes: vec![*strike],
                 cleared: Vec::new(),
@@ -109,14 +109,14 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let told = news.entries.iter().filter_map(told_of);
-        let told: Vec<ToldPoison> = told.collect();
+        let told: Vec<PoisonUpdate> = told.collect();
         let changed = self.join_poison(&told, now);
         self.note_standings(&changed, "host")
     }
 
     fn join_poison(
         &mut self,
-        told: &[ToldPoison],
+        told: &[PoisonUpdate],
         now: Instant,
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
@@ -161,7 +161,7 @@
             let record = ledger.get(fingerprint)?;
             Some(record.told(*fingerprint, now))
         });
-        let told: Vec<ToldPoison> = told.collect();
+        let told: Vec<PoisonUpdate> = told.collect();
         let mut actions = Vec::new();
         for to in self.hosts.pick_up(usize::MAX) {
             let news = told.chunks(PAGE).map(news_of);
@@ -306,7 +306,7 @@
     }
 }
 
-fn news_of(told: &[ToldPoison]) -> Message {
+fn news_of(told: &[PoisonUpdate]) -> Message {
     let entries = told.iter().map(|told| PoisonEntry {
         fingerprint: told.fingerprint.as_bytes().to_vec(),
         strikes: told.strikes.iter().map(strike_to_wire).collect(),
@@ -327,13 +327,13 @@
 }
 
 /// What an entry tells; `None` if it names no request.
-fn told_of(entry: &PoisonEntry) -> Option<ToldPoison> {
+fn told_of(entry: &PoisonEntry) -> Option<PoisonUpdate> {
     let strike = |strike: &PoisonStrike| CrashEvidence {
         end: CrashId::from_number(strike.end),
         alone: strike.alone,
         begun: strike.begun,
     };
-    Some(ToldPoison {
+    Some(PoisonUpdate {
         fingerprint: Fingerprint::from_bytes(&entry.fingerprint)?,
         strikes: entry.strikes.iter().map(strike).collect(),
         cleared: entry
--- a/src/process/host/poison_rows.rs
+++ b/src/process/host/poison_rows.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         formats::{RowKey, RowWrite},
-        request::poison::{Fingerprint, ToldPoison},
+        request::poison::{Fingerprint, PoisonUpdate},
     },
     serde::{Deserialize, Serialize},
     std::time::{Duration, SystemTime, UNIX_EPOCH},
@@ -16,13 +16,13 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct PoisonRow {
     /// Its age is as of the time of writing.
-    told: ToldPoison,
+    told: PoisonUpdate,
     /// Unix second of the last strike, by the writer's time of day: ages must outlive the writer, and are of hours.
     struck_s: u64,
 }
 
 /// The write that keeps what is known of a request.
-pub(super) fn row_of(told: &ToldPoison) -> RowWrite {
+pub(super) fn row_of(told: &PoisonUpdate) -> RowWrite {
     let row = PoisonRow {
         told: told.clone(),
         struck_s: unix_seconds().saturating_sub(told.age.as_secs()),
@@ -43,9 +43,9 @@
 }
 
 /// What a row tells, as old as it is by now.
-pub(super) fn poison_of(value: &[u8]) -> Result<ToldPoison, serde_json::Error> {
+pub(super) fn poison_of(value: &[u8]) -> Result<PoisonUpdate, serde_json::Error> {
     let row: PoisonRow = serde_json::from_slice(value)?;
-    Ok(ToldPoison {
+    Ok(PoisonUpdate {
         age: Duration::from_secs(unix_seconds().saturating_sub(row.struck_s)),
         ..row.told
     })
--- a/src/request/poison/mod.rs
+++ b/src/request/poison/mod.rs
@@ -6,8 +6,8 @@
 mod poison_ledger;
 mod poison_record;
 mod poison_report;
+mod poison_update;
 mod standing;
-mod told_poison;
 
 pub use {
     crash_evidence::{CrashEvidence, CrashId},
@@ -15,6 +15,6 @@
     poison_ledger::{MAX_REFUSED, MAX_SUSPECTED, PoisonLedger},
     poison_record::{KEEP_REFUSED, KEEP_SUSPECTED, PoisonRecord},
     poison_report::PoisonReport,
+    poison_update::PoisonUpdate,
     standing::Standing,
-    told_poison::ToldPoison,
 };
--- a/src/request/poison/poison_ledger.rs
+++ b/src/request/poison/poison_ledger.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Fingerprint, PoisonRecord, Standing, ToldPoison},
+    super::{Fingerprint, PoisonRecord, PoisonUpdate, Standing},
     crate::clock::Instant,
     std::collections::BTreeMap,
 };
@@ -27,7 +27,7 @@
     /// Merges an update; returns true if it changed anything.
     pub fn join(
         &mut self,
-        told: &ToldPoison,
+        told: &PoisonUpdate,
         now: Instant,
     ) -> bool {
         let latest = now - told.age;
@@ -122,7 +122,7 @@
         after: Option<Fingerprint>,
         count: usize,
         now: Instant,
-    ) -> Vec<ToldPoison> {
+    ) -> Vec<PoisonUpdate> {
         let behind = |fingerprint: &Fingerprint| after.is_some_and(|after| *fingerprint > after);
         let (later, earlier): (Vec<_>, Vec<_>) = self
             .records
--- a/src/request/poison/poison_record.rs
+++ b/src/request/poison/poison_record.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CrashEvidence, CrashId, Fingerprint, Standing, ToldPoison},
+    super::{CrashEvidence, CrashId, Fingerprint, PoisonUpdate, Standing},
     crate::clock::Instant,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -51,7 +51,7 @@
 impl PoisonRecord {
     /// Creates the record of an update.
     pub fn new(
-        told: &ToldPoison,
+        told: &PoisonUpdate,
         latest: Instant,
     ) -> Self {
         let mut record = Self {
@@ -66,7 +66,7 @@
     /// Merges an update; returns true if anything but the time changed.
     pub fn join(
         &mut self,
-        told: &ToldPoison,
+        told: &PoisonUpdate,
         latest: Instant,
     ) -> bool {
         let before = (self.strikes.clone(), self.cleared.clone());
@@ -152,13 +152,13 @@
         &self,
         fingerprint: Fingerprint,
         now: Instant,
-    ) -> ToldPoison {
+    ) -> PoisonUpdate {
         let strike = |(end, proof): (&CrashId, &Proof)| CrashEvidence {
             end: *end,
             begun: proof.begun,
             alone: proof.alone,
         };
-        ToldPoison {
+        PoisonUpdate {
             fingerprint,
             strikes: self.strikes.iter().map(strike).collect(),
             cleared: self.cleared.iter().copied().collect(),
--- a/src/request/poison/told_poison.rs
+++ b/src/request/poison/poison_update.rs
@@ -6,7 +6,7 @@
 
 /// The evidence against one request, as hosts exchange and store it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldPoison {
+pub struct PoisonUpdate {
     pub fingerprint: Fingerprint,
     pub strikes: Vec<CrashEvidence>,
     /// Crashes that no longer count.
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -6,7 +6,7 @@
         connection::targets::{Accused, CrashWatch},
         request::poison::{
             CrashEvidence, CrashId, Fingerprint, KEEP_REFUSED, KEEP_SUSPECTED, MAX_REFUSED,
-            MAX_SUSPECTED, PoisonLedger, Standing, ToldPoison,
+            MAX_SUSPECTED, PoisonLedger, PoisonUpdate, Standing,
         },
     },
     rand::{SeedableRng, rngs::StdRng, seq::SliceRandom},
@@ -22,13 +22,13 @@
     number: u64,
     ends: &[u64],
     alone: bool,
-) -> ToldPoison {
+) -> PoisonUpdate {
     let strike = |end: &u64| CrashEvidence {
         end: CrashId::from_number(*end),
         begun: true,
         alone,
     };
-    ToldPoison {
+    PoisonUpdate {
         fingerprint: fingerprint(number),
         strikes: ends.iter().map(strike).collect(),
         cleared: Vec::new(),
@@ -104,7 +104,7 @@
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
-        let mut news: Vec<ToldPoison> = (0..30)
+        let mut news: Vec<PoisonUpdate> = (0..30)
             .map(|at| struck(at % 5, &[at, at + 1], at % 3 > 0))
             .collect();
         for cleared in 0..4 {
