--- a/src/request/poison/fingerprint.rs
+++ b/src/request/poison/fingerprint.rs
@@ -17,7 +17,7 @@
 /// A text that is not a fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("a fingerprint has {} hexadecimal digits", BYTES * 2)]
-pub struct NoFingerprint;
+pub struct InvalidFingerprint;
 
 impl Fingerprint {
     /// Returns the fingerprint of a request to a site.
@@ -62,13 +62,13 @@
 }
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = InvalidFingerprint;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let number = u128::from_str_radix(text, 16).map_err(|_| NoFingerprint)?;
+        let number = u128::from_str_radix(text, 16).map_err(|_| InvalidFingerprint)?;
         match text.len() == BYTES * 2 {
             true => Ok(Self(number.to_be_bytes())),
-            false => Err(NoFingerprint),
+            false => Err(InvalidFingerprint),
         }
     }
 }
