--- a/src/request/poison/mod.rs
+++ b/src/request/poison/mod.rs
@@ -12,8 +12,8 @@
 pub use {
     crash_evidence::{CrashEvidence, CrashId},
     fingerprint::Fingerprint,
-    poison_ledger::{MAX_REFUSED, MAX_SUSPECTED, PoisonLedger},
-    poison_record::{KEEP_REFUSED, KEEP_SUSPECTED, PoisonRecord},
+    poison_ledger::{MAX_REJECTED, MAX_SUSPECTED, PoisonLedger},
+    poison_record::{PoisonRecord, REJECTED_TTL, SUSPECTED_TTL},
     poison_report::PoisonReport,
     poison_update::PoisonUpdate,
     standing::Standing,
--- a/src/request/poison/poison_ledger.rs
+++ b/src/request/poison/poison_ledger.rs
@@ -8,7 +8,7 @@
 pub const MAX_SUSPECTED: usize = 1024;
 
 /// Maximum number of rejected requests. To push one out takes the crashes of thousands of targets within a day.
-pub const MAX_REFUSED: usize = 4096;
+pub const MAX_REJECTED: usize = 4096;
 
 /// The poison records that this host knows.
 ///
@@ -142,7 +142,7 @@
         let refused = is_refused(record);
         let alike = |kept: &PoisonRecord| is_refused(kept) == refused;
         let most = match refused {
-            true => MAX_REFUSED,
+            true => MAX_REJECTED,
             false => MAX_SUSPECTED,
         };
         let alike = self.records.iter().filter(|(_, kept)| alike(kept));
--- a/src/request/poison/poison_record.rs
+++ b/src/request/poison/poison_record.rs
@@ -23,11 +23,11 @@
 const MAX_CLEARED: usize = 32;
 
 /// Time from the last crash until a suspected request's record expires; callers retry within minutes.
-pub const KEEP_SUSPECTED: Duration = Duration::from_secs(600);
+pub const SUSPECTED_TTL: Duration = Duration::from_secs(600);
 
 /// Time from the last crash until a rejected request's record expires. Long, as each expiry may cost three targets, and
 /// a target's software is rarely fixed within a day.
-pub const KEEP_REFUSED: Duration = Duration::from_secs(24 * 3600);
+pub const REJECTED_TTL: Duration = Duration::from_secs(24 * 3600);
 
 /// The circumstances of one crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -141,8 +141,8 @@
     /// Returns when the record expires.
     pub fn kept_until(&self) -> Instant {
         let keep = match self.standing() {
-            Some(Standing::Refused) => KEEP_REFUSED,
-            _ => KEEP_SUSPECTED,
+            Some(Standing::Refused) => REJECTED_TTL,
+            _ => SUSPECTED_TTL,
         };
         self.latest + keep
     }
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -5,8 +5,8 @@
         clock::Instant,
         connection::targets::{Accused, CrashWatch},
         request::poison::{
-            CrashEvidence, CrashId, Fingerprint, KEEP_REFUSED, KEEP_SUSPECTED, MAX_REFUSED,
-            MAX_SUSPECTED, PoisonLedger, PoisonUpdate, Standing,
+            CrashEvidence, CrashId, Fingerprint, MAX_REJECTED, MAX_SUSPECTED, PoisonLedger,
+            PoisonUpdate, REJECTED_TTL, SUSPECTED_TTL, Standing,
         },
     },
     rand::{SeedableRng, rngs::StdRng, seq::SliceRandom},
@@ -152,7 +152,7 @@
         ledger.standing(&fingerprint(newest)),
         Some(Standing::Suspected)
     );
-    assert_eq!(MAX_REFUSED, 4096);
+    assert_eq!(MAX_REJECTED, 4096);
 }
 
 #[test]
@@ -161,14 +161,14 @@
     let now = Instant::now();
     ledger.join(&struck(1, &[1], true), now);
     ledger.join(&struck(2, &[1, 2, 3], true), now);
-    assert_eq!(ledger.drop_old(now + KEEP_SUSPECTED), vec![fingerprint(1)]);
-    assert!(ledger.drop_old(now + KEEP_REFUSED / 2).is_empty());
-    assert_eq!(ledger.drop_old(now + KEEP_REFUSED), vec![fingerprint(2)]);
+    assert_eq!(ledger.drop_old(now + SUSPECTED_TTL), vec![fingerprint(1)]);
+    assert!(ledger.drop_old(now + REJECTED_TTL / 2).is_empty());
+    assert_eq!(ledger.drop_old(now + REJECTED_TTL), vec![fingerprint(2)]);
     assert_eq!(ledger.digest(), PoisonLedger::default().digest());
     // Another host's update has expired, too.
     let mut old = struck(2, &[1, 2, 3], true);
-    old.age = KEEP_REFUSED;
-    assert!(!ledger.join(&old, now + KEEP_REFUSED));
+    old.age = REJECTED_TTL;
+    assert!(!ledger.join(&old, now + REJECTED_TTL));
 }
 
 #[test]
@@ -176,7 +176,7 @@
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
     for number in 0..3u32 {
-        let later = now + KEEP_SUSPECTED / 2 * number;
+        let later = now + SUSPECTED_TTL / 2 * number;
         ledger.drop_old(later);
         ledger.join(&struck(1, &[u64::from(number)], true), later);
     }
