--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -22,7 +22,7 @@
         request::{
             direct::{AttemptEnd, CallRequest, CopyState, NextStep, next_step},
             places::SlotOutcome,
-            poison::Standing,
+            poison::PoisonStatus,
             repeats::RepeatCharge,
         },
         timeline::Event,
@@ -188,7 +188,7 @@
     fn standing(
         &self,
         request: &CallRequest,
-    ) -> Option<Standing> {
+    ) -> Option<PoisonStatus> {
         let board = self.board.borrow();
         match board.crashes.is_quiet() {
             true => None,
@@ -201,7 +201,7 @@
         &self,
         request: &CallRequest,
     ) -> bool {
-        self.standing(request) == Some(Standing::Refused)
+        self.standing(request) == Some(PoisonStatus::Refused)
     }
 
     /// True if targets have ended under the request: it is not sent again by itself, its caller may do so.
--- a/src/connection/targets/crash_watch.rs
+++ b/src/connection/targets/crash_watch.rs
@@ -2,7 +2,7 @@
     crate::{
         clock::Instant,
         formats::TargetStart,
-        request::poison::{Fingerprint, Standing},
+        request::poison::{Fingerprint, PoisonStatus},
     },
     std::{
         collections::{HashMap, VecDeque},
@@ -41,7 +41,7 @@
 /// What this host's requests have seen of targets that end, and how requests stand that end them.
 #[derive(Debug, Default)]
 pub struct CrashWatch {
-    standings: HashMap<Fingerprint, Standing>,
+    standings: HashMap<Fingerprint, PoisonStatus>,
     /// Targets that broke an answer off, the last one at the end.
     losses: VecDeque<(Instant, Arc<str>)>,
     /// Requests that had just begun at targets that are looked at.
@@ -68,7 +68,7 @@
     pub fn standing(
         &self,
         fingerprint: &Fingerprint,
-    ) -> Option<Standing> {
+    ) -> Option<PoisonStatus> {
         self.standings.get(fingerprint).copied()
     }
 
@@ -76,7 +76,7 @@
     pub fn set_standing(
         &mut self,
         fingerprint: Fingerprint,
-        standing: Option<Standing>,
+        standing: Option<PoisonStatus>,
     ) {
         match standing {
             Some(standing) => self.standings.insert(fingerprint, standing),
--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -12,7 +12,7 @@
         process::holding::TakenEngine,
         request::{
             notices::TargetNotices,
-            poison::{Fingerprint, Standing},
+            poison::{Fingerprint, PoisonStatus},
         },
     },
     std::{net::SocketAddr, sync::Arc},
@@ -84,7 +84,7 @@
     /// A request stands so from now on; `None` if nothing speaks against it.
     Stands {
         fingerprint: Fingerprint,
-        standing: Option<Standing>,
+        standing: Option<PoisonStatus>,
     },
     /// Read what the store keeps of requests that end targets.
     ReadPoison,
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -14,7 +14,8 @@
         metrics::{StateLabels, metrics},
         note,
         request::poison::{
-            CrashEvidence, CrashId, Fingerprint, PoisonLedger, PoisonReport, PoisonUpdate, Standing,
+            CrashEvidence, CrashId, Fingerprint, PoisonLedger, PoisonReport, PoisonStatus,
+            PoisonUpdate,
         },
         timeline::Event,
     },
@@ -279,7 +280,7 @@
             note!(
                 Event::PoisonStanding,
                 fingerprint = fingerprint,
-                standing = Standing::word(standing),
+                standing = PoisonStatus::word(standing),
                 targets_ended = record.map_or(0, |record| record.strikes()),
                 source = source,
             );
@@ -295,9 +296,9 @@
     }
 
     fn set_poison_gauges(&self) {
-        for standing in [Standing::Suspected, Standing::Refused] {
+        for standing in [PoisonStatus::Suspected, PoisonStatus::Refused] {
             let labels = StateLabels {
-                state: Standing::word(Some(standing)),
+                state: PoisonStatus::word(Some(standing)),
             };
             let count = self.poison.ledger.count(standing);
             let gauge = metrics().poison.get_or_create(&labels).clone();
--- a/src/request/poison/mod.rs
+++ b/src/request/poison/mod.rs
@@ -6,8 +6,8 @@
 mod poison_ledger;
 mod poison_record;
 mod poison_report;
+mod poison_status;
 mod poison_update;
-mod standing;
 
 pub use {
     crash_evidence::{CrashEvidence, CrashId},
@@ -15,6 +15,6 @@
     poison_ledger::{MAX_REJECTED, MAX_SUSPECTED, PoisonLedger},
     poison_record::{PoisonRecord, REJECTED_TTL, SUSPECTED_TTL},
     poison_report::PoisonReport,
+    poison_status::PoisonStatus,
     poison_update::PoisonUpdate,
-    standing::Standing,
 };
--- a/src/request/poison/poison_ledger.rs
+++ b/src/request/poison/poison_ledger.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Fingerprint, PoisonRecord, PoisonUpdate, Standing},
+    super::{Fingerprint, PoisonRecord, PoisonStatus, PoisonUpdate},
     crate::clock::Instant,
     std::collections::BTreeMap,
 };
@@ -87,7 +87,7 @@
     pub fn standing(
         &self,
         fingerprint: &Fingerprint,
-    ) -> Option<Standing> {
+    ) -> Option<PoisonStatus> {
         self.records.get(fingerprint)?.standing()
     }
 
@@ -110,7 +110,7 @@
     /// Returns the number of requests with this status.
     pub fn count(
         &self,
-        standing: Standing,
+        standing: PoisonStatus,
     ) -> usize {
         let stands = |record: &&PoisonRecord| record.standing() == Some(standing);
         self.records.values().filter(stands).count()
@@ -181,5 +181,5 @@
 }
 
 fn is_refused(record: &PoisonRecord) -> bool {
-    record.standing() == Some(Standing::Refused)
+    record.standing() == Some(PoisonStatus::Refused)
 }
--- a/src/request/poison/poison_record.rs
+++ b/src/request/poison/poison_record.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CrashEvidence, CrashId, Fingerprint, PoisonUpdate, Standing},
+    super::{CrashEvidence, CrashId, Fingerprint, PoisonStatus, PoisonUpdate},
     crate::clock::Instant,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -106,15 +106,15 @@
     }
 
     /// Returns the request's status, or `None` if there is no evidence against it.
-    pub fn standing(&self) -> Option<Standing> {
+    pub fn standing(&self) -> Option<PoisonStatus> {
         if self.strikes.is_empty() {
             return None;
         }
         let all = self.proofs(|_| true);
         let alone = self.proofs(|proof| proof.alone);
         match all >= ENOUGH || alone >= ENOUGH_ALONE {
-            true => Some(Standing::Refused),
-            false => Some(Standing::Suspected),
+            true => Some(PoisonStatus::Refused),
+            false => Some(PoisonStatus::Suspected),
         }
     }
 
@@ -141,7 +141,7 @@
     /// Returns when the record expires.
     pub fn kept_until(&self) -> Instant {
         let keep = match self.standing() {
-            Some(Standing::Refused) => REJECTED_TTL,
+            Some(PoisonStatus::Refused) => REJECTED_TTL,
             _ => SUSPECTED_TTL,
         };
         self.latest + keep
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -6,7 +6,7 @@
         connection::targets::{Accused, CrashWatch},
         request::poison::{
             CrashEvidence, CrashId, Fingerprint, MAX_REJECTED, MAX_SUSPECTED, PoisonLedger,
-            PoisonUpdate, REJECTED_TTL, SUSPECTED_TTL, Standing,
+            PoisonStatus, PoisonUpdate, REJECTED_TTL, SUSPECTED_TTL,
         },
     },
     rand::{SeedableRng, rngs::StdRng, seq::SliceRandom},
@@ -38,16 +38,16 @@
 
 #[rstest]
 #[case::nothing(&[], true, None)]
-#[case::one(&[1], true, Some(Standing::Suspected))]
-#[case::the_same_end_again(&[1, 1, 1, 1], true, Some(Standing::Suspected))]
-#[case::two(&[1, 2], true, Some(Standing::Suspected))]
-#[case::three_alone(&[1, 2, 3], true, Some(Standing::Refused))]
-#[case::three_with_others(&[1, 2, 3], false, Some(Standing::Suspected))]
-#[case::four_with_others(&[1, 2, 3, 4], false, Some(Standing::Refused))]
+#[case::one(&[1], true, Some(PoisonStatus::Suspected))]
+#[case::the_same_end_again(&[1, 1, 1, 1], true, Some(PoisonStatus::Suspected))]
+#[case::two(&[1, 2], true, Some(PoisonStatus::Suspected))]
+#[case::three_alone(&[1, 2, 3], true, Some(PoisonStatus::Refused))]
+#[case::three_with_others(&[1, 2, 3], false, Some(PoisonStatus::Suspected))]
+#[case::four_with_others(&[1, 2, 3, 4], false, Some(PoisonStatus::Refused))]
 fn ends_of_targets_speak_against_a_request(
     #[case] ends: &[u64],
     #[case] alone: bool,
-    #[case] standing: Option<Standing>,
+    #[case] standing: Option<PoisonStatus>,
 ) {
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
@@ -68,9 +68,15 @@
         told.strikes[0].begun = false;
         ledger.join(&told, now);
     }
-    assert_eq!(ledger.standing(&fingerprint(1)), Some(Standing::Suspected));
+    assert_eq!(
+        ledger.standing(&fingerprint(1)),
+        Some(PoisonStatus::Suspected)
+    );
     ledger.join(&struck(1, &[10, 11], true), now);
-    assert_eq!(ledger.standing(&fingerprint(1)), Some(Standing::Refused));
+    assert_eq!(
+        ledger.standing(&fingerprint(1)),
+        Some(PoisonStatus::Refused)
+    );
 }
 
 #[rstest]
@@ -96,7 +102,10 @@
     assert_eq!(ledger.standing(&fingerprint(1)), None);
     // Later crashes count again.
     ledger.join(&struck(1, &[3, 4, 5], true), now);
-    assert_eq!(ledger.standing(&fingerprint(1)), Some(Standing::Refused));
+    assert_eq!(
+        ledger.standing(&fingerprint(1)),
+        Some(PoisonStatus::Refused)
+    );
 }
 
 #[test]
@@ -141,8 +150,11 @@
         let later = now + Duration::from_millis(number);
         ledger.join(&struck(number, &[number], true), later);
     }
-    assert_eq!(ledger.standing(&fingerprint(0)), Some(Standing::Refused));
-    assert_eq!(ledger.count(Standing::Suspected), MAX_SUSPECTED);
+    assert_eq!(
+        ledger.standing(&fingerprint(0)),
+        Some(PoisonStatus::Refused)
+    );
+    assert_eq!(ledger.count(PoisonStatus::Suspected), MAX_SUSPECTED);
     // Records that were pushed out are reported once.
     let later = now + Duration::from_secs(10);
     assert_eq!(ledger.drop_old(later).len(), MAX_SUSPECTED * 2 - 1);
@@ -150,7 +162,7 @@
     let newest = MAX_SUSPECTED as u64 * 3 - 1;
     assert_eq!(
         ledger.standing(&fingerprint(newest)),
-        Some(Standing::Suspected)
+        Some(PoisonStatus::Suspected)
     );
     assert_eq!(MAX_REJECTED, 4096);
 }
@@ -180,7 +192,10 @@
         ledger.drop_old(later);
         ledger.join(&struck(1, &[u64::from(number)], true), later);
     }
-    assert_eq!(ledger.standing(&fingerprint(1)), Some(Standing::Refused));
+    assert_eq!(
+        ledger.standing(&fingerprint(1)),
+        Some(PoisonStatus::Refused)
+    );
 }
 
 #[test]
