--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -19,7 +19,7 @@
         process::settings::{Bounds, NodeSettings},
         request::{
             notices::TargetNotices,
-            poison::{Fingerprint, Standing},
+            poison::{Fingerprint, PoisonStatus},
         },
         timeline::Event,
     },
@@ -68,7 +68,7 @@
     /// A request stands so from now on; `None` if nothing speaks against it.
     Stands {
         fingerprint: Fingerprint,
-        standing: Option<Standing>,
+        standing: Option<PoisonStatus>,
     },
     /// Another host asks for a part of this one's allowance of repeats.
     LoanAsked {
