--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -188,8 +188,8 @@
             let begun = accused.begun;
             (accused.fingerprint, CrashEvidence { end, begun, alone })
         };
-        let strikes = accused.iter().map(strike).collect();
-        board.report_poison(PoisonReport::Struck { strikes });
+        let evidence = accused.iter().map(strike).collect();
+        board.report_poison(PoisonReport::Crashed { evidence });
     }
 
     /// True if the target takes no connections twice, and nothing was heard of this start meanwhile.
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -201,7 +201,7 @@
         &self,
         request: &CallRequest,
     ) -> bool {
-        self.standing(request) == Some(PoisonStatus::Refused)
+        self.standing(request) == Some(PoisonStatus::Rejected)
     }
 
     /// True if targets have ended under the request: it is not sent again by itself, its caller may do so.
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -71,7 +71,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let changed = match report {
-            PoisonReport::Struck { strikes } => self.strike(&strikes, now),
+            PoisonReport::Crashed { evidence } => self.strike(&evidence, now),
             PoisonReport::Cleared { fingerprint } => match self.poison.ledger.clear(&fingerprint) {
                 true => vec![fingerprint],
                 false => Vec::new(),
@@ -96,7 +96,7 @@
                 cleared: Vec::new(),
                 age: Duration::ZERO,
             };
-            if self.poison.ledger.join(&told, now) {
+            if self.poison.ledger.merge(&told, now) {
                 changed.push(*fingerprint);
             }
         }
@@ -122,7 +122,7 @@
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
         for told in told {
-            if self.poison.ledger.join(told, now) {
+            if self.poison.ledger.merge(told, now) {
                 changed.push(told.fingerprint);
             }
         }
@@ -160,7 +160,7 @@
         let ledger = &self.poison.ledger;
         let told = changed.iter().filter_map(|fingerprint| {
             let record = ledger.get(fingerprint)?;
-            Some(record.told(*fingerprint, now))
+            Some(record.to_update(*fingerprint, now))
         });
         let told: Vec<PoisonUpdate> = told.collect();
         let mut actions = Vec::new();
@@ -179,8 +179,8 @@
     ) -> Option<ControlAction> {
         let kept = changed.iter().filter_map(|fingerprint| {
             let record = self.poison.ledger.get(fingerprint)?;
-            let told = record.told(*fingerprint, now);
-            let matters = record.strikes() >= KEPT_STRIKES || !told.cleared.is_empty();
+            let told = record.to_update(*fingerprint, now);
+            let matters = record.crash_count() >= KEPT_STRIKES || !told.cleared.is_empty();
             matters.then(|| row_of(&told))
         });
         let writes: Vec<_> = kept.collect();
@@ -195,7 +195,7 @@
         let mut actions = Vec::new();
         if self.poison.next_drop.is_none_or(|at| now >= at) {
             self.poison.next_drop = Some(now + DROP_PERIOD);
-            let dropped = self.poison.ledger.drop_old(now);
+            let dropped = self.poison.ledger.evict_expired(now);
             actions.extend(self.note_standings(&dropped, "age"));
         }
         if self.poison.is_known {
@@ -275,13 +275,13 @@
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         for fingerprint in changed {
-            let standing = self.poison.ledger.standing(fingerprint);
+            let standing = self.poison.ledger.status(fingerprint);
             let record = self.poison.ledger.get(fingerprint);
             note!(
                 Event::PoisonStanding,
                 fingerprint = fingerprint,
                 standing = PoisonStatus::word(standing),
-                targets_ended = record.map_or(0, |record| record.strikes()),
+                targets_ended = record.map_or(0, |record| record.crash_count()),
                 source = source,
             );
             actions.push(ControlAction::Stands {
@@ -296,7 +296,7 @@
     }
 
     fn set_poison_gauges(&self) {
-        for standing in [PoisonStatus::Suspected, PoisonStatus::Refused] {
+        for standing in [PoisonStatus::Suspected, PoisonStatus::Rejected] {
             let labels = StateLabels {
                 state: PoisonStatus::word(Some(standing)),
             };
--- a/src/request/poison/crash_evidence.rs
+++ b/src/request/poison/crash_evidence.rs
@@ -11,10 +11,10 @@
 impl CrashId {
     pub fn of(
         target: &str,
-        started: Option<TargetStart>,
+        start: Option<TargetStart>,
     ) -> Self {
-        let started = started.map(|start| start.to_string());
-        let text = format!("{target}/{}", started.as_deref().unwrap_or("-"));
+        let start = start.map(|start| start.to_string());
+        let text = format!("{target}/{}", start.as_deref().unwrap_or("-"));
         Self(xxh3_64(text.as_bytes()))
     }
 
--- a/src/request/poison/poison_ledger.rs
+++ b/src/request/poison/poison_ledger.rs
@@ -20,33 +20,33 @@
     /// Sum of the records' digests.
     digest: u64,
     /// Requests whose records were pushed out by newer ones, until the next `evict_expired`.
-    pushed_out: Vec<Fingerprint>,
+    evicted: Vec<Fingerprint>,
 }
 
 impl PoisonLedger {
     /// Merges an update; returns true if it changed anything.
-    pub fn join(
+    pub fn merge(
         &mut self,
-        told: &PoisonUpdate,
+        update: &PoisonUpdate,
         now: Instant,
     ) -> bool {
-        let latest = now - told.age;
-        let known = self.records.get(&told.fingerprint).cloned();
+        let last_crash = now - update.age;
+        let known = self.records.get(&update.fingerprint).cloned();
         let (record, changed) = match known.clone() {
             Some(mut record) => {
-                let changed = record.join(told, latest);
+                let changed = record.merge(update, last_crash);
                 (record, changed)
             }
-            None => (PoisonRecord::new(told, latest), true),
+            None => (PoisonRecord::new(update, last_crash), true),
         };
-        if record.kept_until() <= now {
+        if record.expires_at() <= now {
             return false;
         }
-        let has_room = known.is_some_and(|known| is_refused(&known) == is_refused(&record));
-        if !has_room && !self.makes_room(&record) {
+        let has_room = known.is_some_and(|known| is_rejected(&known) == is_rejected(&record));
+        if !has_room && !self.make_room(&record) {
             return false;
         }
-        self.put(told.fingerprint, record);
+        self.put(update.fingerprint, record);
         changed
     }
 
@@ -65,30 +65,30 @@
 
     /// Evicts expired records. Returns the requests that have lost their record, including those pushed out by newer
     /// ones.
-    pub fn drop_old(
+    pub fn evict_expired(
         &mut self,
         now: Instant,
     ) -> Vec<Fingerprint> {
         let old = self
             .records
             .iter()
-            .filter(|(_, record)| record.kept_until() <= now);
+            .filter(|(_, record)| record.expires_at() <= now);
         let old: Vec<Fingerprint> = old.map(|(fingerprint, _)| *fingerprint).collect();
         for fingerprint in &old {
             self.remove(fingerprint);
         }
-        let mut gone = std::mem::take(&mut self.pushed_out);
+        let mut gone = std::mem::take(&mut self.evicted);
         gone.extend(old);
         gone.retain(|fingerprint| !self.records.contains_key(fingerprint));
         gone
     }
 
     /// Returns the status of a request, or `None` if there is no evidence against it.
-    pub fn standing(
+    pub fn status(
         &self,
         fingerprint: &Fingerprint,
     ) -> Option<PoisonStatus> {
-        self.records.get(fingerprint)?.standing()
+        self.records.get(fingerprint)?.status()
     }
 
     pub fn get(
@@ -110,10 +110,10 @@
     /// Returns the number of requests with this status.
     pub fn count(
         &self,
-        standing: PoisonStatus,
+        status: PoisonStatus,
     ) -> usize {
-        let stands = |record: &&PoisonRecord| record.standing() == Some(standing);
-        self.records.values().filter(stands).count()
+        let has_status = |record: &&PoisonRecord| record.status() == Some(status);
+        self.records.values().filter(has_status).count()
     }
 
     /// Returns up to `count` records as updates, in order of fingerprints from the one after `after`, wrapping around.
@@ -123,37 +123,38 @@
         count: usize,
         now: Instant,
     ) -> Vec<PoisonUpdate> {
-        let behind = |fingerprint: &Fingerprint| after.is_some_and(|after| *fingerprint > after);
+        let is_after = |fingerprint: &Fingerprint| after.is_some_and(|after| *fingerprint > after);
         let (later, earlier): (Vec<_>, Vec<_>) = self
             .records
             .iter()
-            .partition(|(fingerprint, _)| behind(fingerprint));
-        let told = later.into_iter().chain(earlier).take(count);
-        told.map(|(fingerprint, record)| record.told(*fingerprint, now))
+            .partition(|(fingerprint, _)| is_after(fingerprint));
+        let records = later.into_iter().chain(earlier).take(count);
+        records
+            .map(|(fingerprint, record)| record.to_update(*fingerprint, now))
             .collect()
     }
 
     /// Makes room among the records of the same status by removing the oldest; returns false if the new record is older
     /// than all of them.
-    fn makes_room(
+    fn make_room(
         &mut self,
         record: &PoisonRecord,
     ) -> bool {
-        let refused = is_refused(record);
-        let alike = |kept: &PoisonRecord| is_refused(kept) == refused;
-        let most = match refused {
+        let rejected = is_rejected(record);
+        let is_alike = |kept: &PoisonRecord| is_rejected(kept) == rejected;
+        let max = match rejected {
             true => MAX_REJECTED,
             false => MAX_SUSPECTED,
         };
-        let alike = self.records.iter().filter(|(_, kept)| alike(kept));
-        if alike.clone().count() < most {
+        let alike = self.records.iter().filter(|(_, kept)| is_alike(kept));
+        if alike.clone().count() < max {
             return true;
         }
-        let oldest = alike.min_by_key(|(_, kept)| kept.latest());
-        match oldest.map(|(fingerprint, kept)| (*fingerprint, kept.latest())) {
-            Some((oldest, latest)) if latest < record.latest() => {
+        let oldest = alike.min_by_key(|(_, kept)| kept.last_crash());
+        match oldest.map(|(fingerprint, kept)| (*fingerprint, kept.last_crash())) {
+            Some((oldest, last_crash)) if last_crash < record.last_crash() => {
                 self.remove(&oldest);
-                self.pushed_out.push(oldest);
+                self.evicted.push(oldest);
                 true
             }
             _ => false,
@@ -180,6 +181,6 @@
     }
 }
 
-fn is_refused(record: &PoisonRecord) -> bool {
-    record.standing() == Some(PoisonStatus::Refused)
+fn is_rejected(record: &PoisonRecord) -> bool {
+    record.status() == Some(PoisonStatus::Rejected)
 }
--- a/src/request/poison/poison_record.rs
+++ b/src/request/poison/poison_record.rs
@@ -10,14 +10,14 @@
 
 /// Isolated crashes that get a request rejected. An innocent request would have to be at its start on three crashing
 /// targets, and never be answered.
-const ENOUGH_ALONE: usize = 3;
+const MIN_ISOLATED_CRASHES: usize = 3;
 
 /// The same if other targets crashed at about the same time. More, since a power loss crashes many targets, and callers
 /// then send the lost requests again.
-const ENOUGH: usize = 4;
+const MIN_CRASHES: usize = 4;
 
 /// Maximum number of crashes kept per request, above those that get it rejected.
-const MAX_STRIKES: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 /// Maximum number of cleared crashes kept per request, so that late evidence of one is ignored.
 const MAX_CLEARED: usize = 32;
@@ -31,7 +31,7 @@
 
 /// The circumstances of one crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Proof {
+struct Circumstances {
     begun: bool,
     alone: bool,
 }
@@ -42,54 +42,54 @@
 /// another order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoisonRecord {
-    strikes: BTreeMap<CrashId, Proof>,
+    crashes: BTreeMap<CrashId, Circumstances>,
     cleared: BTreeSet<CrashId>,
     /// When the last crash happened.
-    latest: Instant,
+    last_crash: Instant,
 }
 
 impl PoisonRecord {
     /// Creates the record of an update.
     pub fn new(
-        told: &PoisonUpdate,
-        latest: Instant,
+        update: &PoisonUpdate,
+        last_crash: Instant,
     ) -> Self {
         let mut record = Self {
-            strikes: BTreeMap::new(),
+            crashes: BTreeMap::new(),
             cleared: BTreeSet::new(),
-            latest,
+            last_crash,
         };
-        record.join(told, latest);
+        record.merge(update, last_crash);
         record
     }
 
     /// Merges an update; returns true if anything but the time changed.
-    pub fn join(
+    pub fn merge(
         &mut self,
-        told: &PoisonUpdate,
-        latest: Instant,
+        update: &PoisonUpdate,
+        last_crash: Instant,
     ) -> bool {
-        let before = (self.strikes.clone(), self.cleared.clone());
-        self.latest = self.latest.max(latest);
-        self.cleared.extend(&told.cleared);
-        for strike in &told.strikes {
-            let proof = Proof {
-                begun: strike.begun,
-                alone: strike.alone,
+        let before = (self.crashes.clone(), self.cleared.clone());
+        self.last_crash = self.last_crash.max(last_crash);
+        self.cleared.extend(&update.cleared);
+        for evidence in &update.strikes {
+            let crash = Circumstances {
+                begun: evidence.begun,
+                alone: evidence.alone,
             };
-            let known = self.strikes.entry(strike.end).or_insert(proof);
-            known.begun |= proof.begun;
-            known.alone &= proof.alone;
+            let known = self.crashes.entry(evidence.end).or_insert(crash);
+            known.begun |= crash.begun;
+            known.alone &= crash.alone;
         }
         self.trim();
-        before != (self.strikes.clone(), self.cleared.clone())
+        before != (self.crashes.clone(), self.cleared.clone())
     }
 
     /// Clears all crashes, since a target has answered the request completely; returns true if there were any.
     pub fn clear(&mut self) -> bool {
-        let ends: Vec<CrashId> = self.strikes.keys().copied().collect();
-        self.cleared.extend(ends);
-        let changed = !self.strikes.is_empty();
+        let crashes: Vec<CrashId> = self.crashes.keys().copied().collect();
+        self.cleared.extend(crashes);
+        let changed = !self.crashes.is_empty();
         self.trim();
         changed
     }
@@ -99,70 +99,71 @@
         while self.cleared.len() > MAX_CLEARED {
             self.cleared.pop_first();
         }
-        self.strikes.retain(|end, _| !self.cleared.contains(end));
-        while self.strikes.len() > MAX_STRIKES {
-            self.strikes.pop_last();
+        self.crashes.retain(|end, _| !self.cleared.contains(end));
+        while self.crashes.len() > MAX_CRASHES {
+            self.crashes.pop_last();
         }
     }
 
     /// Returns the request's status, or `None` if there is no evidence against it.
-    pub fn standing(&self) -> Option<PoisonStatus> {
-        if self.strikes.is_empty() {
+    pub fn status(&self) -> Option<PoisonStatus> {
+        if self.crashes.is_empty() {
             return None;
         }
-        let all = self.proofs(|_| true);
-        let alone = self.proofs(|proof| proof.alone);
-        match all >= ENOUGH || alone >= ENOUGH_ALONE {
-            true => Some(PoisonStatus::Refused),
+        let all = self.counted_crashes(|_| true);
+        let isolated = self.counted_crashes(|crash| crash.alone);
+        match all >= MIN_CRASHES || isolated >= MIN_ISOLATED_CRASHES {
+            true => Some(PoisonStatus::Rejected),
             false => Some(PoisonStatus::Suspected),
         }
     }
 
     /// Returns the number of crashes that count. Those for which the request may have arrived too late count as one in
     /// all: a caller that retries at once meets every target that a power loss has crashed.
-    fn proofs(
+    fn counted_crashes(
         &self,
-        counts: impl Fn(&Proof) -> bool,
+        counts: impl Fn(&Circumstances) -> bool,
     ) -> usize {
-        let proofs = self.strikes.values().filter(|proof| counts(proof));
-        let (begun, doubtful): (Vec<&Proof>, Vec<&Proof>) = proofs.partition(|proof| proof.begun);
+        let crashes = self.crashes.values().filter(|crash| counts(crash));
+        let (begun, doubtful): (Vec<&Circumstances>, Vec<&Circumstances>) =
+            crashes.partition(|crash| crash.begun);
         begun.len() + doubtful.len().min(1)
     }
 
-    pub fn strikes(&self) -> usize {
-        self.strikes.len()
+    pub fn crash_count(&self) -> usize {
+        self.crashes.len()
     }
 
     /// Returns when the last crash happened.
-    pub fn latest(&self) -> Instant {
-        self.latest
+    pub fn last_crash(&self) -> Instant {
+        self.last_crash
     }
 
     /// Returns when the record expires.
-    pub fn kept_until(&self) -> Instant {
-        let keep = match self.standing() {
-            Some(PoisonStatus::Refused) => REJECTED_TTL,
+    pub fn expires_at(&self) -> Instant {
+        let ttl = match self.status() {
+            Some(PoisonStatus::Rejected) => REJECTED_TTL,
             _ => SUSPECTED_TTL,
         };
-        self.latest + keep
+        self.last_crash + ttl
     }
 
     /// Returns the record as an update for other hosts and the store.
-    pub fn told(
+    pub fn to_update(
         &self,
         fingerprint: Fingerprint,
         now: Instant,
     ) -> PoisonUpdate {
-        let strike = |(end, proof): (&CrashId, &Proof)| CrashEvidence {
+        let evidence = |(end, crash): (&CrashId, &Circumstances)| CrashEvidence {
             end: *end,
-            begun: proof.begun,
-            alone: proof.alone,
+            begun: crash.begun,
+            alone: crash.alone,
         };
         PoisonUpdate {
             fingerprint,
-            strikes: self.strikes.iter().map(strike).collect(),
+            strikes: self.crashes.iter().map(evidence).collect(),
             cleared: self.cleared.iter().copied().collect(),
-            age: now.saturating_duration_since(self.latest),
+            age: now.saturating_duration_since(self.last_crash),
         }
     }
 
@@ -172,9 +173,9 @@
         fingerprint: &Fingerprint,
     ) -> u64 {
         let mut bytes = fingerprint.as_bytes().to_vec();
-        for (end, proof) in &self.strikes {
+        for (end, crash) in &self.crashes {
             bytes.extend_from_slice(&end.number().to_le_bytes());
-            bytes.extend([u8::from(proof.begun), u8::from(proof.alone)]);
+            bytes.extend([u8::from(crash.begun), u8::from(crash.alone)]);
         }
         bytes.push(u8::MAX);
         for end in &self.cleared {
--- a/src/request/poison/poison_report.rs
+++ b/src/request/poison/poison_report.rs
@@ -4,8 +4,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum PoisonReport {
     /// A target crashed right after it had started these requests.
-    Struck {
-        strikes: Vec<(Fingerprint, CrashEvidence)>,
+    Crashed {
+        evidence: Vec<(Fingerprint, CrashEvidence)>,
     },
     /// A target answered the request completely, or an operator cleared it.
     Cleared { fingerprint: Fingerprint },
--- a/src/request/poison/poison_status.rs
+++ b/src/request/poison/poison_status.rs
@@ -4,7 +4,7 @@
     /// Served, but not retried, as other requests may have caused the crashes.
     Suspected,
     /// No longer sent to any target.
-    Refused,
+    Rejected,
 }
 
 impl PoisonStatus {
@@ -13,7 +13,7 @@
         match standing {
             None => "cleared",
             Some(Self::Suspected) => "suspected",
-            Some(Self::Refused) => "refused",
+            Some(Self::Rejected) => "refused",
         }
     }
 }
--- a/src/request/poison/poison_update.rs
+++ b/src/request/poison/poison_update.rs
@@ -8,6 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoisonUpdate {
     pub fingerprint: Fingerprint,
+    /// The evidence; named as in stored records.
     pub strikes: Vec<CrashEvidence>,
     /// Crashes that no longer count.
     pub cleared: Vec<CrashId>,
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -18,19 +18,19 @@
     Fingerprint::of("site", "POST", "/path", &number.to_le_bytes())
 }
 
-fn struck(
+fn update(
     number: u64,
     ends: &[u64],
     alone: bool,
 ) -> PoisonUpdate {
-    let strike = |end: &u64| CrashEvidence {
+    let evidence = |end: &u64| CrashEvidence {
         end: CrashId::from_number(*end),
         begun: true,
         alone,
     };
     PoisonUpdate {
         fingerprint: fingerprint(number),
-        strikes: ends.iter().map(strike).collect(),
+        strikes: ends.iter().map(evidence).collect(),
         cleared: Vec::new(),
         age: Duration::ZERO,
     }
@@ -41,21 +41,21 @@
 #[case::one(&[1], true, Some(PoisonStatus::Suspected))]
 #[case::the_same_end_again(&[1, 1, 1, 1], true, Some(PoisonStatus::Suspected))]
 #[case::two(&[1, 2], true, Some(PoisonStatus::Suspected))]
-#[case::three_alone(&[1, 2, 3], true, Some(PoisonStatus::Refused))]
+#[case::three_alone(&[1, 2, 3], true, Some(PoisonStatus::Rejected))]
 #[case::three_with_others(&[1, 2, 3], false, Some(PoisonStatus::Suspected))]
-#[case::four_with_others(&[1, 2, 3, 4], false, Some(PoisonStatus::Refused))]
+#[case::four_with_others(&[1, 2, 3, 4], false, Some(PoisonStatus::Rejected))]
 fn ends_of_targets_speak_against_a_request(
     #[case] ends: &[u64],
     #[case] alone: bool,
-    #[case] standing: Option<PoisonStatus>,
+    #[case] status: Option<PoisonStatus>,
 ) {
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
     for end in ends {
-        ledger.join(&struck(1, &[*end], alone), now);
+        ledger.merge(&update(1, &[*end], alone), now);
     }
-    assert_eq!(ledger.standing(&fingerprint(1)), standing);
-    assert_eq!(ledger.standing(&fingerprint(2)), None);
+    assert_eq!(ledger.status(&fingerprint(1)), status);
+    assert_eq!(ledger.status(&fingerprint(2)), None);
 }
 
 /// A caller that retries at once meets every target that has just crashed.
@@ -64,19 +64,16 @@
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
     for end in 0..6 {
-        let mut told = struck(1, &[end], true);
-        told.strikes[0].begun = false;
-        ledger.join(&told, now);
+        let mut entry = update(1, &[end], true);
+        entry.strikes[0].begun = false;
+        ledger.merge(&entry, now);
     }
     assert_eq!(
-        ledger.standing(&fingerprint(1)),
+        ledger.status(&fingerprint(1)),
         Some(PoisonStatus::Suspected)
     );
-    ledger.join(&struck(1, &[10, 11], true), now);
-    assert_eq!(
-        ledger.standing(&fingerprint(1)),
-        Some(PoisonStatus::Refused)
-    );
+    ledger.merge(&update(1, &[10, 11], true), now);
+    assert_eq!(ledger.status(&fingerprint(1)), Some(PoisonStatus::Rejected));
 }
 
 #[rstest]
@@ -96,16 +93,13 @@
 fn a_late_strike_of_an_end_that_was_cleared_changes_nothing() {
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
-    ledger.join(&struck(1, &[1, 2], true), now);
+    ledger.merge(&update(1, &[1, 2], true), now);
     assert!(ledger.clear(&fingerprint(1)));
-    assert!(!ledger.join(&struck(1, &[1, 2], true), now));
-    assert_eq!(ledger.standing(&fingerprint(1)), None);
+    assert!(!ledger.merge(&update(1, &[1, 2], true), now));
+    assert_eq!(ledger.status(&fingerprint(1)), None);
     // Later crashes count again.
-    ledger.join(&struck(1, &[3, 4, 5], true), now);
-    assert_eq!(
-        ledger.standing(&fingerprint(1)),
-        Some(PoisonStatus::Refused)
-    );
+    ledger.merge(&update(1, &[3, 4, 5], true), now);
+    assert_eq!(ledger.status(&fingerprint(1)), Some(PoisonStatus::Rejected));
 }
 
 #[test]
@@ -113,27 +107,27 @@
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
-        let mut news: Vec<PoisonUpdate> = (0..30)
-            .map(|at| struck(at % 5, &[at, at + 1], at % 3 > 0))
+        let mut updates: Vec<PoisonUpdate> = (0..30)
+            .map(|at| update(at % 5, &[at, at + 1], at % 3 > 0))
             .collect();
         for cleared in 0..4 {
-            let mut told = struck(cleared, &[], true);
-            told.cleared = vec![CrashId::from_number(cleared * 5)];
-            news.push(told);
+            let mut entry = update(cleared, &[], true);
+            entry.cleared = vec![CrashId::from_number(cleared * 5)];
+            updates.push(entry);
         }
         let mut ledgers = Vec::new();
         for _ in 0..3 {
-            news.shuffle(&mut rng);
+            updates.shuffle(&mut rng);
             let mut ledger = PoisonLedger::default();
             // Some updates arrive twice.
-            for told in news.iter().chain(news.iter().take(10)) {
-                ledger.join(told, now);
+            for update in updates.iter().chain(updates.iter().take(10)) {
+                ledger.merge(update, now);
             }
             ledgers.push(ledger);
         }
         for (from, to) in [(0, 1), (1, 2), (2, 0), (0, 1)] {
-            for told in ledgers[from].page(None, 100, now) {
-                ledgers[to].join(&told, now);
+            for update in ledgers[from].page(None, 100, now) {
+                ledgers[to].merge(&update, now);
             }
         }
         assert_eq!(ledgers[0].digest(), ledgers[1].digest(), "seed {seed}");
@@ -145,23 +139,20 @@
 fn no_number_of_suspects_pushes_a_refused_request_out() {
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
-    ledger.join(&struck(0, &[1, 2, 3], true), now);
+    ledger.merge(&update(0, &[1, 2, 3], true), now);
     for number in 1..MAX_SUSPECTED as u64 * 3 {
         let later = now + Duration::from_millis(number);
-        ledger.join(&struck(number, &[number], true), later);
+        ledger.merge(&update(number, &[number], true), later);
     }
-    assert_eq!(
-        ledger.standing(&fingerprint(0)),
-        Some(PoisonStatus::Refused)
-    );
+    assert_eq!(ledger.status(&fingerprint(0)), Some(PoisonStatus::Rejected));
     assert_eq!(ledger.count(PoisonStatus::Suspected), MAX_SUSPECTED);
     // Records that were pushed out are reported once.
     let later = now + Duration::from_secs(10);
-    assert_eq!(ledger.drop_old(later).len(), MAX_SUSPECTED * 2 - 1);
-    assert!(ledger.drop_old(later).is_empty());
+    assert_eq!(ledger.evict_expired(later).len(), MAX_SUSPECTED * 2 - 1);
+    assert!(ledger.evict_expired(later).is_empty());
     let newest = MAX_SUSPECTED as u64 * 3 - 1;
     assert_eq!(
-        ledger.standing(&fingerprint(newest)),
+        ledger.status(&fingerprint(newest)),
         Some(PoisonStatus::Suspected)
     );
     assert_eq!(MAX_REJECTED, 4096);
@@ -171,16 +162,22 @@
 fn a_request_is_forgotten_some_time_after_its_last_strike() {
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
-    ledger.join(&struck(1, &[1], true), now);
-    ledger.join(&struck(2, &[1, 2, 3], true), now);
-    assert_eq!(ledger.drop_old(now + SUSPECTED_TTL), vec![fingerprint(1)]);
-    assert!(ledger.drop_old(now + REJECTED_TTL / 2).is_empty());
-    assert_eq!(ledger.drop_old(now + REJECTED_TTL), vec![fingerprint(2)]);
+    ledger.merge(&update(1, &[1], true), now);
+    ledger.merge(&update(2, &[1, 2, 3], true), now);
+    assert_eq!(
+        ledger.evict_expired(now + SUSPECTED_TTL),
+        vec![fingerprint(1)]
+    );
+    assert!(ledger.evict_expired(now + REJECTED_TTL / 2).is_empty());
+    assert_eq!(
+        ledger.evict_expired(now + REJECTED_TTL),
+        vec![fingerprint(2)]
+    );
     assert_eq!(ledger.digest(), PoisonLedger::default().digest());
     // Another host's update has expired, too.
-    let mut old = struck(2, &[1, 2, 3], true);
+    let mut old = update(2, &[1, 2, 3], true);
     old.age = REJECTED_TTL;
-    assert!(!ledger.join(&old, now + REJECTED_TTL));
+    assert!(!ledger.merge(&old, now + REJECTED_TTL));
 }
 
 #[test]
@@ -189,13 +186,10 @@
     let now = Instant::now();
     for number in 0..3u32 {
         let later = now + SUSPECTED_TTL / 2 * number;
-        ledger.drop_old(later);
-        ledger.join(&struck(1, &[u64::from(number)], true), later);
+        ledger.evict_expired(later);
+        ledger.merge(&update(1, &[u64::from(number)], true), later);
     }
-    assert_eq!(
-        ledger.standing(&fingerprint(1)),
-        Some(PoisonStatus::Refused)
-    );
+    assert_eq!(ledger.status(&fingerprint(1)), Some(PoisonStatus::Rejected));
 }
 
 #[test]
@@ -203,14 +197,14 @@
     let mut ledger = PoisonLedger::default();
     let now = Instant::now();
     for number in 0..10 {
-        ledger.join(&struck(number, &[number], true), now);
+        ledger.merge(&update(number, &[number], true), now);
     }
     let first = ledger.page(None, 6, now);
-    let second = ledger.page(first.last().map(|told| told.fingerprint), 6, now);
+    let second = ledger.page(first.last().map(|update| update.fingerprint), 6, now);
     let mut all: Vec<Fingerprint> = first
         .iter()
         .chain(&second)
-        .map(|told| told.fingerprint)
+        .map(|update| update.fingerprint)
         .collect();
     all.sort();
     all.dedup();
