--- a/src/request/notices/notice.rs
+++ b/src/request/notices/notice.rs
@@ -55,25 +55,25 @@
     /// Parses the notices, and lists the headers that can't be parsed. A 421 (misdirected request) may come from
     /// another target, so its notices are ignored.
     pub fn read(&self) -> (Notice, Vec<InvalidNoticeHeader>) {
-        let mut unreadable = Vec::new();
+        let mut invalid = Vec::new();
         if self.status == StatusCode::MISDIRECTED_REQUEST {
             let notice = Notice {
                 limit: LimitHeader::Unknown,
                 ..Notice::default()
             };
-            return (notice, unreadable);
+            return (notice, invalid);
         }
-        let limit = match self.value(&self.names.target_limit, &mut unreadable) {
+        let limit = match self.value(&self.names.target_limit, &mut invalid) {
             Value::Absent => LimitHeader::Absent,
             Value::Number(rate) => LimitHeader::Rate(rate),
-            Value::Unreadable => LimitHeader::Unknown,
+            Value::Invalid => LimitHeader::Unknown,
         };
-        let leaving = match self.value(&self.names.target_leaving, &mut unreadable) {
+        let leaving = match self.value(&self.names.target_leaving, &mut invalid) {
             Value::Number(flag) => flag > 0.0,
-            Value::Absent | Value::Unreadable => false,
+            Value::Absent | Value::Invalid => false,
         };
         let backoff = match self.status {
-            StatusCode::SERVICE_UNAVAILABLE => self.value(&header::RETRY_AFTER, &mut unreadable),
+            StatusCode::SERVICE_UNAVAILABLE => self.value(&header::RETRY_AFTER, &mut invalid),
             _ => Value::Absent,
         };
         let backoff = match backoff {
@@ -81,20 +81,20 @@
                 let backoff = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_BACKOFF);
                 Some(backoff.min(MAX_BACKOFF))
             }
-            Value::Absent | Value::Unreadable => None,
+            Value::Absent | Value::Invalid => None,
         };
         let notice = Notice {
             limit,
             leaving,
             backoff,
         };
-        (notice, unreadable)
+        (notice, invalid)
     }
 
     fn value(
         &self,
         name: &HeaderName,
-        unreadable: &mut Vec<InvalidNoticeHeader>,
+        invalid: &mut Vec<InvalidNoticeHeader>,
     ) -> Value {
         let mut values = self.headers.get_all(name).iter();
         let Some(value) = values.next() else {
@@ -109,10 +109,10 @@
         match number {
             Some(number) if values.next().is_none() => Value::Number(number),
             _ => {
-                unreadable.push(InvalidNoticeHeader {
+                invalid.push(InvalidNoticeHeader {
                     header: name.clone(),
                 });
-                Value::Unreadable
+                Value::Invalid
             }
         }
     }
@@ -122,5 +122,5 @@
 enum Value {
     Absent,
     Number(f64),
-    Unreadable,
+    Invalid,
 }
--- a/src/request/places/service_slots.rs
+++ b/src/request/places/service_slots.rs
@@ -52,9 +52,9 @@
     ) {
         let mut known = std::mem::take(&mut self.targets);
         self.targets = targets
-            .map(|(id, slots)| match known.remove_entry(id) {
+            .map(|(id, parallelism)| match known.remove_entry(id) {
                 Some(entry) => entry,
-                None => (id.into(), TargetSlots::new(slots)),
+                None => (id.into(), TargetSlots::new(parallelism)),
             })
             .collect();
     }
