--- a/src/request/poison/fingerprint.rs
+++ b/src/request/poison/fingerprint.rs
@@ -34,9 +34,9 @@
             digest.update([0]);
         }
         digest.update(body);
-        let whole = digest.finalize();
+        let full = digest.finalize();
         let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&whole[..BYTES]);
+        bytes.copy_from_slice(&full[..BYTES]);
         Self(bytes)
     }
 
--- a/src/request/poison/poison_ledger.rs
+++ b/src/request/poison/poison_ledger.rs
@@ -50,7 +50,7 @@
         changed
     }
 
-    /// Records that a target answered the request completely; returns true if there was a record.
+    /// Records that a target answered the request completely; returns true if there was evidence against it.
     pub fn clear(
         &mut self,
         fingerprint: &Fingerprint,
@@ -77,10 +77,10 @@
         for fingerprint in &old {
             self.remove(fingerprint);
         }
-        let mut gone = std::mem::take(&mut self.evicted);
-        gone.extend(old);
-        gone.retain(|fingerprint| !self.records.contains_key(fingerprint));
-        gone
+        let mut removed = std::mem::take(&mut self.evicted);
+        removed.extend(old);
+        removed.retain(|fingerprint| !self.records.contains_key(fingerprint));
+        removed
     }
 
     /// Returns the status of a request, or `None` if there is no evidence against it.
--- a/src/request/quotas/customer_quota.rs
+++ b/src/request/quotas/customer_quota.rs
@@ -182,7 +182,7 @@
     }
 
     /// Returns the time until a part that reported too little for this cost has enough; zero if that time has passed
-    /// while other parts were tried.
+    /// while other parts were tried, `None` if no part has reported that.
     fn earliest_retry(
         &self,
         cost: f64,
--- a/src/request/quotas/quota_shard.rs
+++ b/src/request/quotas/quota_shard.rs
@@ -1,7 +1,7 @@
 use {super::LIMIT_PARTS, xxhash_rust::xxh3::xxh3_64};
 
-/// Number of shards. Customers, and plain services for their slots, are hashed to shards; each is counted by the host that
-/// holds its lease.
+/// Number of shards. Customers, and plain services for their slots, are hashed to shards; the host that holds a shard's
+/// lease does its counting.
 pub const QUOTA_SHARDS: usize = 12;
 
 const PREFIX: &str = "quota/";
--- a/src/request/repeats/usage.rs
+++ b/src/request/repeats/usage.rs
@@ -1,4 +1,4 @@
-/// A host's usage of the budget of one service, as logged and exported.
+/// A host's usage of the budget of one service, as logged and exported under these names.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RepeatUsage {
     pub hosts: usize,
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -391,8 +391,8 @@
         site.restart(at, down);
     }
     if site.rng.random_bool(faults.pauses) {
-        let still = ms(site.rng.random_range(50..15_000));
-        site.hosts[at].paused_until = site.now + still;
+        let pause = ms(site.rng.random_range(50..15_000));
+        site.hosts[at].paused_until = site.now + pause;
     }
 }
 
@@ -505,11 +505,17 @@
     budget.on_waiting(start);
     let (ids, amount) = budget.next_borrow_requests(start);
     assert!(amount >= 1.0);
-    let comes = start + ms(after);
-    assert_eq!(budget.on_borrowed(ids[0], 1.0, comes), is_valid);
-    assert!(!budget.on_borrowed(ids[0], 1.0, comes), "it came twice");
-    assert!(!budget.on_borrowed(99, 1.0, comes), "it was not asked for");
-    assert_eq!(budget.can_repeat(comes), is_valid);
+    let arrives = start + ms(after);
+    assert_eq!(budget.on_borrowed(ids[0], 1.0, arrives), is_valid);
+    assert!(
+        !budget.on_borrowed(ids[0], 1.0, arrives),
+        "response arrived twice"
+    );
+    assert!(
+        !budget.on_borrowed(99, 1.0, arrives),
+        "quota was not requested"
+    );
+    assert_eq!(budget.can_repeat(arrives), is_valid);
     assert!(!budget.can_repeat(start + BORROWED_TTL));
 }
 
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -187,23 +187,23 @@
     /// Updates may arrive in any order and more than once.
     #[test]
     fn hosts_that_have_heard_the_same_news_know_the_same(
-        (changes, order) in {
+        (updates, order) in {
             let begin = Instant::now();
             proptest::collection::vec(any_update(begin), 1..8)
-                .prop_flat_map(|changes| {
-                    let repeated: Vec<usize> = (0..changes.len()).chain(0..changes.len()).collect();
-                    (Just(changes), Just(repeated).prop_shuffle())
+                .prop_flat_map(|updates| {
+                    let repeated: Vec<usize> = (0..updates.len()).chain(0..updates.len()).collect();
+                    (Just(updates), Just(repeated).prop_shuffle())
                 })
         },
     ) {
-        let begin = changes[0].updated_at;
+        let begin = updates[0].updated_at;
         let mut straight = TargetNotices::new(None, begin);
-        for update in &changes {
+        for update in &updates {
             straight.merge(update);
         }
         let mut shuffled = TargetNotices::new(None, begin);
         for at in order {
-            shuffled.merge(&changes[at]);
+            shuffled.merge(&updates[at]);
         }
         prop_assert_eq!(straight.limit, shuffled.limit);
         prop_assert_eq!(straight.leaving, shuffled.leaving);
@@ -256,7 +256,7 @@
             }
             match self.allocator.request("t", None, self.rate, now) {
                 Ok(()) => self.sent.push(now),
-                Err(pause) => self.hosts[host] = now + pause,
+                Err(delay) => self.hosts[host] = now + delay,
             }
         }
     }
@@ -287,12 +287,12 @@
     let seconds = 60;
     load.run(begin, seconds, changes);
     let allowed = 1.5 * rate * 4.0 + 5.0;
-    let most = load.max_in(ms(4_000));
-    assert!(most as f64 <= allowed, "{most} of {allowed}");
+    let max = load.max_in(ms(4_000));
+    assert!(max as f64 <= allowed, "{max} of {allowed}");
     if changes.is_empty() {
         let used = load.sent.len() as f64;
-        let least = 0.9 * rate * seconds as f64;
-        assert!(used >= least, "{used} of {least}");
+        let min = 0.9 * rate * seconds as f64;
+        assert!(used >= min, "{used} of {min}");
     }
 }
 
@@ -303,14 +303,14 @@
         .map(|at| SocketAddr::from(([10, 0, 0, at], 7_000)))
         .collect();
     let gone = hosts[7];
-    let backoff: Vec<SocketAddr> = hosts.iter().copied().filter(|host| *host != gone).collect();
+    let remaining: Vec<SocketAddr> = hosts.iter().copied().filter(|host| *host != gone).collect();
     let mut counted = 0;
     for target in 0..200 {
         let target = format!("i-{target}");
         let counting_host = permit_host(&target, hosts.iter().copied()).unwrap();
         let reversed = permit_host(&target, hosts.iter().rev().copied()).unwrap();
         assert_eq!(counting_host, reversed);
-        let after = permit_host(&target, backoff.iter().copied()).unwrap();
+        let after = permit_host(&target, remaining.iter().copied()).unwrap();
         assert!(counting_host == gone || counting_host == after);
         counted += usize::from(counting_host == gone);
     }
