--- a/src/connection/front/adapter_standing.rs
+++ b/src/connection/front/adapter_standing.rs
@@ -6,7 +6,7 @@
     crate::{
         clock::Instant,
         connection::targets::{AdapterCopy, TargetBoard},
-        request::direct::CopyState,
+        request::direct::AdapterCopyState,
     },
     std::time::Duration,
 };
@@ -38,15 +38,17 @@
         board: &TargetBoard,
         target: &str,
         wait: Duration,
-    ) -> CopyState {
+    ) -> AdapterCopyState {
         if self.version_at(board, target, wait).is_some() {
-            return CopyState::Ready;
+            return AdapterCopyState::Ready;
         }
         let copy = board.adapters.get(self.adapter, target);
-        let copy = copy.map_or(CopyState::Unknown, |copy| self.otherwise(board, copy, wait));
+        let copy = copy.map_or(AdapterCopyState::Unknown, |copy| {
+            self.otherwise(board, copy, wait)
+        });
         match board.links[target].view.holder {
             // Nobody is left who would tell that it is there.
-            None if is_coming(copy) => CopyState::Unknown,
+            None if is_coming(copy) => AdapterCopyState::Unknown,
             _ => copy,
         }
     }
@@ -70,18 +72,22 @@
         board: &TargetBoard,
         copy: &AdapterCopy,
         wait: Duration,
-    ) -> CopyState {
+    ) -> AdapterCopyState {
         let serves = board.serves_until(self.adapter, copy.version);
         let is_old = copy.version < self.newest;
         match copy.state {
             // A request would wait there for longer than versions that are replaced meanwhile may serve.
-            CopyState::Ready if !is_old => CopyState::Full {
+            AdapterCopyState::Ready if !is_old => AdapterCopyState::Full {
                 until: self.now + LOOK_AGAIN,
             },
-            CopyState::Coming { due } if is_old && !serves.allows(wait, due.max(self.now)) => {
-                CopyState::Unknown
+            AdapterCopyState::Coming { due }
+                if is_old && !serves.allows(wait, due.max(self.now)) =>
+            {
+                AdapterCopyState::Unknown
+            }
+            AdapterCopyState::Ready | AdapterCopyState::Remembered if is_old => {
+                AdapterCopyState::Unknown
             }
-            CopyState::Ready | CopyState::Remembered if is_old => CopyState::Unknown,
             state => state,
         }
     }
@@ -99,12 +105,12 @@
 
 /// True if the holder should have told by now.
 fn is_late(
-    state: CopyState,
+    state: AdapterCopyState,
     now: Instant,
 ) -> bool {
     match state {
-        CopyState::Asked => true,
-        CopyState::Coming { due } => due + ASK_WAIT <= now,
+        AdapterCopyState::Asked => true,
+        AdapterCopyState::Coming { due } => due + ASK_WAIT <= now,
         _ => false,
     }
 }
--- a/src/connection/front/against_engines.rs
+++ b/src/connection/front/against_engines.rs
@@ -1,7 +1,7 @@
 use crate::{
     clock::Instant,
     request::{
-        direct::{CopyState, EngineCandidate},
+        direct::{AdapterCopyState, EngineCandidate},
         notices::Openness,
     },
 };
@@ -34,7 +34,7 @@
             ..Self::default()
         };
         for candidate in candidates {
-            let is_full = matches!(candidate.copy, CopyState::Full { until } if until > now);
+            let is_full = matches!(candidate.copy, AdapterCopyState::Full { until } if until > now);
             if candidate.tried {
                 counts.tried += 1;
             } else if candidate.openness == Openness::Closed {
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -13,7 +13,7 @@
         clock::Instant,
         connection::targets::{AdapterAsk, TargetBoard},
         request::direct::{
-            CallRequest, ChoiceTerms, CopyState, EngineCandidate, EngineChoice, Patience,
+            AdapterCopyState, CallRequest, ChoiceTerms, EngineCandidate, EngineChoice, Patience,
             PlainCandidate, RequestTime, choose_engine, choose_plain, wait_or_refuse,
         },
     },
@@ -147,7 +147,7 @@
         let outlook = EngineOutlook::of(board, request, &targets, &self.hall, now);
         let candidates: Vec<EngineCandidate> = targets
             .iter()
-            .map(|target| outlook.candidate(board, request, target, CopyState::Ready, tries))
+            .map(|target| outlook.candidate(board, request, target, AdapterCopyState::Ready, tries))
             .collect();
         let terms = ChoiceTerms {
             copy_price: Duration::ZERO,
@@ -187,7 +187,7 @@
         let mut candidates = Vec::with_capacity(targets.len());
         for target in &targets {
             let mut candidate =
-                outlook.candidate(board, request, target, CopyState::Unknown, tries);
+                outlook.candidate(board, request, target, AdapterCopyState::Unknown, tries);
             candidate.copy = standing.copy_at(board, target, candidate.wait);
             candidates.push(candidate);
         }
@@ -214,7 +214,8 @@
                 if let Some(at) = ask {
                     ask_for(board, tries, &ask_at(at, true), now);
                 }
-                let is_ready = |candidate: &&EngineCandidate| candidate.copy == CopyState::Ready;
+                let is_ready =
+                    |candidate: &&EngineCandidate| candidate.copy == AdapterCopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
                 let wait = candidates[to].wait;
                 let version = standing.version_at(board, &targets[to], wait);
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -20,7 +20,7 @@
         metrics::{KindLabels, OutcomeLabels, WaitLabels, metrics},
         note,
         request::{
-            direct::{AttemptEnd, CallRequest, CopyState, NextStep, next_step},
+            direct::{AdapterCopyState, AttemptEnd, CallRequest, NextStep, next_step},
             places::PlaceEnd,
             poison::Standing,
             repeats::Paid,
@@ -537,7 +537,7 @@
         }
         let board = self.board.borrow();
         let copy = board.adapters.get(adapter, &destination.target);
-        copy.is_some_and(|copy| matches!(copy.state, CopyState::Coming { .. }))
+        copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Coming { .. }))
     }
 
     fn on_misdirected(
@@ -550,7 +550,7 @@
         };
         let mut board = self.board.borrow_mut();
         let copy = board.adapters.get(adapter, &destination.target);
-        let coming = copy.is_some_and(|copy| matches!(copy.state, CopyState::Coming { .. }));
+        let coming = copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Coming { .. }));
         if !coming {
             board.on_missing(adapter, &destination.target);
         }
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -3,7 +3,7 @@
     crate::{
         clock::Instant,
         connection::targets::{ReadingSpeed, TargetBoard, TargetLink},
-        request::direct::{CallRequest, CopyState, EngineCandidate, Policy, USUAL_LOAD},
+        request::direct::{AdapterCopyState, CallRequest, EngineCandidate, Policy, USUAL_LOAD},
     },
     std::{sync::Arc, time::Duration},
 };
@@ -54,7 +54,7 @@
         board: &TargetBoard,
         request: &CallRequest,
         target: &str,
-        copy: CopyState,
+        copy: AdapterCopyState,
         tries: &Tries,
     ) -> EngineCandidate {
         let link = &board.links[target];
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -6,7 +6,7 @@
         clock::Instant,
         connection::{datagram::EngineQuery, targets::TargetBoard},
         request::{
-            direct::{CallRequest, CopyState},
+            direct::{AdapterCopyState, CallRequest},
             notices::Openness,
         },
     },
@@ -70,7 +70,7 @@
         .partition(|at| state(at).is_some_and(is_coming));
     open.retain(|at| !state(at).is_some_and(|state| is_full(state, now)));
     // Where it was lately it comes back much faster.
-    open.sort_by_key(|at| state(at) != Some(CopyState::Remembered));
+    open.sort_by_key(|at| state(at) != Some(AdapterCopyState::Remembered));
     open.truncate(QUERIED_OTHERS);
     let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
     let ready = without_closed(ready, |at| is_closed(&order[*at]));
@@ -164,12 +164,15 @@
 }
 
 fn is_full(
-    copy: CopyState,
+    copy: AdapterCopyState,
     now: Instant,
 ) -> bool {
-    matches!(copy, CopyState::Full { until } if until > now)
+    matches!(copy, AdapterCopyState::Full { until } if until > now)
 }
 
-pub(super) fn is_coming(copy: CopyState) -> bool {
-    matches!(copy, CopyState::Coming { .. } | CopyState::Asked)
+pub(super) fn is_coming(copy: AdapterCopyState) -> bool {
+    matches!(
+        copy,
+        AdapterCopyState::Coming { .. } | AdapterCopyState::Asked
+    )
 }
--- a/src/connection/targets/adapter_map.rs
+++ b/src/connection/targets/adapter_map.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{clock::Instant, formats::HeldModel, request::direct::CopyState},
+    crate::{clock::Instant, formats::HeldModel, request::direct::AdapterCopyState},
     std::{
         collections::{HashMap, VecDeque},
         time::Duration,
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdapterCopy {
     pub version: u64,
-    pub state: CopyState,
+    pub state: AdapterCopyState,
     /// The engine went on holding this older version when it was asked for a newer one and had no place for
     /// it: streams on it had not ended.
     pub older: Option<u64>,
@@ -33,7 +33,7 @@
     /// The version that requests find there now, if there is one.
     pub fn held(&self) -> Option<u64> {
         match self.state {
-            CopyState::Ready => Some(self.version),
+            AdapterCopyState::Ready => Some(self.version),
             _ => self.older,
         }
     }
@@ -72,10 +72,10 @@
         adapter: &str,
         target: &str,
         version: u64,
-        state: CopyState,
+        state: AdapterCopyState,
         uses: u32,
     ) {
-        let is_full = matches!(state, CopyState::Full { .. });
+        let is_full = matches!(state, AdapterCopyState::Full { .. });
         let held = self.get(adapter, target).and_then(AdapterCopy::held);
         let copy = AdapterCopy {
             version,
@@ -100,10 +100,13 @@
             return;
         };
         copy.older = None;
-        if !matches!(copy.state, CopyState::Ready | CopyState::Coming { .. }) {
+        if !matches!(
+            copy.state,
+            AdapterCopyState::Ready | AdapterCopyState::Coming { .. }
+        ) {
             return;
         }
-        copy.state = CopyState::Remembered;
+        copy.state = AdapterCopyState::Remembered;
         let order = self.remembered.entry(target.to_string()).or_default();
         order.retain(|known| known != adapter);
         order.push_back(adapter.to_string());
@@ -113,7 +116,7 @@
         };
         if let Some(dropped) = dropped {
             let copy = self.get(&dropped, target);
-            if copy.is_some_and(|copy| copy.state == CopyState::Remembered) {
+            if copy.is_some_and(|copy| copy.state == AdapterCopyState::Remembered) {
                 self.forget(&dropped, target);
             }
         }
@@ -137,7 +140,7 @@
         for model in models {
             for adapter in &model.adapters {
                 let name = format!("{}/{}", model.name, adapter.name);
-                self.set(&name, target, adapter.version, CopyState::Ready, 0);
+                self.set(&name, target, adapter.version, AdapterCopyState::Ready, 0);
             }
         }
     }
@@ -154,7 +157,7 @@
             .entry(target.to_string())
             .or_insert(AdapterCopy {
                 version: 0,
-                state: CopyState::Asked,
+                state: AdapterCopyState::Asked,
                 older: None,
                 uses: 0,
                 asked: None,
@@ -166,14 +169,14 @@
         }
         if copy.asks >= MAX_ASKS {
             let until = now + SILENT_PAUSE;
-            copy.state = CopyState::Full { until };
+            copy.state = AdapterCopyState::Full { until };
             copy.asks = 0;
             copy.asked = None;
             return false;
         }
-        if !matches!(copy.state, CopyState::Coming { .. }) {
+        if !matches!(copy.state, AdapterCopyState::Coming { .. }) {
             copy.older = copy.held();
-            copy.state = CopyState::Asked;
+            copy.state = AdapterCopyState::Asked;
         }
         copy.asked = Some(now);
         copy.asks += 1;
--- a/src/connection/targets/board_adapters.rs
+++ b/src/connection/targets/board_adapters.rs
@@ -5,7 +5,7 @@
     crate::{
         clock::Instant,
         connection::datagram::{Placement, PlacementState, Want},
-        request::{direct::CopyState, notices::Openness},
+        request::{direct::AdapterCopyState, notices::Openness},
     },
     std::{rc::Rc, sync::Arc, time::Duration},
     tokio::sync::Notify,
@@ -65,13 +65,13 @@
     ) {
         self.note_load_time(placement, now);
         let state = match placement.state() {
-            PlacementState::Ready => CopyState::Ready,
-            PlacementState::Coming => CopyState::Coming {
+            PlacementState::Ready => AdapterCopyState::Ready,
+            PlacementState::Coming => AdapterCopyState::Coming {
                 due: now + Duration::from_millis(u64::from(placement.due_ms)),
             },
-            PlacementState::Remembered => CopyState::Remembered,
+            PlacementState::Remembered => AdapterCopyState::Remembered,
             PlacementState::Absent => return self.on_gone(placement),
-            PlacementState::Full | PlacementState::NotHolder => CopyState::Full {
+            PlacementState::Full | PlacementState::NotHolder => AdapterCopyState::Full {
                 until: now + FULL_PAUSE,
             },
         };
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -6,7 +6,7 @@
 
 /// State of an adapter on one engine, as known to this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CopyState {
+pub enum AdapterCopyState {
     Unknown,
     /// Unloaded recently; the engine still caches its weights and can reload them quickly.
     Remembered,
@@ -26,7 +26,7 @@
 /// An engine that may run a request, with its current state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineCandidate {
-    pub copy: CopyState,
+    pub copy: AdapterCopyState,
     /// Expected time to the first event once the adapter is loaded.
     pub wait: Duration,
     /// Expected time to load the adapter from the weight store, if the load is requested now.
@@ -150,7 +150,7 @@
         return choice;
     }
     let is_spare = |candidate: &EngineCandidate| {
-        candidate.openness == Openness::Limited && candidate.copy == CopyState::Ready
+        candidate.openness == Openness::Limited && candidate.copy == AdapterCopyState::Ready
     };
     match (choose_among(candidates, terms, &is_spare), choice) {
         (send @ EngineChoice::Send { .. }, _) => send,
@@ -180,7 +180,7 @@
             .map(|(at, candidate)| (at, cost(at, candidate, away, terms)));
         priced.min_by(|a, b| a.1.total_cmp(&b.1))
     };
-    let ready = best(&|candidate| candidate.copy == CopyState::Ready);
+    let ready = best(&|candidate| candidate.copy == AdapterCopyState::Ready);
     let coming = best(&|candidate| is_coming(candidate.copy));
     let open = best(&|candidate| is_open(candidate, terms.now));
     // While one engine loads the adapter, no second load is requested: a slow load means that all loads are slow.
@@ -211,17 +211,23 @@
     cost <= other_cost + TOLERABLE || cost <= AIM_SHARE * terms.aim_left.as_secs_f64()
 }
 
-fn is_timed(copy: CopyState) -> bool {
-    matches!(copy, CopyState::Coming { .. })
+fn is_timed(copy: AdapterCopyState) -> bool {
+    matches!(copy, AdapterCopyState::Coming { .. })
 }
 
 /// Returns true if the engine has the adapter loaded, loading or cached.
-fn has_copy(copy: CopyState) -> bool {
-    !matches!(copy, CopyState::Unknown | CopyState::Full { .. })
+fn has_copy(copy: AdapterCopyState) -> bool {
+    !matches!(
+        copy,
+        AdapterCopyState::Unknown | AdapterCopyState::Full { .. }
+    )
 }
 
-fn is_coming(copy: CopyState) -> bool {
-    matches!(copy, CopyState::Coming { .. } | CopyState::Asked)
+fn is_coming(copy: AdapterCopyState) -> bool {
+    matches!(
+        copy,
+        AdapterCopyState::Coming { .. } | AdapterCopyState::Asked
+    )
 }
 
 /// Returns true if a load of the adapter can be requested at this engine.
@@ -230,8 +236,8 @@
     now: Instant,
 ) -> bool {
     let free = match candidate.copy {
-        CopyState::Unknown | CopyState::Remembered => true,
-        CopyState::Full { until } => until <= now,
+        AdapterCopyState::Unknown | AdapterCopyState::Remembered => true,
+        AdapterCopyState::Full { until } => until <= now,
         _ => false,
     };
     free && candidate.has_holder
@@ -243,7 +249,7 @@
 ) -> Instant {
     match candidate.copy {
         // If the lease holder has not reported the load as done by then, it is asked again.
-        CopyState::Coming { due } => due.max(now) + ASKED_WAIT,
+        AdapterCopyState::Coming { due } => due.max(now) + ASKED_WAIT,
         _ => now + ASKED_WAIT,
     }
 }
@@ -274,11 +280,13 @@
         false => 0.0,
     };
     let arrival = match candidate.copy {
-        CopyState::Ready => 0.0,
-        CopyState::Coming { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
-        CopyState::Asked => candidate.load.as_secs_f64(),
-        CopyState::Remembered if terms.policy.uses_engine_memory => RELOAD,
-        CopyState::Unknown | CopyState::Remembered | CopyState::Full { .. } => {
+        AdapterCopyState::Ready => 0.0,
+        AdapterCopyState::Coming { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
+        AdapterCopyState::Asked => candidate.load.as_secs_f64(),
+        AdapterCopyState::Remembered if terms.policy.uses_engine_memory => RELOAD,
+        AdapterCopyState::Unknown
+        | AdapterCopyState::Remembered
+        | AdapterCopyState::Full { .. } => {
             let surcharge = match terms.policy.prefers_home {
                 true => from_home(place, away),
                 false => 0.0,
--- a/src/request/direct/mod.rs
+++ b/src/request/direct/mod.rs
@@ -13,7 +13,7 @@
     attempt_end::AttemptEnd,
     call_request::{CallRequest, Credential},
     engine_choice::{
-        ChoiceTerms, CopyState, EngineCandidate, EngineChoice, USUAL_LOAD, choose_engine,
+        AdapterCopyState, ChoiceTerms, EngineCandidate, EngineChoice, USUAL_LOAD, choose_engine,
     },
     generation::{Generation, PromptPart, token_counts},
     next_step::{NextStep, RequestHistory, next_step},
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -6,8 +6,8 @@
         connection::targets::ReadingSpeed,
         request::{
             direct::{
-                AttemptEnd, ChoiceTerms, CopyState, EngineCandidate, EngineChoice, Generation,
-                NextStep, Patience, PlainCandidate, Policy, PromptPart, RequestHistory,
+                AdapterCopyState, AttemptEnd, ChoiceTerms, EngineCandidate, EngineChoice,
+                Generation, NextStep, Patience, PlainCandidate, Policy, PromptPart, RequestHistory,
                 RequestTime, USUAL_LOAD, choose_engine, choose_plain, next_step, wait_or_refuse,
             },
             notices::Openness,
@@ -164,7 +164,7 @@
 }
 
 fn engine(
-    copy: CopyState,
+    copy: AdapterCopyState,
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
@@ -201,16 +201,16 @@
 }
 
 #[rstest]
-#[case::nearest_end(vec![(CopyState::Ready, 300), (CopyState::Ready, 80)], send(1))]
-#[case::the_copy_rather_than_a_load(vec![(CopyState::Unknown, 50), (CopyState::Ready, 200)], send(1))]
-#[case::a_load_if_there_is_no_copy(vec![(CopyState::Unknown, 50), (CopyState::Unknown, 50)], EngineChoice::Ask(0))]
-#[case::home_though_others_are_idler(vec![(CopyState::Unknown, 200), (CopyState::Unknown, 0)], EngineChoice::Ask(0))]
-#[case::away_if_home_is_drowned(vec![(CopyState::Unknown, 3_000), (CopyState::Unknown, 0)], EngineChoice::Ask(1))]
+#[case::nearest_end(vec![(AdapterCopyState::Ready, 300), (AdapterCopyState::Ready, 80)], send(1))]
+#[case::the_copy_rather_than_a_load(vec![(AdapterCopyState::Unknown, 50), (AdapterCopyState::Ready, 200)], send(1))]
+#[case::a_load_if_there_is_no_copy(vec![(AdapterCopyState::Unknown, 50), (AdapterCopyState::Unknown, 50)], EngineChoice::Ask(0))]
+#[case::home_though_others_are_idler(vec![(AdapterCopyState::Unknown, 200), (AdapterCopyState::Unknown, 0)], EngineChoice::Ask(0))]
+#[case::away_if_home_is_drowned(vec![(AdapterCopyState::Unknown, 3_000), (AdapterCopyState::Unknown, 0)], EngineChoice::Ask(1))]
 #[case::busy_copy_and_another_one(
-    vec![(CopyState::Ready, 420), (CopyState::Unknown, 20)], EngineChoice::Send { to: 0, ask: Some(1) })]
-#[case::wait_if_the_copy_is_hopeless(vec![(CopyState::Ready, 6_000), (CopyState::Unknown, 20)], EngineChoice::Ask(1))]
+    vec![(AdapterCopyState::Ready, 420), (AdapterCopyState::Unknown, 20)], EngineChoice::Send { to: 0, ask: Some(1) })]
+#[case::wait_if_the_copy_is_hopeless(vec![(AdapterCopyState::Ready, 6_000), (AdapterCopyState::Unknown, 20)], EngineChoice::Ask(1))]
 fn engines_are_chosen_by_expected_time(
-    #[case] candidates: Vec<(CopyState, u64)>,
+    #[case] candidates: Vec<(AdapterCopyState, u64)>,
     #[case] expected: EngineChoice,
 ) {
     let now = Instant::now();
@@ -230,8 +230,8 @@
 fn a_rare_adapter_gets_no_second_copy_for_a_little_haste() {
     let now = Instant::now();
     let candidates = [
-        engine(CopyState::Ready, 420),
-        engine(CopyState::Unknown, 20),
+        engine(AdapterCopyState::Ready, 420),
+        engine(AdapterCopyState::Unknown, 20),
     ];
     assert_eq!(choose_engine(&candidates, &terms(300, now)), send(0));
 }
@@ -241,9 +241,9 @@
     let now = Instant::now();
     let due = now + ms(1_100);
     let candidates = [
-        engine(CopyState::Coming { due }, 20),
-        engine(CopyState::Unknown, 20),
-        engine(CopyState::Unknown, 20),
+        engine(AdapterCopyState::Coming { due }, 20),
+        engine(AdapterCopyState::Unknown, 20),
+        engine(AdapterCopyState::Unknown, 20),
     ];
     let choice = choose_engine(&candidates, &terms(300, now));
     assert!(matches!(choice, EngineChoice::Wait { until, .. } if until > due));
@@ -252,10 +252,10 @@
 #[test]
 fn a_full_engine_is_asked_again_only_later() {
     let now = Instant::now();
-    let full = CopyState::Full {
+    let full = AdapterCopyState::Full {
         until: now + ms(400),
     };
-    let candidates = [engine(full, 20), engine(CopyState::Unknown, 20)];
+    let candidates = [engine(full, 20), engine(AdapterCopyState::Unknown, 20)];
     assert_eq!(
         choose_engine(&candidates, &terms(300, now)),
         EngineChoice::Ask(1)
@@ -270,10 +270,10 @@
 }
 
 #[rstest]
-#[case::avoided(EngineCandidate { avoided: true, ..engine(CopyState::Ready, 0) })]
-#[case::turned_away_there(EngineCandidate { tried: true, ..engine(CopyState::Ready, 0) })]
-#[case::closed(EngineCandidate { openness: Openness::Closed, ..engine(CopyState::Ready, 0) })]
-#[case::no_holder_and_no_copy(EngineCandidate { has_holder: false, ..engine(CopyState::Unknown, 0) })]
+#[case::avoided(EngineCandidate { avoided: true, ..engine(AdapterCopyState::Ready, 0) })]
+#[case::turned_away_there(EngineCandidate { tried: true, ..engine(AdapterCopyState::Ready, 0) })]
+#[case::closed(EngineCandidate { openness: Openness::Closed, ..engine(AdapterCopyState::Ready, 0) })]
+#[case::no_holder_and_no_copy(EngineCandidate { has_holder: false, ..engine(AdapterCopyState::Unknown, 0) })]
 fn engines_that_can_not_serve_are_left_out(#[case] candidate: EngineCandidate) {
     let now = Instant::now();
     assert_eq!(
@@ -287,9 +287,9 @@
     let now = Instant::now();
     let pressed = EngineCandidate {
         memory: 0.99,
-        ..engine(CopyState::Ready, 0)
+        ..engine(AdapterCopyState::Ready, 0)
     };
-    let candidates = [pressed, engine(CopyState::Ready, 400)];
+    let candidates = [pressed, engine(AdapterCopyState::Ready, 400)];
     assert_eq!(choose_engine(&candidates, &terms(300, now)), send(1));
 }
 
@@ -298,11 +298,11 @@
     let now = Instant::now();
     let crowded = EngineCandidate {
         crowd: 2.5,
-        ..engine(CopyState::Ready, 60)
+        ..engine(AdapterCopyState::Ready, 60)
     };
-    let candidates = [crowded, engine(CopyState::Ready, 100)];
+    let candidates = [crowded, engine(AdapterCopyState::Ready, 100)];
     assert_eq!(choose_engine(&candidates, &terms(5, now)), send(1));
-    let candidates = [crowded, engine(CopyState::Unknown, 20)];
+    let candidates = [crowded, engine(AdapterCopyState::Unknown, 20)];
     let choice = choose_engine(&candidates, &terms(5, now));
     assert_eq!(
         choice,
@@ -459,8 +459,8 @@
     #[case] expected: EngineChoice,
 ) {
     let now = Instant::now();
-    let busy = engine(CopyState::Ready, 470);
-    let free = engine(CopyState::Unknown, 10);
+    let busy = engine(AdapterCopyState::Ready, 470);
+    let free = engine(AdapterCopyState::Unknown, 10);
     assert_eq!(
         choose_engine(&[busy, free], &terms(price_ms, now)),
         expected
@@ -470,8 +470,8 @@
 #[test]
 fn a_policy_without_further_copies_asks_for_none() {
     let now = Instant::now();
-    let busy = engine(CopyState::Ready, 470);
-    let free = engine(CopyState::Unknown, 10);
+    let busy = engine(AdapterCopyState::Ready, 470);
+    let free = engine(AdapterCopyState::Unknown, 10);
     let mut terms = terms(15, now);
     terms.policy.adds_copies = false;
     let choice = choose_engine(&[busy, free], &terms);
@@ -487,10 +487,10 @@
     #[case] expected: EngineChoice,
 ) {
     let candidates = [
-        engine(CopyState::Ready, 600),
+        engine(AdapterCopyState::Ready, 600),
         EngineCandidate {
             load: ms(load_ms),
-            ..engine(CopyState::Unknown, 20)
+            ..engine(AdapterCopyState::Unknown, 20)
         },
     ];
     assert_eq!(
@@ -500,7 +500,7 @@
 }
 
 fn limited(
-    copy: CopyState,
+    copy: AdapterCopyState,
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
@@ -512,10 +512,10 @@
 /// An engine of limited availability gets only requests that would otherwise wait or be rejected, and loads an adapter only if
 /// no other engine can.
 #[rstest]
-#[case::another_copy_serves(vec![limited(CopyState::Ready, 0), engine(CopyState::Ready, 80)], send(1))]
-#[case::its_copy_is_the_only_one(vec![limited(CopyState::Ready, 0), engine(CopyState::Unknown, 0)], send(0))]
-#[case::another_loads(vec![limited(CopyState::Unknown, 0), engine(CopyState::Unknown, 50)], EngineChoice::Ask(1))]
-#[case::nobody_else_can(vec![limited(CopyState::Unknown, 0)], EngineChoice::Ask(0))]
+#[case::another_copy_serves(vec![limited(AdapterCopyState::Ready, 0), engine(AdapterCopyState::Ready, 80)], send(1))]
+#[case::its_copy_is_the_only_one(vec![limited(AdapterCopyState::Ready, 0), engine(AdapterCopyState::Unknown, 0)], send(0))]
+#[case::another_loads(vec![limited(AdapterCopyState::Unknown, 0), engine(AdapterCopyState::Unknown, 50)], EngineChoice::Ask(1))]
+#[case::nobody_else_can(vec![limited(AdapterCopyState::Unknown, 0)], EngineChoice::Ask(0))]
 fn a_limited_engine_is_used_for_what_only_it_serves_well(
     #[case] candidates: Vec<EngineCandidate>,
     #[case] expected: EngineChoice,
