--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -13,8 +13,9 @@
         clock::Instant,
         connection::targets::{AdapterAsk, TargetBoard},
         request::direct::{
-            AdapterCopyState, CallRequest, ChoiceTerms, EngineCandidate, EngineChoice, Patience,
-            PlainCandidate, RequestTime, choose_engine, choose_plain, wait_or_refuse,
+            AdapterCopyState, CallRequest, ChoiceTerms, EngineCandidate, EngineChoice,
+            PlainCandidate, RequestTiming, WaitDecision, choose_engine, choose_plain,
+            wait_or_reject,
         },
     },
     rand::RngExt,
@@ -248,8 +249,8 @@
                     }
                 }
                 let refusable = expected.filter(|_| terms.policy.refuses_early);
-                match refusable.map(|expected| wait_or_refuse(&time_of(request, now), expected)) {
-                    Some(Patience::Refuse { come_back }) => {
+                match refusable.map(|expected| wait_or_reject(&time_of(request, now), expected)) {
+                    Some(WaitDecision::Refuse { come_back }) => {
                         tries.trace.add(TraceStep::Waits { expected }, now);
                         Choice::Refuse(come_back)
                     }
@@ -365,8 +366,8 @@
 fn time_of(
     request: &CallRequest,
     now: Instant,
-) -> RequestTime {
-    RequestTime {
+) -> RequestTiming {
+    RequestTiming {
         passed: now.saturating_duration_since(request.arrived),
         aim: request.route.aim,
         left: request.left(now),
--- a/src/request/direct/mod.rs
+++ b/src/request/direct/mod.rs
@@ -5,9 +5,9 @@
 mod engine_choice;
 mod generation;
 mod next_step;
-mod patience;
 mod plain_choice;
 mod policy;
+mod wait_decision;
 
 pub use {
     attempt_end::AttemptEnd,
@@ -17,7 +17,7 @@
     },
     generation::{Generation, PromptPart, token_counts},
     next_step::{NextStep, RequestHistory, next_step},
-    patience::{Patience, RequestTime, wait_or_refuse},
     plain_choice::{PlainCandidate, choose_plain},
     policy::Policy,
+    wait_decision::{RequestTiming, WaitDecision, wait_or_reject},
 };
--- a/src/request/direct/patience.rs
+++ b/src/request/direct/wait_decision.rs
@@ -11,7 +11,7 @@
 
 /// Elapsed and remaining time of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestTime {
+pub struct RequestTiming {
     /// Time since the request arrived.
     pub passed: Duration,
     /// Latency objective for the first event.
@@ -22,7 +22,7 @@
 
 /// Whether a request waits for an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum WaitDecision {
     Wait,
     /// Reject the request now, as it would miss its latency objective.
     Refuse {
@@ -34,16 +34,16 @@
 ///
 /// A request that would miss its latency objective is rejected only early on; later, a late answer is
 /// better than none.
-pub fn wait_or_refuse(
-    time: &RequestTime,
+pub fn wait_or_reject(
+    time: &RequestTiming,
     expected: Duration,
-) -> Patience {
+) -> WaitDecision {
     let in_time = time.passed + expected <= time.aim;
     let prompt = time.passed <= time.aim.mul_f64(PROMPT_SHARE);
     let come_back = expected + COME_BACK_MARGIN;
     let comes_back = come_back <= time.left.mul_f64(COME_BACK_SHARE);
     match !in_time && prompt && comes_back {
-        true => Patience::Refuse { come_back },
-        false => Patience::Wait,
+        true => WaitDecision::Refuse { come_back },
+        false => WaitDecision::Wait,
     }
 }
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -7,8 +7,9 @@
         request::{
             direct::{
                 AdapterCopyState, AttemptEnd, ChoiceTerms, EngineCandidate, EngineChoice,
-                Generation, NextStep, Patience, PlainCandidate, Policy, PromptPart, RequestHistory,
-                RequestTime, USUAL_LOAD, choose_engine, choose_plain, next_step, wait_or_refuse,
+                Generation, NextStep, PlainCandidate, Policy, PromptPart, RequestHistory,
+                RequestTiming, USUAL_LOAD, WaitDecision, choose_engine, choose_plain, next_step,
+                wait_or_reject,
             },
             notices::Openness,
         },
@@ -315,21 +316,21 @@
 }
 
 #[rstest]
-#[case::in_time(0, 300, Patience::Wait)]
-#[case::late_and_prompt(10, 1_000, Patience::Refuse { come_back: ms(1_040) })]
-#[case::late_but_no_longer_prompt(200, 1_000, Patience::Wait)]
-#[case::later_than_callers_come_back(10, 6_000, Patience::Wait)]
+#[case::in_time(0, 300, WaitDecision::Wait)]
+#[case::late_and_prompt(10, 1_000, WaitDecision::Refuse { come_back: ms(1_040) })]
+#[case::late_but_no_longer_prompt(200, 1_000, WaitDecision::Wait)]
+#[case::later_than_callers_come_back(10, 6_000, WaitDecision::Wait)]
 fn who_would_be_late_is_told_at_once(
     #[case] passed: u64,
     #[case] expected: u64,
-    #[case] patience: Patience,
+    #[case] patience: WaitDecision,
 ) {
-    let time = RequestTime {
+    let time = RequestTiming {
         passed: ms(passed),
         aim: ms(800),
         left: ms(15_000),
     };
-    assert_eq!(wait_or_refuse(&time, ms(expected)), patience);
+    assert_eq!(wait_or_reject(&time, ms(expected)), patience);
 }
 
 #[test]
