--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -13,7 +13,7 @@
         clock::Instant,
         connection::targets::{AdapterAsk, TargetBoard},
         request::direct::{
-            AdapterCopyState, CallRequest, ChoiceTerms, EngineCandidate, EngineChoice,
+            AdapterCopyState, CallRequest, ChoiceContext, EngineCandidate, EngineChoice,
             PlainCandidate, RequestTiming, WaitDecision, choose_engine, choose_plain,
             wait_or_reject,
         },
@@ -150,7 +150,7 @@
             .iter()
             .map(|target| outlook.candidate(board, request, target, AdapterCopyState::Ready, tries))
             .collect();
-        let terms = ChoiceTerms {
+        let terms = ChoiceContext {
             copy_price: Duration::ZERO,
             aim_left: request.aim().saturating_duration_since(now),
             priority: request.urgency,
@@ -192,7 +192,7 @@
             candidate.copy = standing.copy_at(board, target, candidate.wait);
             candidates.push(candidate);
         }
-        let terms = ChoiceTerms {
+        let terms = ChoiceContext {
             copy_price: copy_price(board, adapter, now),
             aim_left: request.aim().saturating_duration_since(now),
             priority: request.urgency,
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -3,7 +3,9 @@
     crate::{
         clock::Instant,
         connection::targets::{ReadingSpeed, TargetBoard, TargetLink},
-        request::direct::{AdapterCopyState, CallRequest, EngineCandidate, Policy, USUAL_LOAD},
+        request::direct::{
+            AdapterCopyState, CallRequest, DEFAULT_LOAD_TIME, EngineCandidate, Policy,
+        },
     },
     std::{sync::Arc, time::Duration},
 };
@@ -69,7 +71,7 @@
             wait: self
                 .speed
                 .time_for(self.backlog_before(link, request) + prompt),
-            load: link.load_time(self.now).unwrap_or(USUAL_LOAD),
+            load: link.load_time(self.now).unwrap_or(DEFAULT_LOAD_TIME),
             memory: tokens as f64 / memory as f64,
             batch: f64::from(link.running() + 1) / f64::from(link.view.record.slots.max(1)),
             crowd: tokens as f64 / (self.mean_tokens + (prompt + answer) as f64).max(1.0),
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -70,7 +70,7 @@
 
 /// Inputs of the choice that do not depend on the engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ChoiceTerms {
+pub struct ChoiceContext {
     /// Cost of another copy of the adapter, as the delay accepted to avoid it.
     pub copy_price: Duration,
     /// Time until the latency objective is missed.
@@ -85,7 +85,7 @@
 const DISTANCE: f64 = 0.004;
 
 /// Expected load time from the weight store while no load time has been reported.
-pub const USUAL_LOAD: Duration = Duration::from_millis(270);
+pub const DEFAULT_LOAD_TIME: Duration = Duration::from_millis(270);
 
 /// Expected time to reload weights that the engine has cached.
 const RELOAD: f64 = 0.03;
@@ -142,7 +142,7 @@
 /// load an adapter only if no other engine can.
 pub fn choose_engine(
     candidates: &[EngineCandidate],
-    terms: &ChoiceTerms,
+    terms: &ChoiceContext,
 ) -> EngineChoice {
     let is_open = |candidate: &EngineCandidate| candidate.openness == Openness::Open;
     let choice = choose_among(candidates, terms, &is_open);
@@ -164,7 +164,7 @@
 /// Chooses among the candidates that `accepts` returns true for.
 fn choose_among(
     candidates: &[EngineCandidate],
-    terms: &ChoiceTerms,
+    terms: &ChoiceContext,
     accepts: &dyn Fn(&EngineCandidate) -> bool,
 ) -> EngineChoice {
     let away = match candidates.iter().any(|candidate| has_copy(candidate.copy)) {
@@ -206,7 +206,7 @@
 fn is_good_enough(
     cost: f64,
     other_cost: f64,
-    terms: &ChoiceTerms,
+    terms: &ChoiceContext,
 ) -> bool {
     cost <= other_cost + TOLERABLE || cost <= AIM_SHARE * terms.aim_left.as_secs_f64()
 }
@@ -260,7 +260,7 @@
     place: usize,
     candidate: &EngineCandidate,
     away: f64,
-    terms: &ChoiceTerms,
+    terms: &ChoiceContext,
 ) -> f64 {
     let wait = candidate.wait.as_secs_f64();
     let distance = match candidate.near {
--- a/src/request/direct/mod.rs
+++ b/src/request/direct/mod.rs
@@ -13,7 +13,8 @@
     attempt_end::AttemptEnd,
     call_request::{CallRequest, Credential},
     engine_choice::{
-        AdapterCopyState, ChoiceTerms, EngineCandidate, EngineChoice, USUAL_LOAD, choose_engine,
+        AdapterCopyState, ChoiceContext, DEFAULT_LOAD_TIME, EngineCandidate, EngineChoice,
+        choose_engine,
     },
     generation::{Generation, PromptPart, token_counts},
     next_step::{NextStep, RequestHistory, next_step},
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -6,10 +6,10 @@
         connection::targets::ReadingSpeed,
         request::{
             direct::{
-                AdapterCopyState, AttemptEnd, ChoiceTerms, EngineCandidate, EngineChoice,
-                Generation, NextStep, PlainCandidate, Policy, PromptPart, RequestHistory,
-                RequestTiming, USUAL_LOAD, WaitDecision, choose_engine, choose_plain, next_step,
-                wait_or_reject,
+                AdapterCopyState, AttemptEnd, ChoiceContext, DEFAULT_LOAD_TIME, EngineCandidate,
+                EngineChoice, Generation, NextStep, PlainCandidate, Policy, PromptPart,
+                RequestHistory, RequestTiming, WaitDecision, choose_engine, choose_plain,
+                next_step, wait_or_reject,
             },
             notices::Openness,
         },
@@ -169,7 +169,7 @@
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
-        load: USUAL_LOAD,
+        load: DEFAULT_LOAD_TIME,
         copy,
         wait: ms(wait_ms),
         memory: 0.3,
@@ -187,8 +187,8 @@
 fn terms(
     price_ms: u64,
     now: Instant,
-) -> ChoiceTerms {
-    ChoiceTerms {
+) -> ChoiceContext {
+    ChoiceContext {
         copy_price: ms(price_ms),
         aim_left: ms(800),
         priority: 2,
