--- a/src/connection/front/against_engines.rs
+++ b/src/connection/front/against_engines.rs
@@ -34,7 +34,8 @@
             ..Self::default()
         };
         for candidate in candidates {
-            let is_full = matches!(candidate.copy, AdapterCopyState::Full { until } if until > now);
+            let is_full =
+                matches!(candidate.copy_state, AdapterCopyState::Full { until } if until > now);
             if candidate.tried {
                 counts.tried += 1;
             } else if candidate.openness == Openness::Closed {
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -189,7 +189,7 @@
         for target in &targets {
             let mut candidate =
                 outlook.candidate(board, request, target, AdapterCopyState::Unknown, tries);
-            candidate.copy = standing.copy_at(board, target, candidate.wait);
+            candidate.copy_state = standing.copy_at(board, target, candidate.wait);
             candidates.push(candidate);
         }
         let terms = ChoiceContext {
@@ -216,7 +216,7 @@
                     ask_for(board, tries, &ask_at(at, true), now);
                 }
                 let is_ready =
-                    |candidate: &&EngineCandidate| candidate.copy == AdapterCopyState::Ready;
+                    |candidate: &&EngineCandidate| candidate.copy_state == AdapterCopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
                 let wait = candidates[to].wait;
                 let version = standing.version_at(board, &targets[to], wait);
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -56,7 +56,7 @@
         board: &TargetBoard,
         request: &CallRequest,
         target: &str,
-        copy: AdapterCopyState,
+        copy_state: AdapterCopyState,
         tries: &Tries,
     ) -> EngineCandidate {
         let link = &board.links[target];
@@ -67,7 +67,7 @@
         let memory = engine.map_or(u64::MAX, |engine| engine.memory_tokens.max(1));
         let tokens = link.running_tokens() + prompt + answer;
         EngineCandidate {
-            copy,
+            copy_state,
             wait: self
                 .speed
                 .time_for(self.backlog_before(link, request) + prompt),
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -26,7 +26,7 @@
 /// An engine that may run a request, with its current state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineCandidate {
-    pub copy: AdapterCopyState,
+    pub copy_state: AdapterCopyState,
     /// Expected time to the first event once the adapter is loaded.
     pub wait: Duration,
     /// Expected time to load the adapter from the weight store, if the load is requested now.
@@ -150,7 +150,7 @@
         return choice;
     }
     let is_spare = |candidate: &EngineCandidate| {
-        candidate.openness == Openness::Limited && candidate.copy == AdapterCopyState::Ready
+        candidate.openness == Openness::Limited && candidate.copy_state == AdapterCopyState::Ready
     };
     match (choose_among(candidates, terms, &is_spare), choice) {
         (send @ EngineChoice::Send { .. }, _) => send,
@@ -167,7 +167,10 @@
     terms: &ChoiceContext,
     accepts: &dyn Fn(&EngineCandidate) -> bool,
 ) -> EngineChoice {
-    let away = match candidates.iter().any(|candidate| has_copy(candidate.copy)) {
+    let away = match candidates
+        .iter()
+        .any(|candidate| has_copy(candidate.copy_state))
+    {
         true => AWAY,
         false => AWAY_OF_NEW,
     };
@@ -180,8 +183,8 @@
             .map(|(at, candidate)| (at, cost(at, candidate, away, terms)));
         priced.min_by(|a, b| a.1.total_cmp(&b.1))
     };
-    let ready = best(&|candidate| candidate.copy == AdapterCopyState::Ready);
-    let coming = best(&|candidate| is_coming(candidate.copy));
+    let ready = best(&|candidate| candidate.copy_state == AdapterCopyState::Ready);
+    let coming = best(&|candidate| is_coming(candidate.copy_state));
     let open = best(&|candidate| is_open(candidate, terms.now));
     // While one engine loads the adapter, no second load is requested: a slow load means that all loads are slow.
     let open = open.filter(|_| coming.is_none());
@@ -194,7 +197,7 @@
         }
         (_, Some((at, cost)), _) => EngineChoice::Wait {
             until: wait_until(&candidates[at], terms.now),
-            expected: is_timed(candidates[at].copy).then(|| Duration::from_secs_f64(cost)),
+            expected: is_timed(candidates[at].copy_state).then(|| Duration::from_secs_f64(cost)),
         },
         (_, None, Some((at, _))) => EngineChoice::Ask(at),
         (Some((to, _)), None, None) => EngineChoice::Send { to, ask: None },
@@ -211,21 +214,21 @@
     cost <= other_cost + TOLERABLE || cost <= AIM_SHARE * terms.aim_left.as_secs_f64()
 }
 
-fn is_timed(copy: AdapterCopyState) -> bool {
-    matches!(copy, AdapterCopyState::Coming { .. })
+fn is_timed(copy_state: AdapterCopyState) -> bool {
+    matches!(copy_state, AdapterCopyState::Coming { .. })
 }
 
 /// Returns true if the engine has the adapter loaded, loading or cached.
-fn has_copy(copy: AdapterCopyState) -> bool {
+fn has_copy(copy_state: AdapterCopyState) -> bool {
     !matches!(
-        copy,
+        copy_state,
         AdapterCopyState::Unknown | AdapterCopyState::Full { .. }
     )
 }
 
-fn is_coming(copy: AdapterCopyState) -> bool {
+fn is_coming(copy_state: AdapterCopyState) -> bool {
     matches!(
-        copy,
+        copy_state,
         AdapterCopyState::Coming { .. } | AdapterCopyState::Asked
     )
 }
@@ -235,7 +238,7 @@
     candidate: &EngineCandidate,
     now: Instant,
 ) -> bool {
-    let free = match candidate.copy {
+    let free = match candidate.copy_state {
         AdapterCopyState::Unknown | AdapterCopyState::Remembered => true,
         AdapterCopyState::Full { until } => until <= now,
         _ => false,
@@ -247,7 +250,7 @@
     candidate: &EngineCandidate,
     now: Instant,
 ) -> Instant {
-    match candidate.copy {
+    match candidate.copy_state {
         // If the lease holder has not reported the load as done by then, it is asked again.
         AdapterCopyState::Coming { due } => due.max(now) + ASKED_WAIT,
         _ => now + ASKED_WAIT,
@@ -279,7 +282,7 @@
         true => (candidate.crowd - CROWDED).clamp(0.0, MOST_CROWDING) * CROWDING,
         false => 0.0,
     };
-    let arrival = match candidate.copy {
+    let arrival = match candidate.copy_state {
         AdapterCopyState::Ready => 0.0,
         AdapterCopyState::Coming { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
         AdapterCopyState::Asked => candidate.load.as_secs_f64(),
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -165,12 +165,12 @@
 }
 
 fn engine(
-    copy: AdapterCopyState,
+    copy_state: AdapterCopyState,
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
         load: DEFAULT_LOAD_TIME,
-        copy,
+        copy_state,
         wait: ms(wait_ms),
         memory: 0.3,
         batch: 0.3,
@@ -217,7 +217,7 @@
     let now = Instant::now();
     let candidates: Vec<EngineCandidate> = candidates
         .into_iter()
-        .map(|(copy, wait)| engine(copy, wait))
+        .map(|(copy_state, wait)| engine(copy_state, wait))
         .collect();
     // The copy cost of a popular adapter is low.
     let price = match expected {
@@ -501,12 +501,12 @@
 }
 
 fn limited(
-    copy: AdapterCopyState,
+    copy_state: AdapterCopyState,
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
         openness: Openness::Limited,
-        ..engine(copy, wait_ms)
+        ..engine(copy_state, wait_ms)
     }
 }
 
