--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -30,17 +30,17 @@
     /// Expected time to the first event once the adapter is loaded.
     pub wait: Duration,
     /// Expected time to load the adapter from the weight store, if the load is requested now.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Share of its KV memory in use with this request; 1 is full.
-    pub memory: f64,
+    pub memory_share: f64,
     /// Share of its batch in use with this request; above 1, requests queue.
-    pub batch: f64,
+    pub batch_share: f64,
     /// Running tokens, as a multiple of the mean over the service's engines.
-    pub crowd: f64,
+    pub relative_load: f64,
     /// In the same hall as this host.
-    pub near: bool,
+    pub same_hall: bool,
     /// There is no recent report of the load that other hosts put on it.
-    pub unknown: bool,
+    pub load_unknown: bool,
     /// In failure backoff.
     pub avoided: bool,
     /// A host holds the lease of the engine, so adapters can be loaded.
@@ -266,26 +266,28 @@
     terms: &ChoiceContext,
 ) -> f64 {
     let wait = candidate.wait.as_secs_f64();
-    let distance = match candidate.near {
+    let distance = match candidate.same_hall {
         true => 0.0,
         false => DISTANCE,
     };
     let pressure = match terms.policy.avoids_full_engines {
-        true => pressure(candidate.memory) + batch_pressure(candidate.batch, terms.priority),
+        true => {
+            pressure(candidate.memory_share) + batch_pressure(candidate.batch_share, terms.priority)
+        }
         false => 0.0,
     };
-    let unknown = match candidate.unknown {
+    let load_unknown = match candidate.load_unknown {
         true => UNKNOWN,
         false => 0.0,
     };
     let crowding = match terms.policy.avoids_crowds {
-        true => (candidate.crowd - CROWDED).clamp(0.0, MOST_CROWDING) * CROWDING,
+        true => (candidate.relative_load - CROWDED).clamp(0.0, MOST_CROWDING) * CROWDING,
         false => 0.0,
     };
     let arrival = match candidate.copy_state {
         AdapterCopyState::Ready => 0.0,
         AdapterCopyState::Coming { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
-        AdapterCopyState::Asked => candidate.load.as_secs_f64(),
+        AdapterCopyState::Asked => candidate.load_time.as_secs_f64(),
         AdapterCopyState::Remembered if terms.policy.uses_engine_memory => RELOAD,
         AdapterCopyState::Unknown
         | AdapterCopyState::Remembered
@@ -294,10 +296,10 @@
                 true => from_home(place, away),
                 false => 0.0,
             };
-            candidate.load.as_secs_f64() + terms.copy_price.as_secs_f64() * (1.0 + surcharge)
+            candidate.load_time.as_secs_f64() + terms.copy_price.as_secs_f64() * (1.0 + surcharge)
         }
     };
-    wait.max(arrival) + 0.2 * wait.min(arrival) + distance + pressure + crowding + unknown
+    wait.max(arrival) + 0.2 * wait.min(arrival) + distance + pressure + crowding + load_unknown
 }
 
 /// Returns the surcharge for a load on the engine at this rank of the adapter's order of preference, as a
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -127,12 +127,12 @@
 
 fn plain(
     in_flight: u32,
-    near: bool,
+    same_hall: bool,
 ) -> PlainCandidate {
     PlainCandidate {
         in_flight,
         slots: 6,
-        near,
+        same_hall,
         avoided_for: Duration::ZERO,
         tried: false,
         openness: Openness::Open,
@@ -169,14 +169,14 @@
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
-        load: DEFAULT_LOAD_TIME,
+        load_time: DEFAULT_LOAD_TIME,
         copy_state,
         wait: ms(wait_ms),
-        memory: 0.3,
-        batch: 0.3,
-        crowd: 1.0,
-        near: true,
-        unknown: false,
+        memory_share: 0.3,
+        batch_share: 0.3,
+        relative_load: 1.0,
+        same_hall: true,
+        load_unknown: false,
         avoided: false,
         has_holder: true,
         tried: false,
@@ -287,7 +287,7 @@
 fn an_engine_short_of_memory_is_used_last() {
     let now = Instant::now();
     let pressed = EngineCandidate {
-        memory: 0.99,
+        memory_share: 0.99,
         ..engine(AdapterCopyState::Ready, 0)
     };
     let candidates = [pressed, engine(AdapterCopyState::Ready, 400)];
@@ -298,7 +298,7 @@
 fn a_crowded_engine_gives_popular_adapters_away() {
     let now = Instant::now();
     let crowded = EngineCandidate {
-        crowd: 2.5,
+        relative_load: 2.5,
         ..engine(AdapterCopyState::Ready, 60)
     };
     let candidates = [crowded, engine(AdapterCopyState::Ready, 100)];
@@ -412,10 +412,10 @@
 
 #[rstest]
 #[case::places(44_000.0, 42_700.0, 66.0, 10, 10)]
-#[case::memory(43_000.0, 42_700.0, 66.0, 10, 4)]
+#[case::memory_share(43_000.0, 42_700.0, 66.0, 10, 4)]
 #[case::too_large(40_000.0, 42_700.0, 66.0, 10, 0)]
 fn adapters_that_fit_beside_a_base_model(
-    #[case] memory: f64,
+    #[case] memory_share: f64,
     #[case] weights: f64,
     #[case] adapter: f64,
     #[case] slots: usize,
@@ -431,7 +431,7 @@
         models: vec![model.clone()],
         slots: 12,
         memory_tokens: 58_000,
-        weights_mb: memory,
+        weights_mb: memory_share,
         adapter_slots: slots,
         loads_per_second: 3.0,
     };
@@ -490,7 +490,7 @@
     let candidates = [
         engine(AdapterCopyState::Ready, 600),
         EngineCandidate {
-            load: ms(load_ms),
+            load_time: ms(load_ms),
             ..engine(AdapterCopyState::Unknown, 20)
         },
     ];
