--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -110,7 +110,7 @@
                 PlainCandidate {
                     in_flight: link.in_flight,
                     slots: link.view.record.slots,
-                    near: link.view.record.hall == self.hall,
+                    same_hall: link.view.record.hall == self.hall,
                     avoided_for: link.avoided_for(now),
                     tried: tries.has_tried(&target.id),
                     openness: board.openness(&target.id, now),
@@ -207,7 +207,9 @@
             patience: terms.aim_left.saturating_sub(candidates[at].wait),
         };
         match choose_engine(&candidates, &terms) {
-            EngineChoice::Send { to, .. } if candidates[to].batch > 1.0 && tries.draws_again() => {
+            EngineChoice::Send { to, .. }
+                if candidates[to].batch_share > 1.0 && tries.draws_again() =>
+            {
                 // All of the sample are taken: other engines may have room.
                 self.choose_for_adapter(board, request, tries, adapter, now)
             }
--- a/src/request/direct/plain_choice.rs
+++ b/src/request/direct/plain_choice.rs
@@ -8,7 +8,7 @@
     /// Requests that the target runs concurrently.
     pub slots: u32,
     /// In the same hall as this host.
-    pub near: bool,
+    pub same_hall: bool,
     /// Remaining backoff after failures; zero if there is none.
     pub avoided_for: Duration,
     /// This request was already sent to it and failed.
@@ -49,7 +49,7 @@
 }
 
 fn load(candidate: &PlainCandidate) -> f64 {
-    let distance = match candidate.near {
+    let distance = match candidate.same_hall {
         true => 0.0,
         false => DISTANCE_COST,
     };
