--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -152,7 +152,7 @@
             .collect();
         let terms = ChoiceContext {
             copy_price: Duration::ZERO,
-            aim_left: request.aim().saturating_duration_since(now),
+            time_to_aim: request.aim().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -194,7 +194,7 @@
         }
         let terms = ChoiceContext {
             copy_price: copy_price(board, adapter, now),
-            aim_left: request.aim().saturating_duration_since(now),
+            time_to_aim: request.aim().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -204,7 +204,7 @@
             target: &targets[at],
             version: standing.newest,
             spare,
-            patience: terms.aim_left.saturating_sub(candidates[at].wait),
+            patience: terms.time_to_aim.saturating_sub(candidates[at].wait),
         };
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. }
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -74,7 +74,7 @@
     /// Cost of another copy of the adapter, as the delay accepted to avoid it.
     pub copy_price: Duration,
     /// Time until the latency objective is missed.
-    pub aim_left: Duration,
+    pub time_to_aim: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
     pub policy: Policy,
@@ -211,7 +211,7 @@
     other_cost: f64,
     terms: &ChoiceContext,
 ) -> bool {
-    cost <= other_cost + TOLERABLE || cost <= AIM_SHARE * terms.aim_left.as_secs_f64()
+    cost <= other_cost + TOLERABLE || cost <= AIM_SHARE * terms.time_to_aim.as_secs_f64()
 }
 
 fn is_timed(copy_state: AdapterCopyState) -> bool {
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -190,7 +190,7 @@
 ) -> ChoiceContext {
     ChoiceContext {
         copy_price: ms(price_ms),
-        aim_left: ms(800),
+        time_to_aim: ms(800),
         priority: 2,
         policy: Policy::default(),
         now,
