--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -252,9 +252,9 @@
                 }
                 let refusable = expected.filter(|_| terms.policy.refuses_early);
                 match refusable.map(|expected| wait_or_reject(&time_of(request, now), expected)) {
-                    Some(WaitDecision::Refuse { come_back }) => {
+                    Some(WaitDecision::Refuse { retry_after }) => {
                         tries.trace.add(TraceStep::Waits { expected }, now);
-                        Choice::Refuse(come_back)
+                        Choice::Refuse(retry_after)
                     }
                     _ => Choice::Wait {
                         until: until.max(now + LEAST_WAIT),
@@ -353,8 +353,8 @@
     }
     // Callers that are refused together don't come back together.
     let spread = rand::rng().random_range(Duration::ZERO..OPENING_SPREAD);
-    let come_back = opens.saturating_duration_since(now) + spread;
-    Some(Choice::Refuse(come_back))
+    let retry_after = opens.saturating_duration_since(now) + spread;
+    Some(Choice::Refuse(retry_after))
 }
 
 /// True if a refusal at this time is still prompt.
@@ -370,9 +370,9 @@
     now: Instant,
 ) -> RequestTiming {
     RequestTiming {
-        passed: now.saturating_duration_since(request.arrived),
+        elapsed: now.saturating_duration_since(request.arrived),
         aim: request.route.aim,
-        left: request.left(now),
+        time_left: request.time_left(now),
     }
 }
 
--- a/src/request/direct/call_request.rs
+++ b/src/request/direct/call_request.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the time until the deadline.
-    pub fn left(
+    pub fn time_left(
         &self,
         now: Instant,
     ) -> Duration {
--- a/src/request/direct/wait_decision.rs
+++ b/src/request/direct/wait_decision.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestTiming {
     /// Time since the request arrived.
-    pub passed: Duration,
+    pub elapsed: Duration,
     /// Latency objective for the first event.
     pub aim: Duration,
     /// Time until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Whether a request waits for an engine.
@@ -26,7 +26,7 @@
     Wait,
     /// Reject the request now, as it would miss its latency objective.
     Refuse {
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -38,12 +38,12 @@
     time: &RequestTiming,
     expected: Duration,
 ) -> WaitDecision {
-    let in_time = time.passed + expected <= time.aim;
-    let prompt = time.passed <= time.aim.mul_f64(PROMPT_SHARE);
-    let come_back = expected + COME_BACK_MARGIN;
-    let comes_back = come_back <= time.left.mul_f64(COME_BACK_SHARE);
+    let in_time = time.elapsed + expected <= time.aim;
+    let prompt = time.elapsed <= time.aim.mul_f64(PROMPT_SHARE);
+    let retry_after = expected + COME_BACK_MARGIN;
+    let comes_back = retry_after <= time.time_left.mul_f64(COME_BACK_SHARE);
     match !in_time && prompt && comes_back {
-        true => WaitDecision::Refuse { come_back },
+        true => WaitDecision::Refuse { retry_after },
         false => WaitDecision::Wait,
     }
 }
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -317,18 +317,18 @@
 
 #[rstest]
 #[case::in_time(0, 300, WaitDecision::Wait)]
-#[case::late_and_prompt(10, 1_000, WaitDecision::Refuse { come_back: ms(1_040) })]
+#[case::late_and_prompt(10, 1_000, WaitDecision::Refuse { retry_after: ms(1_040) })]
 #[case::late_but_no_longer_prompt(200, 1_000, WaitDecision::Wait)]
 #[case::later_than_callers_come_back(10, 6_000, WaitDecision::Wait)]
 fn who_would_be_late_is_told_at_once(
-    #[case] passed: u64,
+    #[case] elapsed: u64,
     #[case] expected: u64,
     #[case] patience: WaitDecision,
 ) {
     let time = RequestTiming {
-        passed: ms(passed),
+        elapsed: ms(elapsed),
         aim: ms(800),
-        left: ms(15_000),
+        time_left: ms(15_000),
     };
     assert_eq!(wait_or_reject(&time, ms(expected)), patience);
 }
