--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -57,7 +57,7 @@
         id,
         passed_over: passed_over(&board.borrow(), service, tried, now),
         aim_ms: request.route.aim.as_millis() as u32,
-        left_ms: request.left(now).as_millis() as u32,
+        left_ms: request.time_left(now).as_millis() as u32,
     };
     let mut ask = {
         let board = board.borrow();
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -486,11 +486,11 @@
             after.as_bytes(),
         ]);
     }
-    let left = request.left(now).as_millis().to_string();
+    let time_left = request.time_left(now).as_millis().to_string();
     line(&[
         names.deadline_ms.as_str().as_bytes(),
         b": ",
-        left.as_bytes(),
+        time_left.as_bytes(),
     ]);
     line(&[
         names.expect_target.as_str().as_bytes(),
