--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -71,7 +71,7 @@
     let gate = QuotaGate {
         board,
         customer: &credential.customer.name,
-        cost: limit.cost(request.told_tokens),
+        cost: limit.cost(request.declared_tokens),
     };
     gate.note_request();
     let begun = Instant::now();
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -172,7 +172,7 @@
             cause = answer.cause.word(),
             route = request.route.name,
             customer = credential.map_or("-", |credential| &credential.customer.name),
-            cost = limit.map_or(0.0, |limit| limit.cost(request.told_tokens)),
+            cost = limit.map_or(0.0, |limit| limit.cost(request.declared_tokens)),
             rate = limit.map_or(0.0, |limit| limit.rate),
             come_back_ms = answer.retry_after.map_or(-1.0, millis),
             waited_ms = millis(request.arrived.elapsed()),
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -89,7 +89,7 @@
             arrived,
             ends,
             urgency: urgency(routing, &route, credential.as_ref()),
-            told_tokens: told_tokens(&parts.headers, names),
+            declared_tokens: declared_tokens(&parts.headers, names),
             route,
             service,
             generation,
@@ -154,7 +154,7 @@
     routing.urgency(route, customer)
 }
 
-fn told_tokens(
+fn declared_tokens(
     headers: &HeaderMap,
     names: &HeaderNames,
 ) -> Option<u64> {
--- a/src/request/direct/call_request.rs
+++ b/src/request/direct/call_request.rs
@@ -37,7 +37,7 @@
     /// `None` on routes that need no key.
     pub credential: Option<Credential>,
     /// Prompt tokens plus maximum answer tokens, as declared by the caller.
-    pub told_tokens: Option<u64>,
+    pub declared_tokens: Option<u64>,
     /// 0 is the most urgent.
     pub urgency: u8,
 }
