--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -64,7 +64,7 @@
         let prompt = generation.map_or(0, |generation| u64::from(generation.tokens_in));
         let answer = generation.map_or(0, |generation| u64::from(generation.tokens_out));
         let engine = request.service.engine.as_ref();
-        let memory_share = engine.map_or(u64::MAX, |engine| engine.memory_tokens.max(1));
+        let memory = engine.map_or(u64::MAX, |engine| engine.memory_tokens.max(1));
         let tokens = link.running_tokens() + prompt + answer;
         EngineCandidate {
             copy_state,
@@ -72,7 +72,7 @@
                 .speed
                 .time_for(self.backlog_before(link, request) + prompt),
             load_time: link.load_time(self.now).unwrap_or(DEFAULT_LOAD_TIME),
-            memory_share: tokens as f64 / memory_share as f64,
+            memory_share: tokens as f64 / memory as f64,
             batch_share: f64::from(link.running() + 1) / f64::from(link.view.record.slots.max(1)),
             relative_load: tokens as f64 / (self.mean_tokens + (prompt + answer) as f64).max(1.0),
             same_hall: link.view.record.hall == self.hall,
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -412,10 +412,10 @@
 
 #[rstest]
 #[case::places(44_000.0, 42_700.0, 66.0, 10, 10)]
-#[case::memory_share(43_000.0, 42_700.0, 66.0, 10, 4)]
+#[case::memory(43_000.0, 42_700.0, 66.0, 10, 4)]
 #[case::too_large(40_000.0, 42_700.0, 66.0, 10, 0)]
 fn adapters_that_fit_beside_a_base_model(
-    #[case] memory_share: f64,
+    #[case] memory: f64,
     #[case] weights: f64,
     #[case] adapter: f64,
     #[case] slots: usize,
@@ -431,7 +431,7 @@
         models: vec![model.clone()],
         slots: 12,
         memory_tokens: 58_000,
-        weights_mb: memory_share,
+        weights_mb: memory,
         adapter_slots: slots,
         loads_per_second: 3.0,
     };
