--- a/src/connection/front/adapter_standing.rs
+++ b/src/connection/front/adapter_standing.rs
@@ -80,12 +80,12 @@
             AdapterCopyState::Ready if !is_old => AdapterCopyState::Full {
                 until: self.now + LOOK_AGAIN,
             },
-            AdapterCopyState::Coming { due }
+            AdapterCopyState::Loading { due }
                 if is_old && !serves.allows(wait, due.max(self.now)) =>
             {
                 AdapterCopyState::Unknown
             }
-            AdapterCopyState::Ready | AdapterCopyState::Remembered if is_old => {
+            AdapterCopyState::Ready | AdapterCopyState::Cached if is_old => {
                 AdapterCopyState::Unknown
             }
             state => state,
@@ -109,8 +109,8 @@
     now: Instant,
 ) -> bool {
     match state {
-        AdapterCopyState::Asked => true,
-        AdapterCopyState::Coming { due } => due + ASK_WAIT <= now,
+        AdapterCopyState::Requested => true,
+        AdapterCopyState::Loading { due } => due + ASK_WAIT <= now,
         _ => false,
     }
 }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -537,7 +537,7 @@
         }
         let board = self.board.borrow();
         let copy = board.adapters.get(adapter, &destination.target);
-        copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Coming { .. }))
+        copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Loading { .. }))
     }
 
     fn on_misdirected(
@@ -550,7 +550,8 @@
         };
         let mut board = self.board.borrow_mut();
         let copy = board.adapters.get(adapter, &destination.target);
-        let coming = copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Coming { .. }));
+        let coming =
+            copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Loading { .. }));
         if !coming {
             board.on_missing(adapter, &destination.target);
         }
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -70,7 +70,7 @@
         .partition(|at| state(at).is_some_and(is_coming));
     open.retain(|at| !state(at).is_some_and(|state| is_full(state, now)));
     // Where it was lately it comes back much faster.
-    open.sort_by_key(|at| state(at) != Some(AdapterCopyState::Remembered));
+    open.sort_by_key(|at| state(at) != Some(AdapterCopyState::Cached));
     open.truncate(QUERIED_OTHERS);
     let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
     let ready = without_closed(ready, |at| is_closed(&order[*at]));
@@ -173,6 +173,6 @@
 pub(super) fn is_coming(copy: AdapterCopyState) -> bool {
     matches!(
         copy,
-        AdapterCopyState::Coming { .. } | AdapterCopyState::Asked
+        AdapterCopyState::Loading { .. } | AdapterCopyState::Requested
     )
 }
--- a/src/connection/targets/adapter_map.rs
+++ b/src/connection/targets/adapter_map.rs
@@ -102,11 +102,11 @@
         copy.older = None;
         if !matches!(
             copy.state,
-            AdapterCopyState::Ready | AdapterCopyState::Coming { .. }
+            AdapterCopyState::Ready | AdapterCopyState::Loading { .. }
         ) {
             return;
         }
-        copy.state = AdapterCopyState::Remembered;
+        copy.state = AdapterCopyState::Cached;
         let order = self.remembered.entry(target.to_string()).or_default();
         order.retain(|known| known != adapter);
         order.push_back(adapter.to_string());
@@ -116,7 +116,7 @@
         };
         if let Some(dropped) = dropped {
             let copy = self.get(&dropped, target);
-            if copy.is_some_and(|copy| copy.state == AdapterCopyState::Remembered) {
+            if copy.is_some_and(|copy| copy.state == AdapterCopyState::Cached) {
                 self.forget(&dropped, target);
             }
         }
@@ -157,7 +157,7 @@
             .entry(target.to_string())
             .or_insert(AdapterCopy {
                 version: 0,
-                state: AdapterCopyState::Asked,
+                state: AdapterCopyState::Requested,
                 older: None,
                 uses: 0,
                 asked: None,
@@ -174,9 +174,9 @@
             copy.asked = None;
             return false;
         }
-        if !matches!(copy.state, AdapterCopyState::Coming { .. }) {
+        if !matches!(copy.state, AdapterCopyState::Loading { .. }) {
             copy.older = copy.held();
-            copy.state = AdapterCopyState::Asked;
+            copy.state = AdapterCopyState::Requested;
         }
         copy.asked = Some(now);
         copy.asks += 1;
--- a/src/connection/targets/board_adapters.rs
+++ b/src/connection/targets/board_adapters.rs
@@ -66,10 +66,10 @@
         self.note_load_time(placement, now);
         let state = match placement.state() {
             PlacementState::Ready => AdapterCopyState::Ready,
-            PlacementState::Coming => AdapterCopyState::Coming {
+            PlacementState::Coming => AdapterCopyState::Loading {
                 due: now + Duration::from_millis(u64::from(placement.due_ms)),
             },
-            PlacementState::Remembered => AdapterCopyState::Remembered,
+            PlacementState::Remembered => AdapterCopyState::Cached,
             PlacementState::Absent => return self.on_gone(placement),
             PlacementState::Full | PlacementState::NotHolder => AdapterCopyState::Full {
                 until: now + FULL_PAUSE,
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -9,14 +9,14 @@
 pub enum AdapterCopyState {
     Unknown,
     /// Unloaded recently; the engine still caches its weights and can reload them quickly.
-    Remembered,
+    Cached,
     Ready,
     /// Being loaded, expected to be ready at `due`; the lease holder of the engine reports when it is.
-    Coming {
+    Loading {
         due: Instant,
     },
     /// A load was requested from the lease holder, which has not replied yet.
-    Asked,
+    Requested,
     /// The engine cannot load it before `until`.
     Full {
         until: Instant,
@@ -215,7 +215,7 @@
 }
 
 fn is_timed(copy_state: AdapterCopyState) -> bool {
-    matches!(copy_state, AdapterCopyState::Coming { .. })
+    matches!(copy_state, AdapterCopyState::Loading { .. })
 }
 
 /// Returns true if the engine has the adapter loaded, loading or cached.
@@ -229,7 +229,7 @@
 fn is_coming(copy_state: AdapterCopyState) -> bool {
     matches!(
         copy_state,
-        AdapterCopyState::Coming { .. } | AdapterCopyState::Asked
+        AdapterCopyState::Loading { .. } | AdapterCopyState::Requested
     )
 }
 
@@ -239,7 +239,7 @@
     now: Instant,
 ) -> bool {
     let free = match candidate.copy_state {
-        AdapterCopyState::Unknown | AdapterCopyState::Remembered => true,
+        AdapterCopyState::Unknown | AdapterCopyState::Cached => true,
         AdapterCopyState::Full { until } => until <= now,
         _ => false,
     };
@@ -252,7 +252,7 @@
 ) -> Instant {
     match candidate.copy_state {
         // If the lease holder has not reported the load as done by then, it is asked again.
-        AdapterCopyState::Coming { due } => due.max(now) + ASKED_WAIT,
+        AdapterCopyState::Loading { due } => due.max(now) + ASKED_WAIT,
         _ => now + ASKED_WAIT,
     }
 }
@@ -286,12 +286,10 @@
     };
     let arrival = match candidate.copy_state {
         AdapterCopyState::Ready => 0.0,
-        AdapterCopyState::Coming { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
-        AdapterCopyState::Asked => candidate.load_time.as_secs_f64(),
-        AdapterCopyState::Remembered if terms.policy.uses_engine_memory => RELOAD,
-        AdapterCopyState::Unknown
-        | AdapterCopyState::Remembered
-        | AdapterCopyState::Full { .. } => {
+        AdapterCopyState::Loading { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
+        AdapterCopyState::Requested => candidate.load_time.as_secs_f64(),
+        AdapterCopyState::Cached if terms.policy.uses_engine_memory => RELOAD,
+        AdapterCopyState::Unknown | AdapterCopyState::Cached | AdapterCopyState::Full { .. } => {
             let surcharge = match terms.policy.prefers_home {
                 true => from_home(place, away),
                 false => 0.0,
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -242,7 +242,7 @@
     let now = Instant::now();
     let due = now + ms(1_100);
     let candidates = [
-        engine(AdapterCopyState::Coming { due }, 20),
+        engine(AdapterCopyState::Loading { due }, 20),
         engine(AdapterCopyState::Unknown, 20),
         engine(AdapterCopyState::Unknown, 20),
     ];
