--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -236,7 +236,7 @@
                     now,
                 )
             }
-            EngineChoice::Ask(at) => {
+            EngineChoice::RequestLoad(at) => {
                 ask_for(board, tries, &ask_at(at, false), now);
                 Choice::Wait {
                     until: now + ASK_WAIT,
@@ -252,7 +252,7 @@
                 }
                 let refusable = expected.filter(|_| terms.policy.refuses_early);
                 match refusable.map(|expected| wait_or_reject(&time_of(request, now), expected)) {
-                    Some(WaitDecision::Refuse { retry_after }) => {
+                    Some(WaitDecision::Reject { retry_after }) => {
                         tries.trace.add(TraceStep::Waits { expected }, now);
                         Choice::Refuse(retry_after)
                     }
@@ -262,7 +262,7 @@
                     },
                 }
             }
-            EngineChoice::Nowhere => {
+            EngineChoice::NoEngine => {
                 let against = AgainstEngines::of(&candidates, now);
                 tries.trace.add(TraceStep::Unplaced(against), now);
                 nowhere_yet(board, request, &targets, now)
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -468,12 +468,12 @@
                 }
                 None
             }
-            NextStep::Refuse => {
+            NextStep::Reject => {
                 let answer = OwnAnswer::after(OwnCause::TurnedAway, COME_BACK);
                 Some(self.answer(request, answer))
             }
-            NextStep::PassOn => tries.failure.take().map(pass_on),
-            NextStep::Fail => Some(match tries.failure.take() {
+            NextStep::ForwardFailure => tries.failure.take().map(pass_on),
+            NextStep::OutcomeUnknown => Some(match tries.failure.take() {
                 Some(failure) => pass_on(failure),
                 None => self.answer(request, OwnAnswer::new(OwnCause::AnswerLost)),
             }),
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -57,7 +57,7 @@
     /// Send the request to candidate `to`, and request another copy of the adapter at candidate `ask`, if set.
     Send { to: usize, ask: Option<usize> },
     /// Request a load of the adapter from the lease holder of this candidate, and wait.
-    Ask(usize),
+    RequestLoad(usize),
     /// Wait at most until `until` for a load in progress; `expected` is the estimated time to the first
     /// event, if known.
     Wait {
@@ -65,7 +65,7 @@
         expected: Option<Duration>,
     },
     /// No engine can take the request.
-    Nowhere,
+    NoEngine,
 }
 
 /// Inputs of the choice that do not depend on the engine.
@@ -154,7 +154,7 @@
     };
     match (choose_among(candidates, terms, &is_spare), choice) {
         (send @ EngineChoice::Send { .. }, _) => send,
-        (_, EngineChoice::Nowhere) => choose_among(candidates, terms, &|candidate| {
+        (_, EngineChoice::NoEngine) => choose_among(candidates, terms, &|candidate| {
             candidate.openness != Openness::Closed
         }),
         (_, choice) => choice,
@@ -199,9 +199,9 @@
             until: wait_until(&candidates[at], terms.now),
             expected: is_timed(candidates[at].copy_state).then(|| Duration::from_secs_f64(cost)),
         },
-        (_, None, Some((at, _))) => EngineChoice::Ask(at),
+        (_, None, Some((at, _))) => EngineChoice::RequestLoad(at),
         (Some((to, _)), None, None) => EngineChoice::Send { to, ask: None },
-        (None, None, None) => EngineChoice::Nowhere,
+        (None, None, None) => EngineChoice::NoEngine,
     }
 }
 
--- a/src/request/direct/next_step.rs
+++ b/src/request/direct/next_step.rs
@@ -32,11 +32,11 @@
     /// Choose a target again; `repeats` is true if the attempt is charged to the retry budget.
     Resend { repeats: bool },
     /// Answer that the request has not run.
-    Refuse,
+    Reject,
     /// Forward the error that the target answered with.
-    PassOn,
+    ForwardFailure,
     /// Answer that the outcome is unknown.
-    Fail,
+    OutcomeUnknown,
 }
 
 /// Attempts per request that reach a target.
@@ -56,15 +56,17 @@
     let spent = history.runs >= route.max_attempts || history.arrivals >= MAX_ARRIVALS;
     match end {
         AttemptEnd::NotSent => NextStep::Resend { repeats },
-        AttemptEnd::NotRun { .. } if history.runs > 0 && (spent || !may_repeat) => NextStep::Fail,
-        AttemptEnd::NotRun { .. } if spent || !may_repeat => NextStep::Refuse,
+        AttemptEnd::NotRun { .. } if history.runs > 0 && (spent || !may_repeat) => {
+            NextStep::OutcomeUnknown
+        }
+        AttemptEnd::NotRun { .. } if spent || !may_repeat => NextStep::Reject,
         AttemptEnd::NotRun { .. } => NextStep::Resend { repeats },
         AttemptEnd::Failed { .. } | AttemptEnd::Lost
             if route.repeatable() && !spent && may_repeat =>
         {
             NextStep::Resend { repeats }
         }
-        AttemptEnd::Failed { .. } => NextStep::PassOn,
-        AttemptEnd::Lost => NextStep::Fail,
+        AttemptEnd::Failed { .. } => NextStep::ForwardFailure,
+        AttemptEnd::Lost => NextStep::OutcomeUnknown,
     }
 }
--- a/src/request/direct/wait_decision.rs
+++ b/src/request/direct/wait_decision.rs
@@ -25,7 +25,7 @@
 pub enum WaitDecision {
     Wait,
     /// Reject the request now, as it would miss its latency objective.
-    Refuse {
+    Reject {
         retry_after: Duration,
     },
 }
@@ -43,7 +43,7 @@
     let retry_after = expected + COME_BACK_MARGIN;
     let comes_back = retry_after <= time.time_left.mul_f64(COME_BACK_SHARE);
     match !in_time && prompt && comes_back {
-        true => WaitDecision::Refuse { retry_after },
+        true => WaitDecision::Reject { retry_after },
         false => WaitDecision::Wait,
     }
 }
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -66,22 +66,50 @@
 #[rstest]
 #[case::never_left(RouteKind::Unsafe, false, 1, AttemptEnd::NotSent, true, FIRST)]
 #[case::turned_away(RouteKind::Unsafe, false, 1, NOT_RUN, true, AGAIN)]
-#[case::turned_away_without_budget(RouteKind::Unsafe, false, 1, NOT_RUN, false, NextStep::Refuse)]
-#[case::unsafe_lost(RouteKind::Unsafe, false, 3, AttemptEnd::Lost, true, NextStep::Fail)]
-#[case::unsafe_failed(RouteKind::Unsafe, false, 3, FAILED, true, NextStep::PassOn)]
+#[case::turned_away_without_budget(RouteKind::Unsafe, false, 1, NOT_RUN, false, NextStep::Reject)]
+#[case::unsafe_lost(
+    RouteKind::Unsafe,
+    false,
+    3,
+    AttemptEnd::Lost,
+    true,
+    NextStep::OutcomeUnknown
+)]
+#[case::unsafe_failed(RouteKind::Unsafe, false, 3, FAILED, true, NextStep::ForwardFailure)]
 #[case::safe_lost(RouteKind::Safe, false, 2, AttemptEnd::Lost, true, AGAIN)]
-#[case::safe_lost_at_its_last(RouteKind::Safe, false, 1, AttemptEnd::Lost, true, NextStep::Fail)]
+#[case::safe_lost_at_its_last(
+    RouteKind::Safe,
+    false,
+    1,
+    AttemptEnd::Lost,
+    true,
+    NextStep::OutcomeUnknown
+)]
 #[case::safe_lost_without_budget(
     RouteKind::Safe,
     false,
     2,
     AttemptEnd::Lost,
     false,
-    NextStep::Fail
+    NextStep::OutcomeUnknown
 )]
 #[case::safe_failed(RouteKind::Safe, false, 2, FAILED, true, AGAIN)]
-#[case::safe_failed_without_budget(RouteKind::Safe, false, 2, FAILED, false, NextStep::PassOn)]
-#[case::stream_lost(RouteKind::Stream, false, 2, AttemptEnd::Lost, true, NextStep::Fail)]
+#[case::safe_failed_without_budget(
+    RouteKind::Safe,
+    false,
+    2,
+    FAILED,
+    false,
+    NextStep::ForwardFailure
+)]
+#[case::stream_lost(
+    RouteKind::Stream,
+    false,
+    2,
+    AttemptEnd::Lost,
+    true,
+    NextStep::OutcomeUnknown
+)]
 #[case::resumable_lost(RouteKind::Stream, true, 2, AttemptEnd::Lost, true, AGAIN)]
 fn what_follows_the_first_send(
     #[case] kind: RouteKind,
@@ -105,7 +133,7 @@
     history.note(NOT_RUN);
     for budget_left in [true, false] {
         let step = next_step(&route, &history, NOT_RUN, budget_left);
-        assert_ne!(step, NextStep::Refuse);
+        assert_ne!(step, NextStep::Reject);
     }
 }
 
@@ -117,7 +145,7 @@
     loop {
         history.note(NOT_RUN);
         sends += 1;
-        if next_step(&route, &history, NOT_RUN, true) == NextStep::Refuse {
+        if next_step(&route, &history, NOT_RUN, true) == NextStep::Reject {
             break;
         }
         assert!(sends < 20);
@@ -204,12 +232,12 @@
 #[rstest]
 #[case::nearest_end(vec![(AdapterCopyState::Ready, 300), (AdapterCopyState::Ready, 80)], send(1))]
 #[case::the_copy_rather_than_a_load(vec![(AdapterCopyState::Unknown, 50), (AdapterCopyState::Ready, 200)], send(1))]
-#[case::a_load_if_there_is_no_copy(vec![(AdapterCopyState::Unknown, 50), (AdapterCopyState::Unknown, 50)], EngineChoice::Ask(0))]
-#[case::home_though_others_are_idler(vec![(AdapterCopyState::Unknown, 200), (AdapterCopyState::Unknown, 0)], EngineChoice::Ask(0))]
-#[case::away_if_home_is_drowned(vec![(AdapterCopyState::Unknown, 3_000), (AdapterCopyState::Unknown, 0)], EngineChoice::Ask(1))]
+#[case::a_load_if_there_is_no_copy(vec![(AdapterCopyState::Unknown, 50), (AdapterCopyState::Unknown, 50)], EngineChoice::RequestLoad(0))]
+#[case::home_though_others_are_idler(vec![(AdapterCopyState::Unknown, 200), (AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(0))]
+#[case::away_if_home_is_drowned(vec![(AdapterCopyState::Unknown, 3_000), (AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(1))]
 #[case::busy_copy_and_another_one(
     vec![(AdapterCopyState::Ready, 420), (AdapterCopyState::Unknown, 20)], EngineChoice::Send { to: 0, ask: Some(1) })]
-#[case::wait_if_the_copy_is_hopeless(vec![(AdapterCopyState::Ready, 6_000), (AdapterCopyState::Unknown, 20)], EngineChoice::Ask(1))]
+#[case::wait_if_the_copy_is_hopeless(vec![(AdapterCopyState::Ready, 6_000), (AdapterCopyState::Unknown, 20)], EngineChoice::RequestLoad(1))]
 fn engines_are_chosen_by_expected_time(
     #[case] candidates: Vec<(AdapterCopyState, u64)>,
     #[case] expected: EngineChoice,
@@ -259,15 +287,15 @@
     let candidates = [engine(full, 20), engine(AdapterCopyState::Unknown, 20)];
     assert_eq!(
         choose_engine(&candidates, &terms(300, now)),
-        EngineChoice::Ask(1)
+        EngineChoice::RequestLoad(1)
     );
     let alone = [engine(full, 20)];
     assert_eq!(
         choose_engine(&alone, &terms(300, now)),
-        EngineChoice::Nowhere
+        EngineChoice::NoEngine
     );
     let later = terms(300, now + ms(401));
-    assert_eq!(choose_engine(&alone, &later), EngineChoice::Ask(0));
+    assert_eq!(choose_engine(&alone, &later), EngineChoice::RequestLoad(0));
 }
 
 #[rstest]
@@ -279,7 +307,7 @@
     let now = Instant::now();
     assert_eq!(
         choose_engine(&[candidate], &terms(0, now)),
-        EngineChoice::Nowhere
+        EngineChoice::NoEngine
     );
 }
 
@@ -317,7 +345,7 @@
 
 #[rstest]
 #[case::in_time(0, 300, WaitDecision::Wait)]
-#[case::late_and_prompt(10, 1_000, WaitDecision::Refuse { retry_after: ms(1_040) })]
+#[case::late_and_prompt(10, 1_000, WaitDecision::Reject { retry_after: ms(1_040) })]
 #[case::late_but_no_longer_prompt(200, 1_000, WaitDecision::Wait)]
 #[case::later_than_callers_come_back(10, 6_000, WaitDecision::Wait)]
 fn who_would_be_late_is_told_at_once(
@@ -481,7 +509,7 @@
 
 /// While the weight store is busy, a load on another engine takes longer than waiting for a busy one.
 #[rstest]
-#[case::usual(270, EngineChoice::Ask(1))]
+#[case::usual(270, EngineChoice::RequestLoad(1))]
 #[case::the_store_is_busy(900, send(0))]
 fn a_copy_elsewhere_is_weighed_with_the_time_that_loads_take(
     #[case] load_ms: u64,
@@ -515,8 +543,8 @@
 #[rstest]
 #[case::another_copy_serves(vec![limited(AdapterCopyState::Ready, 0), engine(AdapterCopyState::Ready, 80)], send(1))]
 #[case::its_copy_is_the_only_one(vec![limited(AdapterCopyState::Ready, 0), engine(AdapterCopyState::Unknown, 0)], send(0))]
-#[case::another_loads(vec![limited(AdapterCopyState::Unknown, 0), engine(AdapterCopyState::Unknown, 50)], EngineChoice::Ask(1))]
-#[case::nobody_else_can(vec![limited(AdapterCopyState::Unknown, 0)], EngineChoice::Ask(0))]
+#[case::another_loads(vec![limited(AdapterCopyState::Unknown, 0), engine(AdapterCopyState::Unknown, 50)], EngineChoice::RequestLoad(1))]
+#[case::nobody_else_can(vec![limited(AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(0))]
 fn a_limited_engine_is_used_for_what_only_it_serves_well(
     #[case] candidates: Vec<EngineCandidate>,
     #[case] expected: EngineChoice,
