--- a/src/connection/front/against_engines.rs
+++ b/src/connection/front/against_engines.rs
@@ -38,7 +38,7 @@
                 matches!(candidate.copy_state, AdapterCopyState::Full { until } if until > now);
             if candidate.tried {
                 counts.tried += 1;
-            } else if candidate.openness == Openness::Closed {
+            } else if candidate.availability == Openness::Closed {
                 counts.closed += 1;
             } else if candidate.avoided {
                 counts.avoided += 1;
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -113,7 +113,7 @@
                     same_hall: link.view.record.hall == self.hall,
                     avoided_for: link.avoided_for(now),
                     tried: tries.has_tried(&target.id),
-                    openness: board.openness(&target.id, now),
+                    availability: board.openness(&target.id, now),
                 }
             })
             .collect();
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -48,7 +48,7 @@
     /// This request was already sent to it and failed.
     pub tried: bool,
     /// Availability announced by the engine itself.
-    pub openness: Openness,
+    pub availability: Openness,
 }
 
 /// What to do with a request for an engine. Indices refer to the candidates.
@@ -144,18 +144,19 @@
     candidates: &[EngineCandidate],
     terms: &ChoiceContext,
 ) -> EngineChoice {
-    let is_open = |candidate: &EngineCandidate| candidate.openness == Openness::Open;
+    let is_open = |candidate: &EngineCandidate| candidate.availability == Openness::Open;
     let choice = choose_among(candidates, terms, &is_open);
     if matches!(choice, EngineChoice::Send { .. }) || candidates.iter().all(is_open) {
         return choice;
     }
     let is_spare = |candidate: &EngineCandidate| {
-        candidate.openness == Openness::Limited && candidate.copy_state == AdapterCopyState::Ready
+        candidate.availability == Openness::Limited
+            && candidate.copy_state == AdapterCopyState::Ready
     };
     match (choose_among(candidates, terms, &is_spare), choice) {
         (send @ EngineChoice::Send { .. }, _) => send,
         (_, EngineChoice::NoEngine) => choose_among(candidates, terms, &|candidate| {
-            candidate.openness != Openness::Closed
+            candidate.availability != Openness::Closed
         }),
         (_, choice) => choice,
     }
--- a/src/request/direct/plain_choice.rs
+++ b/src/request/direct/plain_choice.rs
@@ -14,7 +14,7 @@
     /// This request was already sent to it and failed.
     pub tried: bool,
     /// Availability announced by the target itself.
-    pub openness: Openness,
+    pub availability: Openness,
 }
 
 /// Added to the load of a target in another hall, as a share of its slots.
@@ -31,7 +31,7 @@
     let count = candidates.len();
     let first = (draw * count as f64) as usize;
     let order = (0..count).map(|at| (at + first) % count.max(1));
-    let open = order.filter(|at| candidates[*at].openness != Openness::Closed);
+    let open = order.filter(|at| candidates[*at].availability != Openness::Closed);
     open.min_by(|a, b| {
         let (a, b) = (&candidates[*a], &candidates[*b]);
         let tried = a.tried.cmp(&b.tried);
@@ -45,7 +45,7 @@
 }
 
 fn is_limited(candidate: &PlainCandidate) -> bool {
-    candidate.openness == Openness::Limited
+    candidate.availability == Openness::Limited
 }
 
 fn load(candidate: &PlainCandidate) -> f64 {
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -163,7 +163,7 @@
         same_hall,
         avoided_for: Duration::ZERO,
         tried: false,
-        openness: Openness::Open,
+        availability: Openness::Open,
     }
 }
 
@@ -177,11 +177,11 @@
 #[case::a_failed_one_if_there_is_no_other(
     vec![PlainCandidate { avoided_for: ms(100), ..plain(0, true) }], Some(0))]
 #[case::a_limited_one_only_if_there_is_no_other(
-    vec![PlainCandidate { openness: Openness::Limited, ..plain(0, true) }, plain(5, false)], Some(1))]
+    vec![PlainCandidate { availability: Openness::Limited, ..plain(0, true) }, plain(5, false)], Some(1))]
 #[case::a_limited_one_if_the_others_are_closed(
-    vec![PlainCandidate { openness: Openness::Closed, ..plain(0, true) },
-         PlainCandidate { openness: Openness::Limited, ..plain(5, false) }], Some(1))]
-#[case::all_closed(vec![PlainCandidate { openness: Openness::Closed, ..plain(0, true) }], None)]
+    vec![PlainCandidate { availability: Openness::Closed, ..plain(0, true) },
+         PlainCandidate { availability: Openness::Limited, ..plain(5, false) }], Some(1))]
+#[case::all_closed(vec![PlainCandidate { availability: Openness::Closed, ..plain(0, true) }], None)]
 #[case::none(vec![], None)]
 fn the_plain_target_with_most_room_is_chosen(
     #[case] candidates: Vec<PlainCandidate>,
@@ -208,7 +208,7 @@
         avoided: false,
         has_holder: true,
         tried: false,
-        openness: Openness::Open,
+        availability: Openness::Open,
     }
 }
 
@@ -301,7 +301,7 @@
 #[rstest]
 #[case::avoided(EngineCandidate { avoided: true, ..engine(AdapterCopyState::Ready, 0) })]
 #[case::turned_away_there(EngineCandidate { tried: true, ..engine(AdapterCopyState::Ready, 0) })]
-#[case::closed(EngineCandidate { openness: Openness::Closed, ..engine(AdapterCopyState::Ready, 0) })]
+#[case::closed(EngineCandidate { availability: Openness::Closed, ..engine(AdapterCopyState::Ready, 0) })]
 #[case::no_holder_and_no_copy(EngineCandidate { has_holder: false, ..engine(AdapterCopyState::Unknown, 0) })]
 fn engines_that_can_not_serve_are_left_out(#[case] candidate: EngineCandidate) {
     let now = Instant::now();
@@ -533,7 +533,7 @@
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
-        openness: Openness::Limited,
+        availability: Openness::Limited,
         ..engine(copy_state, wait_ms)
     }
 }
