--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -213,8 +213,8 @@
                 // All of the sample are taken: other engines may have room.
                 self.choose_for_adapter(board, request, tries, adapter, now)
             }
-            EngineChoice::Send { to, ask } => {
-                if let Some(at) = ask {
+            EngineChoice::Send { to, also_load } => {
+                if let Some(at) = also_load {
                     ask_for(board, tries, &ask_at(at, true), now);
                 }
                 let is_ready =
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -54,8 +54,8 @@
 /// What to do with a request for an engine. Indices refer to the candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineChoice {
-    /// Send the request to candidate `to`, and request another copy of the adapter at candidate `ask`, if set.
-    Send { to: usize, ask: Option<usize> },
+    /// Send the request to candidate `to`, and request another copy of the adapter at candidate `also_load`, if set.
+    Send { to: usize, also_load: Option<usize> },
     /// Request a load of the adapter from the lease holder of this candidate, and wait.
     RequestLoad(usize),
     /// Wait at most until `until` for a load in progress; `expected` is the estimated time to the first
@@ -192,16 +192,19 @@
     let other_cost = coming.or(open).map_or(f64::INFINITY, |(_, cost)| cost);
     match (ready, coming, open) {
         (Some((to, cost)), _, _) if is_good_enough(cost, other_cost, terms) => {
-            let ask = open.filter(|(_, other)| terms.policy.adds_copies && *other < cost);
-            let ask = ask.map(|(at, _)| at);
-            EngineChoice::Send { to, ask }
+            let also_load = open.filter(|(_, other)| terms.policy.adds_copies && *other < cost);
+            let also_load = also_load.map(|(at, _)| at);
+            EngineChoice::Send { to, also_load }
         }
         (_, Some((at, cost)), _) => EngineChoice::Wait {
             until: wait_until(&candidates[at], terms.now),
             expected: is_timed(candidates[at].copy_state).then(|| Duration::from_secs_f64(cost)),
         },
         (_, None, Some((at, _))) => EngineChoice::RequestLoad(at),
-        (Some((to, _)), None, None) => EngineChoice::Send { to, ask: None },
+        (Some((to, _)), None, None) => EngineChoice::Send {
+            to,
+            also_load: None,
+        },
         (None, None, None) => EngineChoice::NoEngine,
     }
 }
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -226,7 +226,10 @@
 }
 
 fn send(to: usize) -> EngineChoice {
-    EngineChoice::Send { to, ask: None }
+    EngineChoice::Send {
+        to,
+        also_load: None,
+    }
 }
 
 #[rstest]
@@ -236,7 +239,7 @@
 #[case::home_though_others_are_idler(vec![(AdapterCopyState::Unknown, 200), (AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(0))]
 #[case::away_if_home_is_drowned(vec![(AdapterCopyState::Unknown, 3_000), (AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(1))]
 #[case::busy_copy_and_another_one(
-    vec![(AdapterCopyState::Ready, 420), (AdapterCopyState::Unknown, 20)], EngineChoice::Send { to: 0, ask: Some(1) })]
+    vec![(AdapterCopyState::Ready, 420), (AdapterCopyState::Unknown, 20)], EngineChoice::Send { to: 0, also_load: Some(1) })]
 #[case::wait_if_the_copy_is_hopeless(vec![(AdapterCopyState::Ready, 6_000), (AdapterCopyState::Unknown, 20)], EngineChoice::RequestLoad(1))]
 fn engines_are_chosen_by_expected_time(
     #[case] candidates: Vec<(AdapterCopyState, u64)>,
@@ -249,7 +252,9 @@
         .collect();
     // The copy cost of a popular adapter is low.
     let price = match expected {
-        EngineChoice::Send { ask: Some(_), .. } => 5,
+        EngineChoice::Send {
+            also_load: Some(_), ..
+        } => 5,
         _ => 300,
     };
     assert_eq!(choose_engine(&candidates, &terms(price, now)), expected);
@@ -337,7 +342,7 @@
         choice,
         EngineChoice::Send {
             to: 0,
-            ask: Some(1)
+            also_load: Some(1)
         }
     );
     assert_eq!(choose_engine(&candidates, &terms(300, now)), send(0));
@@ -481,8 +486,8 @@
 
 /// Guards against further copies of an adapter that is rarely used.
 #[rstest]
-#[case::rare(300, EngineChoice::Send { to: 0, ask: None })]
-#[case::often(15, EngineChoice::Send { to: 0, ask: Some(1) })]
+#[case::rare(300, EngineChoice::Send { to: 0, also_load: None })]
+#[case::often(15, EngineChoice::Send { to: 0, also_load: Some(1) })]
 fn a_busy_copy_calls_for_another_by_use(
     #[case] price_ms: u64,
     #[case] expected: EngineChoice,
@@ -504,7 +509,13 @@
     let mut terms = terms(15, now);
     terms.policy.adds_copies = false;
     let choice = choose_engine(&[busy, free], &terms);
-    assert_eq!(choice, EngineChoice::Send { to: 0, ask: None });
+    assert_eq!(
+        choice,
+        EngineChoice::Send {
+            to: 0,
+            also_load: None
+        }
+    );
 }
 
 /// While the weight store is busy, a load on another engine takes longer than waiting for a busy one.
