--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -82,59 +82,59 @@
 }
 
 /// Added to the cost of an engine in another hall.
-const DISTANCE: f64 = 0.004;
+const REMOTE_HALL_PENALTY_S: f64 = 0.004;
 
 /// Expected load time from the weight store while no load time has been reported.
 pub const DEFAULT_LOAD_TIME: Duration = Duration::from_millis(270);
 
 /// Expected time to reload weights that the engine has cached.
-const RELOAD: f64 = 0.03;
+const CACHED_LOAD_S: f64 = 0.03;
 
 /// Surcharge for loading on an engine other than the adapter's first one, as a multiple of the copy cost.
 /// Keeps an adapter on one engine, whose cached weights reload much faster than from the weight store.
-const AWAY: f64 = 12.0;
+const NON_HOME_SURCHARGE: f64 = 12.0;
 
 /// The same surcharge for an adapter that no engine has. Lower, so that an engine with a long backlog is
 /// skipped, but concurrent requests on several hosts still choose the same engine.
-const AWAY_OF_NEW: f64 = 0.8;
+const NON_HOME_SURCHARGE_IF_UNLOADED: f64 = 0.8;
 
 /// Additional surcharge for each further rank, as a multiple of the copy cost.
-const PLACE: f64 = 0.07;
+const RANK_SURCHARGE: f64 = 0.07;
 
 /// Relative load above which an engine is penalized: prefills slow down all answers that it generates.
-const CROWDED: f64 = 1.2;
+const HIGH_RELATIVE_LOAD: f64 = 1.2;
 
 /// Penalty for each unit of relative load above the threshold.
-const CROWDING: f64 = 0.3;
+const RELATIVE_LOAD_PENALTY_S: f64 = 0.3;
 
-const MOST_CROWDING: f64 = 3.0;
+const MAX_RELATIVE_LOAD_EXCESS: f64 = 3.0;
 
 /// Share of memory in use above which an engine is penalized.
-const PRESSED: f64 = 0.85;
+const HIGH_MEMORY_SHARE: f64 = 0.85;
 
 /// Penalty for an engine whose memory is full.
-const PRESSURE: f64 = 1.5;
+const FULL_MEMORY_PENALTY_S: f64 = 1.5;
 
 /// Share of the batch in use above which an engine is penalized, as further requests will queue.
-const PRESSED_BATCH: f64 = 0.9;
+const HIGH_BATCH_SHARE: f64 = 0.9;
 
 /// Requests of this priority and less urgent ones get the full batch penalty.
-const LEAST_URGENT: u8 = 2;
+const LOWEST_PRIORITY: u8 = 2;
 
 /// Penalty for an engine whose batch is full, for the least urgent requests.
-const BATCH_PRESSURE: f64 = 1.0;
+const FULL_BATCH_PENALTY_S: f64 = 1.0;
 
 /// Penalty for an engine whose load is not known.
-const UNKNOWN: f64 = 0.1;
+const UNKNOWN_LOAD_PENALTY_S: f64 = 0.1;
 
 /// A request goes to a ready but busy engine if that costs at most this much more than waiting for a load.
-const TOLERABLE: f64 = 0.1;
+const TOLERATED_EXTRA_COST_S: f64 = 0.1;
 
 /// A busy engine is also accepted if its cost is at most this share of the time left for the latency objective.
-const AIM_SHARE: f64 = 0.6;
+const ACCEPTED_AIM_SHARE: f64 = 0.6;
 
 /// Time allowed for the reply of a lease holder.
-const ASKED_WAIT: Duration = Duration::from_millis(60);
+const HOLDER_REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Chooses an engine for a request; `candidates` are in the adapter's order of preference.
 ///
@@ -172,8 +172,8 @@
         .iter()
         .any(|candidate| has_copy(candidate.copy_state))
     {
-        true => AWAY,
-        false => AWAY_OF_NEW,
+        true => NON_HOME_SURCHARGE,
+        false => NON_HOME_SURCHARGE_IF_UNLOADED,
     };
     let best = |accept: &dyn Fn(&EngineCandidate) -> bool| {
         let priced = candidates
@@ -215,7 +215,8 @@
     other_cost: f64,
     terms: &ChoiceContext,
 ) -> bool {
-    cost <= other_cost + TOLERABLE || cost <= AIM_SHARE * terms.time_to_aim.as_secs_f64()
+    cost <= other_cost + TOLERATED_EXTRA_COST_S
+        || cost <= ACCEPTED_AIM_SHARE * terms.time_to_aim.as_secs_f64()
 }
 
 fn is_timed(copy_state: AdapterCopyState) -> bool {
@@ -256,8 +257,8 @@
 ) -> Instant {
     match candidate.copy_state {
         // If the lease holder has not reported the load as done by then, it is asked again.
-        AdapterCopyState::Loading { due } => due.max(now) + ASKED_WAIT,
-        _ => now + ASKED_WAIT,
+        AdapterCopyState::Loading { due } => due.max(now) + HOLDER_REPLY_TIMEOUT,
+        _ => now + HOLDER_REPLY_TIMEOUT,
     }
 }
 
@@ -272,7 +273,7 @@
     let wait = candidate.wait.as_secs_f64();
     let distance = match candidate.same_hall {
         true => 0.0,
-        false => DISTANCE,
+        false => REMOTE_HALL_PENALTY_S,
     };
     let pressure = match terms.policy.avoids_full_engines {
         true => {
@@ -281,18 +282,21 @@
         false => 0.0,
     };
     let load_unknown = match candidate.load_unknown {
-        true => UNKNOWN,
+        true => UNKNOWN_LOAD_PENALTY_S,
         false => 0.0,
     };
     let crowding = match terms.policy.avoids_crowds {
-        true => (candidate.relative_load - CROWDED).clamp(0.0, MOST_CROWDING) * CROWDING,
+        true => {
+            (candidate.relative_load - HIGH_RELATIVE_LOAD).clamp(0.0, MAX_RELATIVE_LOAD_EXCESS)
+                * RELATIVE_LOAD_PENALTY_S
+        }
         false => 0.0,
     };
     let arrival = match candidate.copy_state {
         AdapterCopyState::Ready => 0.0,
         AdapterCopyState::Loading { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
         AdapterCopyState::Requested => candidate.load_time.as_secs_f64(),
-        AdapterCopyState::Cached if terms.policy.uses_engine_memory => RELOAD,
+        AdapterCopyState::Cached if terms.policy.uses_engine_memory => CACHED_LOAD_S,
         AdapterCopyState::Unknown | AdapterCopyState::Cached | AdapterCopyState::Full { .. } => {
             let surcharge = match terms.policy.prefers_home {
                 true => from_home(place, away),
@@ -312,7 +316,7 @@
 ) -> f64 {
     match place {
         0 => 0.0,
-        place => away + place as f64 * PLACE,
+        place => away + place as f64 * RANK_SURCHARGE,
     }
 }
 
@@ -321,11 +325,11 @@
     share: f64,
     priority: u8,
 ) -> f64 {
-    let rank = f64::from(priority.min(LEAST_URGENT) + 1) / f64::from(LEAST_URGENT + 1);
-    rank * (share - PRESSED_BATCH).max(0.0) / (1.0 - PRESSED_BATCH) * BATCH_PRESSURE
+    let rank = f64::from(priority.min(LOWEST_PRIORITY) + 1) / f64::from(LOWEST_PRIORITY + 1);
+    rank * (share - HIGH_BATCH_SHARE).max(0.0) / (1.0 - HIGH_BATCH_SHARE) * FULL_BATCH_PENALTY_S
 }
 
 /// Returns the penalty for full memory, in seconds.
 fn pressure(share: f64) -> f64 {
-    (share - PRESSED).max(0.0) / (1.0 - PRESSED) * PRESSURE
+    (share - HIGH_MEMORY_SHARE).max(0.0) / (1.0 - HIGH_MEMORY_SHARE) * FULL_MEMORY_PENALTY_S
 }
