--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -168,37 +168,38 @@
     terms: &ChoiceContext,
     accepts: &dyn Fn(&EngineCandidate) -> bool,
 ) -> EngineChoice {
-    let away = match candidates
+    let non_home_surcharge = match candidates
         .iter()
-        .any(|candidate| has_copy(candidate.copy_state))
+        .any(|candidate| has_or_restores_fast(candidate.copy_state))
     {
         true => NON_HOME_SURCHARGE,
         false => NON_HOME_SURCHARGE_IF_UNLOADED,
     };
     let best = |accept: &dyn Fn(&EngineCandidate) -> bool| {
-        let priced = candidates
+        let costs = candidates
             .iter()
             .enumerate()
             .filter(|(_, candidate)| !candidate.tried && !candidate.avoided)
             .filter(|(_, candidate)| accepts(candidate) && accept(candidate))
-            .map(|(at, candidate)| (at, cost(at, candidate, away, terms)));
-        priced.min_by(|a, b| a.1.total_cmp(&b.1))
+            .map(|(at, candidate)| (at, cost(at, candidate, non_home_surcharge, terms)));
+        costs.min_by(|a, b| a.1.total_cmp(&b.1))
     };
     let ready = best(&|candidate| candidate.copy_state == AdapterCopyState::Ready);
-    let coming = best(&|candidate| is_coming(candidate.copy_state));
-    let open = best(&|candidate| is_open(candidate, terms.now));
+    let loading = best(&|candidate| is_loading(candidate.copy_state));
+    let loadable = best(&|candidate| is_open(candidate, terms.now));
     // While one engine loads the adapter, no second load is requested: a slow load means that all loads are slow.
-    let open = open.filter(|_| coming.is_none());
-    let other_cost = coming.or(open).map_or(f64::INFINITY, |(_, cost)| cost);
-    match (ready, coming, open) {
-        (Some((to, cost)), _, _) if is_good_enough(cost, other_cost, terms) => {
-            let also_load = open.filter(|(_, other)| terms.policy.adds_copies && *other < cost);
+    let loadable = loadable.filter(|_| loading.is_none());
+    let load_cost = loading.or(loadable).map_or(f64::INFINITY, |(_, cost)| cost);
+    match (ready, loading, loadable) {
+        (Some((to, cost)), _, _) if is_good_enough(cost, load_cost, terms) => {
+            let also_load = loadable.filter(|(_, other)| terms.policy.adds_copies && *other < cost);
             let also_load = also_load.map(|(at, _)| at);
             EngineChoice::Send { to, also_load }
         }
         (_, Some((at, cost)), _) => EngineChoice::Wait {
             until: wait_until(&candidates[at], terms.now),
-            expected: is_timed(candidates[at].copy_state).then(|| Duration::from_secs_f64(cost)),
+            expected: has_due_time(candidates[at].copy_state)
+                .then(|| Duration::from_secs_f64(cost)),
         },
         (_, None, Some((at, _))) => EngineChoice::RequestLoad(at),
         (Some((to, _)), None, None) => EngineChoice::Send {
@@ -212,26 +213,26 @@
 /// Returns true if a ready engine with this cost is preferable to waiting for a load.
 fn is_good_enough(
     cost: f64,
-    other_cost: f64,
+    load_cost: f64,
     terms: &ChoiceContext,
 ) -> bool {
-    cost <= other_cost + TOLERATED_EXTRA_COST_S
+    cost <= load_cost + TOLERATED_EXTRA_COST_S
         || cost <= ACCEPTED_AIM_SHARE * terms.time_to_aim.as_secs_f64()
 }
 
-fn is_timed(copy_state: AdapterCopyState) -> bool {
+fn has_due_time(copy_state: AdapterCopyState) -> bool {
     matches!(copy_state, AdapterCopyState::Loading { .. })
 }
 
 /// Returns true if the engine has the adapter loaded, loading or cached.
-fn has_copy(copy_state: AdapterCopyState) -> bool {
+fn has_or_restores_fast(copy_state: AdapterCopyState) -> bool {
     !matches!(
         copy_state,
         AdapterCopyState::Unknown | AdapterCopyState::Full { .. }
     )
 }
 
-fn is_coming(copy_state: AdapterCopyState) -> bool {
+fn is_loading(copy_state: AdapterCopyState) -> bool {
     matches!(
         copy_state,
         AdapterCopyState::Loading { .. } | AdapterCopyState::Requested
@@ -262,22 +263,23 @@
     }
 }
 
-/// Returns the expected time to the first event plus all penalties, in seconds. `away` is the surcharge for
+/// Returns the expected time to the first event plus all penalties, in seconds. `non_home_surcharge` is the surcharge for
 /// engines other than the first, as a multiple of the copy cost.
 fn cost(
-    place: usize,
+    rank: usize,
     candidate: &EngineCandidate,
-    away: f64,
+    non_home_surcharge: f64,
     terms: &ChoiceContext,
 ) -> f64 {
     let wait = candidate.wait.as_secs_f64();
-    let distance = match candidate.same_hall {
+    let hall_penalty = match candidate.same_hall {
         true => 0.0,
         false => REMOTE_HALL_PENALTY_S,
     };
-    let pressure = match terms.policy.avoids_full_engines {
+    let memory_penalty = match terms.policy.avoids_full_engines {
         true => {
-            pressure(candidate.memory_share) + batch_pressure(candidate.batch_share, terms.priority)
+            memory_penalty(candidate.memory_share)
+                + batch_penalty(candidate.batch_share, terms.priority)
         }
         false => 0.0,
     };
@@ -285,51 +287,58 @@
         true => UNKNOWN_LOAD_PENALTY_S,
         false => 0.0,
     };
-    let crowding = match terms.policy.avoids_crowds {
+    let load_penalty = match terms.policy.avoids_crowds {
         true => {
             (candidate.relative_load - HIGH_RELATIVE_LOAD).clamp(0.0, MAX_RELATIVE_LOAD_EXCESS)
                 * RELATIVE_LOAD_PENALTY_S
         }
         false => 0.0,
     };
-    let arrival = match candidate.copy_state {
+    let load_time = match candidate.copy_state {
         AdapterCopyState::Ready => 0.0,
         AdapterCopyState::Loading { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
         AdapterCopyState::Requested => candidate.load_time.as_secs_f64(),
         AdapterCopyState::Cached if terms.policy.uses_engine_memory => CACHED_LOAD_S,
         AdapterCopyState::Unknown | AdapterCopyState::Cached | AdapterCopyState::Full { .. } => {
             let surcharge = match terms.policy.prefers_home {
-                true => from_home(place, away),
+                true => rank_surcharge(rank, non_home_surcharge),
                 false => 0.0,
             };
             candidate.load_time.as_secs_f64() + terms.copy_price.as_secs_f64() * (1.0 + surcharge)
         }
     };
-    wait.max(arrival) + 0.2 * wait.min(arrival) + distance + pressure + crowding + load_unknown
+    wait.max(load_time)
+        + 0.2 * wait.min(load_time)
+        + hall_penalty
+        + memory_penalty
+        + load_penalty
+        + load_unknown
 }
 
 /// Returns the surcharge for a load on the engine at this rank of the adapter's order of preference, as a
 /// multiple of the copy cost.
-fn from_home(
-    place: usize,
-    away: f64,
+fn rank_surcharge(
+    rank: usize,
+    non_home_surcharge: f64,
 ) -> f64 {
-    match place {
+    match rank {
         0 => 0.0,
-        place => away + place as f64 * RANK_SURCHARGE,
+        rank => non_home_surcharge + rank as f64 * RANK_SURCHARGE,
     }
 }
 
 /// Returns the penalty for a full batch in seconds, lower for urgent requests, which engines admit first.
-fn batch_pressure(
+fn batch_penalty(
     share: f64,
     priority: u8,
 ) -> f64 {
-    let rank = f64::from(priority.min(LOWEST_PRIORITY) + 1) / f64::from(LOWEST_PRIORITY + 1);
-    rank * (share - HIGH_BATCH_SHARE).max(0.0) / (1.0 - HIGH_BATCH_SHARE) * FULL_BATCH_PENALTY_S
+    let priority_factor =
+        f64::from(priority.min(LOWEST_PRIORITY) + 1) / f64::from(LOWEST_PRIORITY + 1);
+    priority_factor * (share - HIGH_BATCH_SHARE).max(0.0) / (1.0 - HIGH_BATCH_SHARE)
+        * FULL_BATCH_PENALTY_S
 }
 
 /// Returns the penalty for full memory, in seconds.
-fn pressure(share: f64) -> f64 {
+fn memory_penalty(share: f64) -> f64 {
     (share - HIGH_MEMORY_SHARE).max(0.0) / (1.0 - HIGH_MEMORY_SHARE) * FULL_MEMORY_PENALTY_S
 }
