--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -149,11 +149,14 @@
     if matches!(choice, EngineChoice::Send { .. }) || candidates.iter().all(is_open) {
         return choice;
     }
-    let is_spare = |candidate: &EngineCandidate| {
+    let is_limited_and_ready = |candidate: &EngineCandidate| {
         candidate.availability == Openness::Limited
             && candidate.copy_state == AdapterCopyState::Ready
     };
-    match (choose_among(candidates, terms, &is_spare), choice) {
+    match (
+        choose_among(candidates, terms, &is_limited_and_ready),
+        choice,
+    ) {
         (send @ EngineChoice::Send { .. }, _) => send,
         (_, EngineChoice::NoEngine) => choose_among(candidates, terms, &|candidate| {
             candidate.availability != Openness::Closed
@@ -170,7 +173,7 @@
 ) -> EngineChoice {
     let non_home_surcharge = match candidates
         .iter()
-        .any(|candidate| has_or_restores_fast(candidate.copy_state))
+        .any(|candidate| is_loaded_or_cached(candidate.copy_state))
     {
         true => NON_HOME_SURCHARGE,
         false => NON_HOME_SURCHARGE_IF_UNLOADED,
@@ -186,7 +189,7 @@
     };
     let ready = best(&|candidate| candidate.copy_state == AdapterCopyState::Ready);
     let loading = best(&|candidate| is_loading(candidate.copy_state));
-    let loadable = best(&|candidate| is_open(candidate, terms.now));
+    let loadable = best(&|candidate| can_load(candidate, terms.now));
     // While one engine loads the adapter, no second load is requested: a slow load means that all loads are slow.
     let loadable = loadable.filter(|_| loading.is_none());
     let load_cost = loading.or(loadable).map_or(f64::INFINITY, |(_, cost)| cost);
@@ -225,7 +228,7 @@
 }
 
 /// Returns true if the engine has the adapter loaded, loading or cached.
-fn has_or_restores_fast(copy_state: AdapterCopyState) -> bool {
+fn is_loaded_or_cached(copy_state: AdapterCopyState) -> bool {
     !matches!(
         copy_state,
         AdapterCopyState::Unknown | AdapterCopyState::Full { .. }
@@ -240,16 +243,16 @@
 }
 
 /// Returns true if a load of the adapter can be requested at this engine.
-fn is_open(
+fn can_load(
     candidate: &EngineCandidate,
     now: Instant,
 ) -> bool {
-    let free = match candidate.copy_state {
+    let can_accept = match candidate.copy_state {
         AdapterCopyState::Unknown | AdapterCopyState::Cached => true,
         AdapterCopyState::Full { until } => until <= now,
         _ => false,
     };
-    free && candidate.has_holder
+    can_accept && candidate.has_holder
 }
 
 fn wait_until(
@@ -263,7 +266,7 @@
     }
 }
 
-/// Returns the expected time to the first event plus all penalties, in seconds. `non_home_surcharge` is the surcharge for
+/// Returns the expected time to the first event plus all penalties, in seconds. `non_home_surcharge` applies to
 /// engines other than the first, as a multiple of the copy cost.
 fn cost(
     rank: usize,
@@ -276,14 +279,14 @@
         true => 0.0,
         false => REMOTE_HALL_PENALTY_S,
     };
-    let memory_penalty = match terms.policy.avoids_full_engines {
+    let full_penalty = match terms.policy.avoids_full_engines {
         true => {
             memory_penalty(candidate.memory_share)
                 + batch_penalty(candidate.batch_share, terms.priority)
         }
         false => 0.0,
     };
-    let load_unknown = match candidate.load_unknown {
+    let unknown_penalty = match candidate.load_unknown {
         true => UNKNOWN_LOAD_PENALTY_S,
         false => 0.0,
     };
@@ -310,9 +313,9 @@
     wait.max(load_time)
         + 0.2 * wait.min(load_time)
         + hall_penalty
-        + memory_penalty
+        + full_penalty
         + load_penalty
-        + load_unknown
+        + unknown_penalty
 }
 
 /// Returns the surcharge for a load on the engine at this rank of the adapter's order of preference, as a
