--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -142,10 +142,10 @@
 /// load an adapter only if no other engine can.
 pub fn choose_engine(
     candidates: &[EngineCandidate],
-    terms: &ChoiceContext,
+    context: &ChoiceContext,
 ) -> EngineChoice {
     let is_open = |candidate: &EngineCandidate| candidate.availability == Openness::Open;
-    let choice = choose_among(candidates, terms, &is_open);
+    let choice = choose_among(candidates, context, &is_open);
     if matches!(choice, EngineChoice::Send { .. }) || candidates.iter().all(is_open) {
         return choice;
     }
@@ -154,11 +154,11 @@
             && candidate.copy_state == AdapterCopyState::Ready
     };
     match (
-        choose_among(candidates, terms, &is_limited_and_ready),
+        choose_among(candidates, context, &is_limited_and_ready),
         choice,
     ) {
         (send @ EngineChoice::Send { .. }, _) => send,
-        (_, EngineChoice::NoEngine) => choose_among(candidates, terms, &|candidate| {
+        (_, EngineChoice::NoEngine) => choose_among(candidates, context, &|candidate| {
             candidate.availability != Openness::Closed
         }),
         (_, choice) => choice,
@@ -168,7 +168,7 @@
 /// Chooses among the candidates that `accepts` returns true for.
 fn choose_among(
     candidates: &[EngineCandidate],
-    terms: &ChoiceContext,
+    context: &ChoiceContext,
     accepts: &dyn Fn(&EngineCandidate) -> bool,
 ) -> EngineChoice {
     let non_home_surcharge = match candidates
@@ -184,23 +184,24 @@
             .enumerate()
             .filter(|(_, candidate)| !candidate.tried && !candidate.avoided)
             .filter(|(_, candidate)| accepts(candidate) && accept(candidate))
-            .map(|(at, candidate)| (at, cost(at, candidate, non_home_surcharge, terms)));
+            .map(|(at, candidate)| (at, cost(at, candidate, non_home_surcharge, context)));
         costs.min_by(|a, b| a.1.total_cmp(&b.1))
     };
     let ready = best(&|candidate| candidate.copy_state == AdapterCopyState::Ready);
     let loading = best(&|candidate| is_loading(candidate.copy_state));
-    let loadable = best(&|candidate| can_load(candidate, terms.now));
+    let loadable = best(&|candidate| can_load(candidate, context.now));
     // While one engine loads the adapter, no second load is requested: a slow load means that all loads are slow.
     let loadable = loadable.filter(|_| loading.is_none());
     let load_cost = loading.or(loadable).map_or(f64::INFINITY, |(_, cost)| cost);
     match (ready, loading, loadable) {
-        (Some((to, cost)), _, _) if is_good_enough(cost, load_cost, terms) => {
-            let also_load = loadable.filter(|(_, other)| terms.policy.adds_copies && *other < cost);
+        (Some((to, cost)), _, _) if is_good_enough(cost, load_cost, context) => {
+            let also_load =
+                loadable.filter(|(_, other)| context.policy.adds_copies && *other < cost);
             let also_load = also_load.map(|(at, _)| at);
             EngineChoice::Send { to, also_load }
         }
         (_, Some((at, cost)), _) => EngineChoice::Wait {
-            until: wait_until(&candidates[at], terms.now),
+            until: wait_until(&candidates[at], context.now),
             expected: has_due_time(candidates[at].copy_state)
                 .then(|| Duration::from_secs_f64(cost)),
         },
@@ -217,10 +218,10 @@
 fn is_good_enough(
     cost: f64,
     load_cost: f64,
-    terms: &ChoiceContext,
+    context: &ChoiceContext,
 ) -> bool {
     cost <= load_cost + TOLERATED_EXTRA_COST_S
-        || cost <= ACCEPTED_AIM_SHARE * terms.time_to_aim.as_secs_f64()
+        || cost <= ACCEPTED_AIM_SHARE * context.time_to_aim.as_secs_f64()
 }
 
 fn has_due_time(copy_state: AdapterCopyState) -> bool {
@@ -272,17 +273,17 @@
     rank: usize,
     candidate: &EngineCandidate,
     non_home_surcharge: f64,
-    terms: &ChoiceContext,
+    context: &ChoiceContext,
 ) -> f64 {
     let wait = candidate.wait.as_secs_f64();
     let hall_penalty = match candidate.same_hall {
         true => 0.0,
         false => REMOTE_HALL_PENALTY_S,
     };
-    let full_penalty = match terms.policy.avoids_full_engines {
+    let full_penalty = match context.policy.avoids_full_engines {
         true => {
             memory_penalty(candidate.memory_share)
-                + batch_penalty(candidate.batch_share, terms.priority)
+                + batch_penalty(candidate.batch_share, context.priority)
         }
         false => 0.0,
     };
@@ -290,7 +291,7 @@
         true => UNKNOWN_LOAD_PENALTY_S,
         false => 0.0,
     };
-    let load_penalty = match terms.policy.avoids_crowds {
+    let load_penalty = match context.policy.avoids_crowds {
         true => {
             (candidate.relative_load - HIGH_RELATIVE_LOAD).clamp(0.0, MAX_RELATIVE_LOAD_EXCESS)
                 * RELATIVE_LOAD_PENALTY_S
@@ -299,15 +300,17 @@
     };
     let load_time = match candidate.copy_state {
         AdapterCopyState::Ready => 0.0,
-        AdapterCopyState::Loading { due } => due.saturating_duration_since(terms.now).as_secs_f64(),
+        AdapterCopyState::Loading { due } => {
+            due.saturating_duration_since(context.now).as_secs_f64()
+        }
         AdapterCopyState::Requested => candidate.load_time.as_secs_f64(),
-        AdapterCopyState::Cached if terms.policy.uses_engine_memory => CACHED_LOAD_S,
+        AdapterCopyState::Cached if context.policy.uses_engine_memory => CACHED_LOAD_S,
         AdapterCopyState::Unknown | AdapterCopyState::Cached | AdapterCopyState::Full { .. } => {
-            let surcharge = match terms.policy.prefers_home {
+            let surcharge = match context.policy.prefers_home {
                 true => rank_surcharge(rank, non_home_surcharge),
                 false => 0.0,
             };
-            candidate.load_time.as_secs_f64() + terms.copy_price.as_secs_f64() * (1.0 + surcharge)
+            candidate.load_time.as_secs_f64() + context.copy_price.as_secs_f64() * (1.0 + surcharge)
         }
     };
     wait.max(load_time)
