--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -99,7 +99,7 @@
         self.note_demand(&request);
         let mut unserved = Unserved::new(&request, charged);
         let tried = self.try_targets(&request, &mut unserved.tries, None);
-        let outcome = timeout_at(request.ends, tried).await;
+        let outcome = timeout_at(request.deadline, tried).await;
         let (mut tries, charged) = unserved.disarm();
         let response = match outcome {
             Ok(Outcome::Final(response)) => response,
@@ -487,7 +487,7 @@
     ) -> bool {
         let service = &request.service.name;
         let begun = Instant::now();
-        let until = request.ends.min(begun + LOAN_WAIT);
+        let until = request.deadline.min(begun + LOAN_WAIT);
         loop {
             let now = Instant::now();
             {
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -73,9 +73,9 @@
             identify(&parts.headers, &route, &routing.customers).map_err(RequestProblem::Answer)?;
         let service = find_service(&route, routing, draw)?;
         let names = self.formats.headers();
-        let ends = arrived + allowed_time(&parts.headers, names, &route);
+        let deadline = arrived + allowed_time(&parts.headers, names, &route);
         let generation = generation(&parts.headers, names, &service);
-        let body = read_body(body, routing.limits.body_bytes, ends).await?;
+        let body = read_body(body, routing.limits.body_bytes, deadline).await?;
         Ok(CallRequest {
             id: parts.headers.get(&names.request_id).cloned(),
             path_and_query: parts
@@ -87,7 +87,7 @@
             headers: passed_headers(&parts.headers, names, routing),
             body,
             arrived,
-            ends,
+            deadline,
             urgency: urgency(routing, &route, credential.as_ref()),
             declared_tokens: declared_tokens(&parts.headers, names),
             route,
@@ -207,7 +207,7 @@
 async fn read_body(
     mut body: Incoming,
     limit: usize,
-    ends: Instant,
+    deadline: Instant,
 ) -> Result<Bytes, RequestProblem> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
@@ -217,7 +217,7 @@
     }
     let mut whole = BytesMut::new();
     loop {
-        let frame = timeout_at(ends, body.frame()).await;
+        let frame = timeout_at(deadline, body.frame()).await;
         let frame = frame.map_err(|_| RequestProblem::Answer(OwnCause::BodyTooSlow))?;
         let Some(frame) = frame else {
             return Ok(whole.freeze());
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -135,7 +135,7 @@
             let piece = tokio::select! {
                 piece = source.next() => piece,
                 _ = self.caller.closed() => return RelayEnd::CallerGone,
-                _ = sleep_until(self.request.ends) => return RelayEnd::TimeOver,
+                _ = sleep_until(self.request.deadline) => return RelayEnd::TimeOver,
                 _ = sleep_until(silent_at), if self.request.route.resumable => {
                     match source.target_is_silent(silence) {
                         true => return RelayEnd::Silent,
@@ -188,7 +188,7 @@
             .dispatcher
             .resume(&self.request, &mut self.tries, broken, after);
         tokio::select! {
-            resumed = timeout_at(self.request.ends, resumed) => resumed.ok().flatten(),
+            resumed = timeout_at(self.request.deadline, resumed) => resumed.ok().flatten(),
             _ = caller.closed() => None,
         }
     }
--- a/src/request/direct/call_request.rs
+++ b/src/request/direct/call_request.rs
@@ -29,7 +29,7 @@
     pub body: Bytes,
     pub arrived: Instant,
     /// When the final answer is due: the caller's deadline or the route's timeout, whichever is earlier.
-    pub ends: Instant,
+    pub deadline: Instant,
     pub route: Arc<Route>,
     pub service: Arc<TargetService>,
     /// Set for requests to model engines.
@@ -54,7 +54,7 @@
         &self,
         now: Instant,
     ) -> Duration {
-        self.ends.saturating_duration_since(now)
+        self.deadline.saturating_duration_since(now)
     }
 
     /// Returns a fingerprint that matches the same request under another id or from another customer.
