--- a/src/connection/front/tries.rs
+++ b/src/connection/front/tries.rs
@@ -42,7 +42,7 @@
         end: AttemptEnd,
         now: Instant,
     ) {
-        self.history.note(end);
+        self.history.record(end);
         self.query = None;
         let target = destination.target.clone();
         let step = match end {
--- a/src/request/direct/next_step.rs
+++ b/src/request/direct/next_step.rs
@@ -11,7 +11,7 @@
 
 impl RequestHistory {
     /// Records how an attempt ended.
-    pub fn note(
+    pub fn record(
         &mut self,
         end: AttemptEnd,
     ) {
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -120,7 +120,7 @@
     #[case] expected: NextStep,
 ) {
     let mut history = RequestHistory::default();
-    history.note(end);
+    history.record(end);
     let route = route(kind, resumable, max_attempts);
     assert_eq!(next_step(&route, &history, end, budget_left), expected);
 }
@@ -129,8 +129,8 @@
 fn a_request_that_may_have_run_is_never_called_not_run() {
     let route = route(RouteKind::Safe, false, 2);
     let mut history = RequestHistory::default();
-    history.note(AttemptEnd::Lost);
-    history.note(NOT_RUN);
+    history.record(AttemptEnd::Lost);
+    history.record(NOT_RUN);
     for budget_left in [true, false] {
         let step = next_step(&route, &history, NOT_RUN, budget_left);
         assert_ne!(step, NextStep::Reject);
@@ -143,7 +143,7 @@
     let mut history = RequestHistory::default();
     let mut sends = 0;
     loop {
-        history.note(NOT_RUN);
+        history.record(NOT_RUN);
         sends += 1;
         if next_step(&route, &history, NOT_RUN, true) == NextStep::Reject {
             break;
