--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -137,7 +137,8 @@
     service.engine.as_ref()?;
     let mut generation = Generation {
         model: text(headers, &names.model)?.to_string(),
-        hint: number(headers, &names.length_hint).and_then(|hint| u32::try_from(hint).ok()),
+        length_hint: number(headers, &names.length_hint)
+            .and_then(|length_hint| u32::try_from(length_hint).ok()),
         ..Generation::default()
     };
     generation.set_token_counts(text(headers, &names.token_counts).unwrap_or_default());
--- a/src/request/direct/generation.rs
+++ b/src/request/direct/generation.rs
@@ -15,7 +15,7 @@
     /// Maximum answer tokens.
     pub tokens_out: u32,
     /// Answer tokens that the caller expects.
-    pub hint: Option<u32>,
+    pub length_hint: Option<u32>,
     /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
 }
