--- a/src/request/answer_part.rs
+++ b/src/request/answer_part.rs
@@ -14,25 +14,25 @@
     pub target: String,
     /// Time that the request waited for its adapter to be loaded.
     pub load_wait: Duration,
-    /// True when the answer was kept from an earlier attempt.
+    /// True if the answer is a cached one from an earlier attempt.
     pub replayed: bool,
 }
 
-/// One part of an answer on its way to the caller.
+/// One part of an answer that is being sent to the caller.
 #[derive(Debug, Clone)]
 pub enum AnswerPart {
     Head(AnswerHead),
-    /// Checked events from `index` on, or a piece of a whole body.
+    /// Checked events starting at `index`, or a piece of a complete body.
     Events {
         index: u64,
         count: u32,
         data: Bytes,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// There is no whole answer; nothing follows.
+    /// The answer cannot be completed. The last part.
     Refused(Refusal),
 }
 
-/// Where an owner puts the parts of an answer.
+/// Channel for the parts of an answer.
 pub type PartSender = mpsc::Sender<AnswerPart>;
--- a/src/request/attempt_ledger.rs
+++ b/src/request/attempt_ledger.rs
@@ -10,13 +10,13 @@
     tokio::sync::Notify,
 };
 
-/// How long a key is remembered after its request has ended.
+/// Time for which a key is retained after its request has ended.
 const KEPT: Duration = Duration::from_secs(600);
 
-/// Keys remembered at the most; the oldest ended ones go first.
+/// Keys retained; the oldest ones whose requests have ended are evicted first.
 const MAX_KEYS: usize = 100_000;
 
-/// An answer kept for a later attempt.
+/// An answer cached for later attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KeptAnswer {
     pub status: StatusCode,
@@ -24,16 +24,16 @@
     pub body: Bytes,
 }
 
-/// How far the request of a key has come.
+/// State of the request of a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptState {
     Running,
-    /// Answered; the answer is kept when it is small.
+    /// Answered; small answers are cached.
     Answered(Option<KeptAnswer>),
     Unknown,
 }
 
-/// What is on record for a key.
+/// The record of a key.
 #[derive(Debug, Clone)]
 pub struct AttemptRecord {
     pub request_id: String,
@@ -42,14 +42,14 @@
     ended: Arc<Notify>,
 }
 
-/// The keys of requests that may not be repeated, as the owner of their target remembers them.
+/// Idempotency keys of requests that may not be repeated, kept by the owner of their target.
 #[derive(Debug, Default)]
 pub struct AttemptLedger {
     records: Mutex<HashMap<(String, String), AttemptRecord>>,
 }
 
 impl AttemptLedger {
-    /// Takes a key for a request; what is on record when it is taken already.
+    /// Reserves a key for a request. Returns the existing record if the key is already taken.
     pub fn begin(
         &self,
         service: &str,
@@ -72,7 +72,7 @@
         None
     }
 
-    /// What is on record for a key.
+    /// Returns the record of a key.
     pub fn find(
         &self,
         service: &str,
@@ -82,7 +82,7 @@
         self.lock().get(&name).cloned()
     }
 
-    /// The request of a key has ended.
+    /// Records that the request of a key has ended.
     pub fn end(
         &self,
         service: &str,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The request of a key was not run: the key is free again.
+    /// Releases the key of a request that did not run.
     pub fn forget(
         &self,
         service: &str,
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Waits until the request of a key has ended, or the deadline.
+    /// Waits until the request of a key has ended or the deadline has passed, and returns the record; `None` if the key
+    /// was released.
     pub async fn ended(
         &self,
         service: &str,
@@ -121,7 +122,7 @@
             let notified = record.ended.notified();
             tokio::pin!(notified);
             notified.as_mut().enable();
-            // Looked at again, as it may have ended before the wait was set up.
+            // Read again, as the request may have ended before the notification was enabled.
             let record = self.find(service, key)?;
             if record.state != AttemptState::Running {
                 return Some(record);
@@ -145,7 +146,7 @@
     if records.len() < MAX_KEYS {
         return;
     }
-    // Still full of young keys: the older half of the ended ones goes.
+    // Still full: evict the older half of the ended ones.
     let mut ages: Vec<Instant> = records.values().map(|record| record.at).collect();
     ages.sort_unstable();
     let middle = ages[ages.len() / 2];
--- a/src/request/claim_store.rs
+++ b/src/request/claim_store.rs
@@ -17,26 +17,26 @@
     },
 };
 
-/// Claims that come within this time share one transaction.
+/// Claims that arrive within this time are written in one transaction.
 const GATHER: Duration = Duration::from_millis(10);
 
-/// Claims in one transaction, at the most.
+/// Claims per transaction.
 const GROUP: usize = 128;
 
-/// Claims that wait for the table, at the most; the oldest are then left out.
+/// Claims waiting to be written; beyond this, pending ones are dropped.
 const MAX_PENDING: usize = 50_000;
 
-/// Pause after a failed transaction; it doubles up to the longest.
+/// Exponential backoff after a failed transaction.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
-/// A claim's row goes away this long after its last change.
+/// A row is deleted this long after the last write of its claim.
 const ROW_LIFE: Duration = Duration::from_secs(900);
 
-/// Largest answer kept with a claim, in bytes.
+/// Size limit of an answer stored with a claim, in bytes.
 const MAX_KEPT: usize = 2048;
 
-/// How far the request of a claim has come.
+/// State of the request of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
@@ -45,7 +45,7 @@
     Unknown,
 }
 
-/// The value of a row `claim/<service>/<key>`.
+/// Value of the row `claim/<service>/<key>`: records that a request with this idempotency key was started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     pub request_id: String,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The state that the claim stands for; a request that ran elsewhere and did not end is unknown.
+    /// Returns the state of the attempt; one that was still running on another host counts as unknown.
     pub fn attempt_state(&self) -> AttemptState {
         match self.state {
             ClaimState::Running | ClaimState::Unknown => AttemptState::Unknown,
@@ -117,10 +117,11 @@
     })
 }
 
-/// A claim to be written, or a row to be deleted.
+/// Key of a row and the claim to write, or `None` to delete the row.
 type Update = (String, Option<Claim>);
 
-/// Claims in the table: written behind in groups, or before a run where that is needed.
+/// Access to the claims in the shared table. Claims are written in batches in the background, or before the request runs
+/// where that is required.
 #[derive(Clone)]
 pub struct ClaimStore {
     table: Arc<dyn Table>,
@@ -128,18 +129,18 @@
 }
 
 impl ClaimStore {
-    /// Starts the thread that writes claims; it ends with the last handle.
+    /// Starts the writer thread, which stops when the last handle is dropped.
     pub fn start(table: Arc<dyn Table>) -> Self {
         let (updates, received) = flume::unbounded();
         let writer = ClaimWriter::new(table.clone(), received);
         thread::Builder::new()
             .name("claims".into())
             .spawn(move || writer.run())
-            .expect("the system gives a thread");
+            .expect("failed to spawn the claims thread");
         Self { table, updates }
     }
 
-    /// Writes a claim soon; no claim deletes the row.
+    /// Queues a claim to be written in the background; `None` deletes the row.
     pub fn write_behind(
         &self,
         service: &str,
@@ -149,7 +150,7 @@
         let _ = self.updates.send((claim_key(service, key), claim));
     }
 
-    /// Reads a claim.
+    /// Reads a claim from the table.
     pub async fn find(
         &self,
         service: &str,
@@ -163,7 +164,7 @@
         .await
     }
 
-    /// Writes a claim if there is none; the one that is there otherwise.
+    /// Writes a claim if the key has none. Returns the existing claim otherwise.
     pub async fn insert(
         &self,
         service: &str,
@@ -190,7 +191,7 @@
         Err(error) if error.may_have_committed() => {}
         Err(error) => return Err(error),
     }
-    // After a conflict or a lost reply the row itself tells whose claim it is.
+    // After a conflict or a lost reply, read the row to see whose claim was written.
     let row = table.get(key)?;
     let found: Option<Claim> = row.and_then(|row| serde_json::from_str(&row.value).ok());
     match found {
@@ -198,7 +199,7 @@
         Some(found) => Ok(Some(found)),
         None => Err(PlatformError::BadReply {
             what: "table",
-            problem: "a claim came and went".into(),
+            problem: "the claim was deleted or is unreadable after a write conflict".into(),
         }),
     }
 }
@@ -215,7 +216,7 @@
     })
 }
 
-/// Writes claims in groups, and deletes them when they are old.
+/// Writes claims in batches, and deletes expired ones.
 struct ClaimWriter {
     table: Arc<dyn Table>,
     received: flume::Receiver<Update>,
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Takes in what has come; false once nobody can send any more.
+    /// Collects the updates of one transaction. Returns false once all senders are gone.
     fn gather(&mut self) -> bool {
         if self.pending.is_empty() {
             match self.received.recv_timeout(LONGEST_PAUSE) {
@@ -270,7 +271,7 @@
         true
     }
 
-    /// The newest state of a key replaces older ones that were not written yet.
+    /// Adds an update, replacing an older one of the same key that has not been written yet.
     fn take(
         &mut self,
         (key, claim): Update,
--- a/src/request/entry_end.rs
+++ b/src/request/entry_end.rs
@@ -3,12 +3,12 @@
 /// How a caller's request ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryEnd {
-    /// The whole answer went out.
+    /// The complete answer was sent.
     Answered,
-    /// It was not run.
+    /// The request did not run.
     NotRun(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Refusal),
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerGone,
 }
--- a/src/request/entry_progress.rs
+++ b/src/request/entry_progress.rs
@@ -4,33 +4,33 @@
     serde_json::Value,
 };
 
-/// Sent events are kept up to this size, to continue a stream on another engine, in bytes.
+/// Size limit of the sent events retained to continue a stream on another engine, in bytes.
 const MAX_KEPT: usize = 512 * 1024;
 
 const DATA_FIELD: &str = "data: ";
 
-/// How much of an answer has gone to the caller.
+/// Tracks how much of an answer has been sent to the caller.
 #[derive(Debug, Default)]
 pub struct EntryProgress {
-    /// Index of the next event that the caller lacks.
+    /// Index of the next event to send.
     pub next_index: u64,
-    /// The head, once it has come; a streamed answer's head has then gone out.
+    /// Head of the answer, once received; that of a stream has also been sent.
     pub head: Option<AnswerHead>,
     sent: Vec<Bytes>,
     sent_bytes: usize,
     whole: Vec<Bytes>,
 }
 
-/// The caller has hung up.
+/// The caller has disconnected.
 pub struct CallerGone;
 
 impl EntryProgress {
-    /// True once any of a streamed answer has gone out.
+    /// Returns true if any event of a stream has been sent.
     pub fn has_begun(&self) -> bool {
         self.next_index > 0
     }
 
-    /// Takes a part in; of a streamed answer it is passed on at once.
+    /// Handles a part of the answer. Parts of a stream are forwarded immediately, others are buffered.
     pub async fn take(
         &mut self,
         part: AnswerPart,
@@ -49,7 +49,7 @@
                 }
             }
             AnswerPart::Events { index, count, data } if stream => {
-                // A part that does not follow was checked against another attempt: it is not ours.
+                // A part with another index belongs to another attempt.
                 if index == self.next_index {
                     self.next_index += u64::from(count);
                     self.keep(&data);
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Sends an answer that was held back until it was whole.
+    /// Sends the buffered answer.
     pub async fn release(
         &mut self,
         out: &PartSender,
@@ -84,9 +84,9 @@
         Ok(())
     }
 
-    /// The request's body, changed so that an engine goes on after what the caller has.
+    /// Returns the request body, extended so that an engine continues after the events already sent.
     ///
-    /// None when what was sent is no longer kept, or can't be continued.
+    /// Returns `None` if the sent events are no longer retained or the answer cannot be continued.
     pub fn continued_body(
         &self,
         request: &CallerRequest,
--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -19,20 +19,20 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How long a request waits for a target to get an owner or come back, at the most.
+/// Longest wait of a request for a target to get an owner or become reachable.
 const PATIENCE: Duration = Duration::from_secs(3);
 
-/// Refusals after which the table is looked at for the owner.
+/// Refusals after which the ownership table is polled immediately.
 const OWNER_CODES: [RefusalCode; 3] = [
     RefusalCode::NotOwner,
     RefusalCode::NoOwner,
     RefusalCode::OwnerUnreachable,
 ];
 
-/// Engines whose load of the adapter may fail before the caller is told.
+/// Failed loads of the adapter after which the request is given up.
 const FAILED_LOADS: u32 = 2;
 
-/// Brings a caller's request to an answer: picks targets, follows owners, tries again.
+/// Serves callers' requests on the host that received them: chooses targets, forwards to their owners and retries.
 #[derive(Clone)]
 pub struct EntryService {
     view: SharedView,
@@ -40,20 +40,20 @@
     budget: Arc<RetryBudget>,
     log: EventLog,
     metrics: Metrics,
-    /// Has the table looked at, when an owner turns out to be another.
+    /// Triggers a poll of the ownership table.
     wake_poller: flume::Sender<()>,
-    /// Engines that may hold a copy of one adapter.
+    /// Engines per adapter.
     replicas: usize,
 }
 
-/// What one try came to.
+/// Result of one attempt.
 enum Try {
     Answered,
     Refused(Refusal),
     CallerGone,
 }
 
-/// What to do after a refusal.
+/// What to do after a refused attempt.
 enum Next {
     Try,
     PauseAndTry,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Runs a request to its end; the parts of its answer go to `out`.
+    /// Serves a request and sends the parts of its answer to `out`.
     pub async fn serve(
         &self,
         request: &CallerRequest,
@@ -92,7 +92,7 @@
         }
         let began = Instant::now();
         let end = match self.attempts(request, out).await {
-            // This attempt was not run, but an earlier one may have been.
+            // This attempt did not run, but an earlier one may have.
             EntryEnd::NotRun(refusal) if request.is_later_attempt() => EntryEnd::Unknown(refusal),
             end => end,
         };
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The target to try next; one that may run the request already comes first.
+    /// Chooses the target of the next attempt; one that may already run the request is preferred.
     fn pick(
         &self,
         view: &View,
@@ -165,7 +165,7 @@
             .begun_at
             .clone()
             .filter(|target| view.config.targets.contains_key(target));
-        // What may have run and may not be repeated can only be resumed where it runs.
+        // A non-repeatable request that may have run can only be resumed at the same target.
         let fixed = history.may_have_run && !request.repeatable;
         if begun_at.is_some() || fixed {
             return begun_at;
@@ -209,7 +209,7 @@
         forward.check_claims = !history.avoid.is_empty() || request.attempt == 0;
         match progress.continued_body(request) {
             Some(body) => forward.body = body,
-            // It can only be resumed where it runs, not run anew.
+            // The request can be resumed at the same target, but not run again.
             None => forward.repeatable = false,
         }
         let ping = !request.repeatable || history.lost_owner;
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Starts a try at the target's owner, or from here when nobody can own the target.
+    /// Starts an attempt at the target's owner, or from this host while no host can own the target. Returns `None` if the
+    /// caller has disconnected.
     async fn start(
         &self,
         view: &View,
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Passes the parts of one try on until its end.
+    /// Forwards the parts of one attempt to the caller until it ends.
     async fn relay(
         &self,
         mut parts: Parts,
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Decides what a refusal means for the request.
+    /// Decides what to do after a refused attempt.
     fn after(
         &self,
         request: &CallerRequest,
@@ -323,7 +324,7 @@
         }
     }
 
-    /// The target may have begun the request: only what may be repeated or resumed goes on.
+    /// Decides what to do if the refused attempt may have run: only repeatable or resumable requests are retried.
     fn after_doubt(
         &self,
         request: &CallerRequest,
@@ -342,7 +343,7 @@
             return Next::GiveUp;
         }
         match foreign {
-            // Whatever it answers next may be as wrong.
+            // Further answers of this target may be wrong as well.
             true => history.leave(target),
             false => history.begin_at(target, progress),
         }
@@ -374,7 +375,7 @@
         }
     }
 
-    /// What became of a key, as the owner of its target knows.
+    /// Queries the outcome of an idempotency key from the owner of its target.
     pub async fn outcome(
         &self,
         service: &str,
@@ -430,9 +431,9 @@
     }
 }
 
-/// Without an owner, and without a table to make one, what is loaded may still be used.
+/// Returns true if requests may be sent to a target without an owner, as the ownership table is unreachable.
 ///
-/// A target that does not check fences might still obey its former owner.
+/// Engines that do not check fences are excluded: a former owner could still be sending to them.
 fn may_run_unowned(
     view: &View,
     target: &str,
--- a/src/request/forwarder.rs
+++ b/src/request/forwarder.rs
@@ -12,16 +12,16 @@
     tokio::sync::mpsc,
 };
 
-/// Parts of an answer that wait for a slow caller.
+/// Parts of an answer that are buffered for a slow caller.
 const PARTS_AHEAD: usize = 64;
 
-/// An owner that has been silent for so long is looked up among the dead.
+/// Interval without parts after which the liveness of the owner is checked.
 const QUIET: Duration = Duration::from_millis(100);
 
-/// A link that does not answer a ping in this time is not used.
+/// Time allowed for a ping before a link is used.
 const PING_LIMIT: Duration = Duration::from_millis(300);
 
-/// Brings requests to the owner of their target: this process itself, or another host.
+/// Forwards requests to the owner of their target, which is this process or another host.
 #[derive(Clone)]
 pub struct Forwarder {
     owner: OwnerService,
@@ -29,21 +29,21 @@
     view: SharedView,
 }
 
-/// An owner that may be lost without its link showing it, as when it is paused.
+/// An owner whose liveness is checked while waiting for its answer, as a paused host keeps its links open.
 pub struct Watched {
     view: SharedView,
     host: String,
 }
 
 impl Watched {
-    /// Waits for an answer; none when the owner is believed dead meanwhile.
+    /// Waits for an answer. Returns `None` if the owner is considered dead in the meantime.
     async fn unless_gone<T>(
         &self,
         answer: impl Future<Output = T>,
     ) -> Option<T> {
         tokio::pin!(answer);
         loop {
-            // Tokens come faster than this, so that a stream that flows is never looked at.
+            // Tokens arrive more often than this, so no check is made for an active stream.
             match tokio::time::timeout(QUIET, answer.as_mut()).await {
                 Ok(answer) => return Some(answer),
                 Err(_) if self.view.load().is_gone(&self.host) => return None,
@@ -73,10 +73,10 @@
         Self { owner, links, view }
     }
 
-    /// Starts a request at `host`; with `ping`, only over a link that has just answered.
+    /// Starts a request at `host`. With `ping`, the link is checked first.
     ///
-    /// A link that breaks under a request leaves open whether the request arrived; one that is
-    /// found broken before says that it was not sent.
+    /// If the link breaks during the request, whether the request arrived is unknown; if the check fails, the request
+    /// was not sent.
     pub async fn forward(
         &self,
         view: &View,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Runs a request at its target from here, while no host can own the target.
+    /// Runs a request at its target from this host, while no host can own the target.
     pub fn run_unowned(
         &self,
         request: wire::ForwardRequest,
@@ -127,7 +127,7 @@
         Parts::Local(parts)
     }
 
-    /// Stops a request's work: its caller has gone.
+    /// Cancels a request whose caller has disconnected.
     pub async fn cancel(
         &self,
         view: &View,
@@ -143,11 +143,11 @@
             target: target.to_string(),
             request_id: request_id.to_string(),
         };
-        // Without a reader the engine stops the work itself, only later.
+        // If this fails, the engine stops later by itself, as nobody reads the answer.
         let _ = self.links.to(address).cancel(request).await;
     }
 
-    /// Asks the owner of a target what became of a key.
+    /// Queries the outcome of an idempotency key from `host`, or from this host if that one cannot be reached.
     pub async fn outcome(
         &self,
         view: &View,
@@ -167,7 +167,7 @@
 }
 
 impl Parts {
-    /// The next part; a lost link counts as a refusal.
+    /// Returns the next part; a broken link yields a refusal.
     pub async fn next(&mut self) -> AnswerPart {
         match self {
             Self::Lost(refusal) => AnswerPart::Refused(refusal.clone()),
@@ -184,7 +184,7 @@
     }
 }
 
-/// The link broke while the request was under way.
+/// Returns the refusal for a link that broke during a request.
 fn broken() -> Refusal {
     Refusal {
         code: RefusalCode::OwnerUnreachable,
@@ -194,7 +194,7 @@
     }
 }
 
-/// Only a connection that was never made proves that nothing was sent.
+/// Returns the refusal for a failed call; only a failed connection attempt proves that nothing was sent.
 fn link_lost(status: &tonic::Status) -> Refusal {
     let mut source = status.source();
     while let Some(error) = source {
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one request: its parsing, routing, attempts and outcome.
+//! Handling of a request: parsing, routing, attempts and outcome.
 
 mod answer_part;
 mod attempt_ledger;
--- a/src/request/owner_service.rs
+++ b/src/request/owner_service.rs
@@ -21,7 +21,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// What the service of an owner needs from its process.
+/// Dependencies of [`OwnerService`].
 pub struct OwnerContext {
     pub control: ControlHandle,
     pub view: SharedView,
@@ -39,16 +39,16 @@
     context: Arc<OwnerContext>,
 }
 
-/// By whose leave a request is sent to its target.
+/// Permission by which a request is sent to its target.
 #[derive(Debug, Clone, Copy)]
 enum Leave {
     /// This process owns the target and admits the request.
     OfOwner,
-    /// No host can own the target for now; its last owner's fence still holds there.
+    /// No host can currently own the target; the fence of its last owner is still valid.
     Unowned { fence: u64 },
 }
 
-/// How a request goes on after a look at its key.
+/// What to do with a request, according to the record of its key.
 enum KeyVerdict {
     Run,
     Known(AttemptState),
@@ -60,7 +60,7 @@
         Self { context }
     }
 
-    /// Runs a request and puts its answer into `parts`; the last part tells how it ended.
+    /// Runs a request and sends its answer to `parts`; the last part is the end or a refusal.
     pub async fn run(
         &self,
         request: ForwardRequest,
@@ -70,8 +70,7 @@
         self.run_with(request, Leave::OfOwner, parts).await;
     }
 
-    /// Runs a request from here while nobody can take its target over: at an engine only if its
-    /// adapter is loaded.
+    /// Runs a request while no host can own its target.
     pub async fn run_unowned(
         &self,
         request: ForwardRequest,
@@ -88,7 +87,7 @@
         leave: Leave,
         parts: PartSender,
     ) {
-        // What is resumed has its key on record already.
+        // The key of a resumed request is already recorded.
         let once = !request.repeatable && !request.key.is_empty() && !request.resumed;
         let end = match once {
             false => self.run_at_target(&request, leave, &parts).await,
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Stops a request's work at its target.
+    /// Cancels a request at its target.
     pub async fn cancel(
         &self,
         target: &str,
@@ -113,7 +112,7 @@
         }
     }
 
-    /// What is on record for a key, here or in the table.
+    /// Returns the recorded outcome of a key, from this host or from the table.
     pub async fn outcome(
         &self,
         service: &str,
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Runs a request that may not be repeated, at most once for its key.
+    /// Runs a non-repeatable request, at most once per key.
     async fn run_once(
         &self,
         request: &ForwardRequest,
@@ -159,7 +158,7 @@
         end
     }
 
-    /// Decides by the key's record whether the request may run.
+    /// Decides from the record of the key whether the request may run.
     async fn key_verdict(
         &self,
         request: &ForwardRequest,
@@ -188,7 +187,7 @@
                 context.ledger.end(service, key, state.clone());
                 KeyVerdict::Known(state)
             }
-            // A first attempt cannot have run before.
+            // No earlier attempt can have run.
             Err(_) if request.attempt == 1 => KeyVerdict::Run,
             Err(_) => {
                 context.ledger.forget(service, key);
@@ -198,7 +197,7 @@
         }
     }
 
-    /// A later attempt without a record here: it runs in no case.
+    /// Looks up a later attempt that has no record on this host; it never runs.
     async fn later_attempt(
         &self,
         request: &ForwardRequest,
@@ -210,7 +209,7 @@
         }
     }
 
-    /// Waits for the attempt that runs now.
+    /// Waits until the recorded attempt has ended.
     async fn settled(
         &self,
         request: &ForwardRequest,
@@ -223,12 +222,12 @@
         let ended = ledger.ended(&request.service, &request.key, deadline(request));
         match ended.await {
             Some(record) => KeyVerdict::Known(record.state),
-            // The other attempt was not run, so the key is free again.
+            // The other attempt did not run, and the key was released.
             None => KeyVerdict::Refused(Refusal::elsewhere(RefusalCode::NotOwner)),
         }
     }
 
-    /// Gives a later attempt what the first one got.
+    /// Answers a later attempt with the outcome of the first one.
     async fn known(
         &self,
         request: &ForwardRequest,
@@ -296,7 +295,7 @@
         parts: &PartSender,
     ) -> RunEnd {
         let context = &self.context;
-        // Only a stream can be come back to; a whole answer is run anew.
+        // Only streams can be resumed; other answers are generated again.
         if request.resumed && request.stream {
             let run = self.target_run(spec, request, 0, Duration::ZERO, parts);
             let resumed = timeout_at(deadline, run.resume()).await;
@@ -325,7 +324,7 @@
             Ok(Admission::Refused(refusal)) => return RunEnd::Refused(refusal),
             Err(_) => return RunEnd::Refused(Refusal::elsewhere(RefusalCode::HostStopping)),
         };
-        // Looked at last, as this process may have been paused since it was admitted.
+        // Checked last, as this process may have been paused since the request was admitted.
         if !spec.checks_fences && !self.may_send_unfenced(term) {
             return RunEnd::Refused(Refusal::elsewhere(RefusalCode::NotOwner));
         }
@@ -354,7 +353,8 @@
         }
     }
 
-    /// Without fences, only a held lease keeps a newer owner away, or a table out for all.
+    /// Returns true if no newer owner can exist for a target that does not check fences: the lease is still held, or the
+    /// table is unreachable for all hosts.
     fn may_send_unfenced(
         &self,
         term: u64,
@@ -382,7 +382,7 @@
     }
 }
 
-/// Ends a run at its deadline; by then the target may have begun it.
+/// Ends a run at the deadline, with an unknown outcome.
 async fn bounded(
     deadline: Instant,
     run: impl Future<Output = RunEnd>,
--- a/src/request/passed_headers.rs
+++ b/src/request/passed_headers.rs
@@ -1,4 +1,4 @@
-//! Which headers pass through, and how they travel between hosts.
+//! Filtering of forwarded headers, and their encoding between hosts.
 
 use {
     crate::connection::peer::wire,
@@ -6,7 +6,7 @@
     http::{HeaderMap, HeaderName, HeaderValue},
 };
 
-/// Headers that belong to one connection or are made anew, and so never pass through.
+/// Headers that apply to one connection or are set again by the proxy, and are not forwarded.
 const STOPPED: &[&str] = &[
     "authorization",
     "connection",
@@ -28,10 +28,10 @@
     "x-not-run",
 ];
 
-/// Headers of this project's own.
+/// Prefix of the proxy's own headers, which are not forwarded.
 const OWN_PREFIX: &str = "x-coveproxy-";
 
-/// The headers of a message that pass through.
+/// Returns the headers of a message that are forwarded.
 pub fn passed_headers(headers: &HeaderMap) -> HeaderMap {
     let passes = |name: &HeaderName| {
         let name = name.as_str();
@@ -44,7 +44,7 @@
         .collect()
 }
 
-/// Headers as they travel between hosts.
+/// Encodes headers for a message to another host.
 pub fn headers_to_wire(headers: &HeaderMap) -> Vec<wire::Header> {
     headers
         .iter()
@@ -55,7 +55,7 @@
         .collect()
 }
 
-/// Headers from another host; what is no valid header is left out.
+/// Decodes headers from another host; invalid ones are skipped.
 pub fn headers_from_wire(headers: &[wire::Header]) -> HeaderMap {
     headers
         .iter()
--- a/src/request/rate_limits.rs
+++ b/src/request/rate_limits.rs
@@ -3,10 +3,10 @@
     std::{collections::HashMap, sync::Mutex},
 };
 
-/// A quiet service may send this many seconds' worth at once.
+/// Burst size, as the requests of this many seconds.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Holds each service to its rate at one host.
+/// Token buckets that limit the request rate of each service on this host.
 #[derive(Debug, Default)]
 pub struct RateLimits {
     buckets: Mutex<HashMap<String, Bucket>>,
@@ -19,7 +19,7 @@
 }
 
 impl RateLimits {
-    /// Takes one request at a rate in requests a second; false when the service is over it.
+    /// Counts one request against `rate`, in requests per second; 0 is unlimited. Returns false if the service is over it.
     pub fn admit(
         &self,
         service: &str,
--- a/src/request/refusal.rs
+++ b/src/request/refusal.rs
@@ -1,19 +1,19 @@
 use {super::RefusalCode, crate::connection::peer::wire, std::time::Duration};
 
-/// Why a request got no whole answer, and what that means for it.
+/// Why a request got no complete answer, and whether it may be retried.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
     pub code: RefusalCode,
-    /// True when the target may have begun the request.
+    /// True if the target may have started the request.
     pub may_have_run: bool,
-    /// True when another target or owner may take it at once.
+    /// True if the request may be sent to another target or owner immediately.
     pub try_elsewhere: bool,
-    /// When to come back; zero when coming back does not help.
+    /// Time after which the caller may retry; zero if a retry is useless.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// It was not run; another target or owner may take it.
+    /// The request did not run; another target or owner may run it.
     pub fn elsewhere(code: RefusalCode) -> Self {
         Self {
             code,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// It was not run, and no other target helps.
+    /// The request did not run, and no other target can run it.
     pub fn not_run(
         code: RefusalCode,
         retry_after: Duration,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// It may have run.
+    /// The request may have run.
     pub fn unknown(code: RefusalCode) -> Self {
         Self {
             code,
@@ -61,7 +61,7 @@
 
 impl From<wire::Refusal> for Refusal {
     fn from(refusal: wire::Refusal) -> Self {
-        // A code of a newer peer: what it means for the request is said beside it.
+        // An unknown code comes from a newer peer; the other fields say how to handle it.
         let code = refusal.code.parse().unwrap_or(RefusalCode::NoTarget);
         Self {
             code,
--- a/src/request/refusal_code.rs
+++ b/src/request/refusal_code.rs
@@ -5,24 +5,24 @@
 
 macro_rules! refusal_codes {
     ($($(#[$doc:meta])* $name:ident = $word:literal $status:ident,)*) => {
-        /// Why a request got no whole answer; the words are stable, see `docs/CALLERS.md`.
+        /// Why a request got no complete answer. The codes are a stable interface, see `docs/CALLERS.md`.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         pub enum RefusalCode {
             $($(#[$doc])* $name,)*
         }
 
         impl RefusalCode {
-            /// Every code there is.
+            /// All codes.
             pub const ALL: &'static [RefusalCode] = &[$(RefusalCode::$name,)*];
 
-            /// The stable word.
+            /// Returns the code as sent to callers.
             pub fn word(self) -> &'static str {
                 match self {
                     $(RefusalCode::$name => $word,)*
                 }
             }
 
-            /// The HTTP status that it is sent with.
+            /// Returns the HTTP status of the answer.
             pub fn status(self) -> StatusCode {
                 match self {
                     $(RefusalCode::$name => StatusCode::$status,)*
@@ -33,11 +33,11 @@
 }
 
 refusal_codes! {
-    /// The host asked does not own the target any more.
+    /// The host does not own the target any more.
     NotOwner = "not_owner" SERVICE_UNAVAILABLE,
-    /// No host owns the target at this time.
+    /// No host currently owns the target.
     NoOwner = "no_owner" SERVICE_UNAVAILABLE,
-    /// The owner of the target was not reached.
+    /// The owner of the target could not be reached.
     OwnerUnreachable = "owner_unreachable" SERVICE_UNAVAILABLE,
     /// No target can serve the request.
     NoTarget = "no_target" SERVICE_UNAVAILABLE,
@@ -45,27 +45,27 @@
     TargetUnreachable = "target_unreachable" SERVICE_UNAVAILABLE,
     AdapterNotLoaded = "adapter_not_loaded" SERVICE_UNAVAILABLE,
     LoadFailed = "load_failed" SERVICE_UNAVAILABLE,
-    /// More waits than can be served; the least worthy is sent away.
+    /// The queue is full; the request of the lowest value is rejected.
     Overloaded = "overloaded" TOO_MANY_REQUESTS,
-    /// The deadline came while the request waited.
+    /// The deadline passed while the request was queued.
     DeadlineInQueue = "deadline_in_queue" GATEWAY_TIMEOUT,
-    /// The deadline had come before the request could wait.
+    /// The deadline passed before the request was queued, or while it ran.
     DeadlinePassed = "deadline_passed" GATEWAY_TIMEOUT,
-    /// The target's answer did not arrive, or not in time.
+    /// The answer of the target was lost or came too late.
     AnswerLost = "answer_lost" BAD_GATEWAY,
-    /// The target's answer belonged to another request or adapter.
+    /// The answer of the target belongs to another request or adapter.
     AnswerForeign = "answer_foreign" BAD_GATEWAY,
-    /// The target's answer ended early.
+    /// The answer of the target was truncated.
     CutShort = "cut_short" BAD_GATEWAY,
-    /// A later attempt of a request whose first attempt is not on record.
+    /// A later attempt of a request whose first attempt is not recorded.
     AttemptUnrecorded = "attempt_unrecorded" CONFLICT,
-    /// An earlier attempt runs now, or its end is not known.
+    /// An earlier attempt is still running, or its outcome is unknown.
     AttemptUndecided = "attempt_undecided" CONFLICT,
-    /// An earlier attempt was answered, but the answer is no longer kept.
+    /// An earlier attempt was answered, but the answer is not cached.
     AlreadyAnswered = "already_answered" CONFLICT,
-    /// The attempt bears no number and the table, which would tell, is out.
+    /// The attempt has no number, and the table with earlier attempts is unreachable.
     ClaimUnreadable = "claim_unreadable" SERVICE_UNAVAILABLE,
-    /// The host stops.
+    /// The host is shutting down.
     HostStopping = "host_stopping" SERVICE_UNAVAILABLE,
 }
 
@@ -86,6 +86,6 @@
             .iter()
             .find(|code| code.word() == word)
             .copied()
-            .ok_or_else(|| format!("no such code: {word}"))
+            .ok_or_else(|| format!("unknown refusal code: {word}"))
     }
 }
--- a/src/request/request_parser.rs
+++ b/src/request/request_parser.rs
@@ -11,31 +11,30 @@
     std::{fmt::Display, str::FromStr, time::Duration},
 };
 
-/// Names the caller's service; its key alone names it too.
+/// Service of the caller; optional, as its key identifies it as well.
 pub const HEADER_SERVICE: &str = "x-coveproxy-service";
-/// Names the outfitter that the request is for.
+/// Outfitter that the request is made for.
 pub const HEADER_OUTFITTER: &str = "x-coveproxy-outfitter";
-/// Names the request's kind.
+/// Kind of the request.
 pub const HEADER_KIND: &str = "x-coveproxy-kind";
-/// Time to the end of the answer, in milliseconds; at most the kind's.
+/// Time until the complete answer is due, in milliseconds; capped at that of the kind.
 pub const HEADER_DEADLINE: &str = "x-coveproxy-deadline-ms";
-/// How often the request was sent under its idempotency key, this time included.
+/// Attempt number under the idempotency key, from 1.
 pub const HEADER_ATTEMPT: &str = "x-coveproxy-attempt";
-/// `true` or `false`; a kind that may not be repeated can't be made repeatable.
+/// `true` or `false`; `true` is rejected for a kind that may not be repeated.
 pub const HEADER_REPEATABLE: &str = "x-coveproxy-repeatable";
-/// In answers: the request's id.
+/// In answers: the request id.
 pub const HEADER_REQUEST_ID: &str = "x-coveproxy-request-id";
 /// In answers: `answered`, `not_run` or `unknown`.
 pub const HEADER_OUTCOME: &str = "x-coveproxy-outcome";
 
-/// The caller's idempotency key.
 const HEADER_KEY: &str = "idempotency-key";
 
 const MAX_KEY: usize = 200;
 
 const BEARER: &str = "Bearer ";
 
-/// Head of a request, as it came.
+/// Head of a request as received.
 pub struct RequestHead<'a> {
     pub id: String,
     pub method: Method,
@@ -43,7 +42,7 @@
     pub arrived: Instant,
 }
 
-/// What an engine's request must say.
+/// Fields of the body of a request for a model engine.
 #[derive(Deserialize)]
 struct ModelBody {
     model: Option<String>,
@@ -53,12 +52,12 @@
     max_tokens: Option<i64>,
 }
 
-/// Checks a caller's request against the configuration.
+/// Parses callers' requests and validates them against the configuration.
 pub struct RequestParser<'a> {
     pub config: &'a SiteConfig,
 }
 
-/// Who calls, and what of it the configuration says.
+/// The calling service and its configuration.
 struct Caller<'a> {
     service: &'a str,
     spec: &'a ServiceSpec,
@@ -67,7 +66,7 @@
 }
 
 impl RequestParser<'_> {
-    /// The service that the head's key belongs to, which must be the one that it names.
+    /// Returns the service that the key in the headers belongs to. Fails if the headers name another service.
     pub fn authenticate(
         &self,
         headers: &HeaderMap,
@@ -83,7 +82,7 @@
         }
     }
 
-    /// A request for a model engine, sent on to `path`.
+    /// Parses a request for a model engine, to be forwarded to `path`.
     pub fn model_request(
         &self,
         head: RequestHead<'_>,
@@ -113,7 +112,7 @@
         Ok(request)
     }
 
-    /// A request for a plain service, sent on to `path`.
+    /// Parses a request for the plain service `named`, to be forwarded to `path`.
     pub fn plain_request(
         &self,
         head: RequestHead<'_>,
@@ -222,7 +221,7 @@
     Ok(key.to_string())
 }
 
-/// Without a key each send is a request of its own; with one, 0 stands for an unsaid number.
+/// Parses the attempt number: 1 if there is no key, 0 if there is a key but no number.
 fn attempt(
     headers: &HeaderMap,
     key: &str,
@@ -284,7 +283,7 @@
     Ok(Some(parsed))
 }
 
-/// A header that may be sent once; twice with two values is a contradiction.
+/// Returns the value of a header. Fails if the header is present with different values.
 fn text<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
--- a/src/request/retry_budget.rs
+++ b/src/request/retry_budget.rs
@@ -1,16 +1,16 @@
 use std::{collections::HashMap, sync::Mutex};
 
-/// Resends that a quiet service may make at once.
+/// Maximum retry credit of a service, in requests.
 const RESERVE: f64 = 10.0;
 
-/// Lets each service resend a share of what it first sends, so that retries cannot pile up.
+/// Limits the retries of each service to a share of its first attempts, to avoid retry storms.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     credit: Mutex<HashMap<String, f64>>,
 }
 
 impl RetryBudget {
-    /// A first send earns the service's share of a resend.
+    /// Adds `share` of a retry to the credit of a service, for a first attempt.
     pub fn earn(
         &self,
         service: &str,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes one resend; false when the service has used up its share.
+    /// Takes one retry from the credit of a service. Returns false if there is too little.
     pub fn spend(
         &self,
         service: &str,
--- a/src/request/route.rs
+++ b/src/request/route.rs
@@ -1,4 +1,4 @@
-//! Which targets may serve a request, the preferred one first; computed alike on every host.
+//! Candidate targets of a request in order of preference, computed identically on every host.
 
 use {
     crate::{
@@ -8,10 +8,10 @@
     std::cmp::Reverse,
 };
 
-/// Targets that one request may try; more than it ever does.
+/// Candidate targets per request.
 const MOST: usize = 8;
 
-/// Engines for an adapter version: the best of its base model that stay, by rank.
+/// Returns the engines for an adapter version: those of its base model that are not leaving, by rank.
 pub fn engine_candidates(
     config: &SiteConfig,
     model: &AdapterVersion,
@@ -26,7 +26,7 @@
     candidates(config, model.adapter(), fits)
 }
 
-/// Targets of a plain service: the best that stay, by rank for `key`.
+/// Returns the targets of a plain service that are not leaving, by rank for `key`.
 pub fn plain_candidates(
     config: &SiteConfig,
     service: &str,
@@ -50,7 +50,7 @@
         .filter(|(_, spec)| !spec.leaving && fits(&spec.role))
         .map(|(name, _)| (Reverse(rank(item, name)), name))
         .collect();
-    // Only the front is wanted in order, which matters with hundreds of engines.
+    // Sort only the candidates that are returned, as there may be hundreds of engines.
     if ranked.len() > MOST {
         ranked.select_nth_unstable(MOST);
         ranked.truncate(MOST);
--- a/src/request/run_permit.rs
+++ b/src/request/run_permit.rs
@@ -3,7 +3,7 @@
     target::TicketId,
 };
 
-/// A request's place at its target, waiting or running; given back when dropped.
+/// A request's slot at its target, queued or running; released on drop.
 pub struct RunPermit {
     control: ControlHandle,
     target: String,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// From here on the target may run the request until its end is seen.
+    /// Records that the request was sent: the target may run it until it is settled.
     pub fn sent(&mut self) {
         self.settled = false;
     }
 
-    /// The request's end at the target was seen, or it never began there.
+    /// Records that the request has ended at the target, or never started there.
     pub fn settled(&mut self) {
         self.settled = true;
     }
--- a/src/request/target_run.rs
+++ b/src/request/target_run.rs
@@ -20,21 +20,21 @@
     std::time::Duration,
 };
 
-/// Times that one run comes back to a stream that broke off.
+/// Attempts to resume a broken stream per run.
 const MAX_RESUMES: u32 = 3;
 
-/// Pause before a run comes back to a stream.
+/// Delay before a broken stream is resumed.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
 
 /// How a run at a target ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RunEnd {
-    /// The whole answer went out; it is here too when it was not streamed.
+    /// The complete answer was sent; the value holds it unless it was streamed.
     Answered(Option<KeptAnswer>),
     Refused(Refusal),
 }
 
-/// Runs one admitted request at its target, and checks the answer part by part.
+/// Runs one admitted request at its target and validates the answer.
 pub struct TargetRun<'a> {
     pub client: &'a TargetClient,
     pub control: &'a ControlHandle,
@@ -48,7 +48,7 @@
 }
 
 impl TargetRun<'_> {
-    /// Comes back to a stream that an earlier attempt started; none when the target lost it.
+    /// Resumes a stream that an earlier attempt started. Returns `None` if the target cannot resume it.
     pub async fn resume(&self) -> Option<RunEnd> {
         let model = self.model.clone()?;
         let from = self.request.resume_from;
@@ -63,7 +63,7 @@
         Some(self.stream(answer, check).await)
     }
 
-    /// Sends the request and passes its answer on.
+    /// Sends the request and forwards its answer.
     pub async fn send(
         &self,
         permit: Option<&mut RunPermit>,
@@ -122,7 +122,7 @@
         self.stream(answer, check).await
     }
 
-    /// A whole answer: it is checked before any of it goes out.
+    /// Forwards an answer that is not streamed, after validating it completely.
     async fn whole(
         &self,
         answer: TargetAnswer,
@@ -154,7 +154,7 @@
             AnswerPart::End,
         ];
         for part in parts {
-            // The answer is whole at the target even when nobody waits for it any more.
+            // The request has been answered even if the caller no longer waits.
             let _ = self.parts.send(part).await;
         }
         RunEnd::Answered(Some(kept))
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Passes events on until the end mark or an error.
+    /// Forwards events until the end marker or an error.
     async fn pump(
         &self,
         reader: &mut SseReader,
@@ -326,7 +326,7 @@
     }
 }
 
-/// Events that have arrived together and travel as one part.
+/// Events that arrived together and are sent as one part.
 #[derive(Default)]
 struct Batch {
     count: u32,
@@ -335,7 +335,7 @@
 }
 
 impl Batch {
-    /// Adds an event; true when it was the end mark.
+    /// Adds an event. Returns true if it was the end marker.
     fn add(
         &mut self,
         check: &mut AnswerCheck,
@@ -376,7 +376,7 @@
     }
 }
 
-/// Whoever waited for the answer has gone; the target may still run it.
+/// Returns the end of a run whose receiver is gone; the target may still be running the request.
 fn gone() -> RunEnd {
     RunEnd::Refused(Refusal::unknown(RefusalCode::AnswerLost))
 }
--- a/src/request/try_history.rs
+++ b/src/request/try_history.rs
@@ -5,35 +5,35 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// Pauses between tries; they double from the first to the longest.
+/// Exponential backoff between attempts.
 const FIRST_PAUSE: Duration = Duration::from_millis(10);
 const LONGEST_PAUSE: Duration = Duration::from_millis(60);
 
-/// What a request has met so far.
+/// The failed attempts of a request.
 #[derive(Default)]
 pub struct TryHistory {
     /// Targets that are not tried again.
     pub avoid: BTreeSet<String>,
-    /// Targets that were full.
+    /// Attempts rejected because the target was full.
     pub full: u32,
-    /// Engines that failed to load the adapter.
+    /// Attempts that failed as the adapter could not be loaded.
     pub failed_loads: u32,
-    /// The target that may run the request.
+    /// Target that may be running the request.
     pub begun_at: Option<String>,
-    /// What the caller had when the last try came back there.
+    /// Index of the next event for the caller when the last attempt at `begun_at` failed.
     pub begun_index: u64,
-    /// A link to an owner broke: the next one is tried before it is used.
+    /// An owner was unreachable: links are pinged before they are used.
     pub lost_owner: bool,
-    /// A target may have begun the request.
+    /// A target may have started the request.
     pub may_have_run: bool,
     pub pause: Duration,
     pub waiting_since: Option<Instant>,
-    /// Why the last try got no answer.
+    /// Refusal of the last attempt.
     pub last: Option<Refusal>,
 }
 
 impl TryHistory {
-    /// Does not try a target again.
+    /// Excludes a target from further attempts.
     pub fn leave(
         &mut self,
         target: &str,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The request may run at a target: the next try comes back to it there.
+    /// Records that a target may be running the request, so that the next attempt resumes it there. A target at which the
+    /// last attempt made no progress is excluded instead.
     pub fn begin_at(
         &mut self,
         target: &str,
@@ -54,26 +55,25 @@
         let stands_still = progress.next_index == self.begun_index;
         self.begun_index = progress.next_index;
         match came_back && stands_still {
-            // Coming back did not help.
             true => self.leave(target),
             false => self.begun_at = Some(target.to_string()),
         }
     }
 
-    /// Time since the request first had to wait for an owner or a target.
+    /// Returns the time since the request first had to wait for an owner or a target.
     pub fn waited(&mut self) -> Duration {
         self.waiting_since
             .get_or_insert_with(Instant::now)
             .elapsed()
     }
 
-    /// The pause before the next try, with jitter.
+    /// Returns the backoff before the next attempt, with jitter.
     pub fn next_pause(&mut self) -> Duration {
         self.pause = (self.pause * 2).clamp(FIRST_PAUSE, LONGEST_PAUSE);
         self.pause.mul_f64(rand::rng().random_range(0.5..1.0))
     }
 
-    /// The end of a request that got no answer.
+    /// Returns the end of a request that got no answer; `fallback` is used if no attempt was refused.
     pub fn end(
         self,
         fallback: Refusal,
