--- a/src/request/attempt_ledger.rs
+++ b/src/request/attempt_ledger.rs
@@ -18,7 +18,7 @@
 
 /// An answer cached for later attempts.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KeptAnswer {
+pub struct CachedAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
@@ -29,7 +29,7 @@
 pub enum AttemptState {
     Running,
     /// Answered; small answers are cached.
-    Answered(Option<KeptAnswer>),
+    Answered(Option<CachedAnswer>),
     Unknown,
 }
 
--- a/src/request/claim_store.rs
+++ b/src/request/claim_store.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AttemptState, KeptAnswer},
+    super::{AttemptState, CachedAnswer},
     crate::{
         clock::Instant,
         connection::platform::{Commit, Condition, Table, Transaction, Write},
@@ -91,7 +91,7 @@
     }
 }
 
-fn keep_text(answer: &KeptAnswer) -> Option<KeptText> {
+fn keep_text(answer: &CachedAnswer) -> Option<KeptText> {
     let body = std::str::from_utf8(&answer.body).ok()?;
     let content_type = answer
         .headers
@@ -105,12 +105,12 @@
     })
 }
 
-fn restore_text(text: &KeptText) -> Option<KeptAnswer> {
+fn restore_text(text: &KeptText) -> Option<CachedAnswer> {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(&text.content_type) {
         headers.insert(CONTENT_TYPE, value);
     }
-    Some(KeptAnswer {
+    Some(CachedAnswer {
         status: StatusCode::from_u16(text.status).ok()?,
         headers,
         body: Bytes::from(text.body.clone()),
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -29,7 +29,7 @@
 
 pub use {
     answer_part::{AnswerHead, AnswerPart, PartSender},
-    attempt_ledger::{AttemptLedger, AttemptRecord, AttemptState, KeptAnswer},
+    attempt_ledger::{AttemptLedger, AttemptRecord, AttemptState, CachedAnswer},
     caller_request::CallerRequest,
     claim_store::{Claim, ClaimState, ClaimStore},
     entry_end::EntryEnd,
--- a/src/request/target_run.rs
+++ b/src/request/target_run.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AnswerHead, AnswerPart, KeptAnswer, PartSender, Refusal, RefusalCode, RunPermit,
+        AnswerHead, AnswerPart, CachedAnswer, PartSender, Refusal, RefusalCode, RunPermit,
         headers_from_wire, passed_headers,
     },
     crate::{
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum RunEnd {
     /// The complete answer was sent; the value holds it unless it was streamed.
-    Answered(Option<KeptAnswer>),
+    Answered(Option<CachedAnswer>),
     Refused(Refusal),
 }
 
@@ -139,7 +139,7 @@
         {
             return self.failed(error).await;
         }
-        let kept = KeptAnswer {
+        let kept = CachedAnswer {
             status: head.status,
             headers: head.headers.clone(),
             body: body.clone(),
