--- a/src/request/claim_store.rs
+++ b/src/request/claim_store.rs
@@ -18,23 +18,23 @@
 };
 
 /// Claims that arrive within this time are written in one transaction.
-const GATHER: Duration = Duration::from_millis(10);
+const BATCH_WINDOW: Duration = Duration::from_millis(10);
 
 /// Claims per transaction.
-const GROUP: usize = 128;
+const MAX_BATCH: usize = 128;
 
 /// Claims waiting to be written; beyond this, pending ones are dropped.
 const MAX_PENDING: usize = 50_000;
 
 /// Exponential backoff after a failed transaction.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// A row is deleted this long after the last write of its claim.
-const ROW_LIFE: Duration = Duration::from_secs(900);
+const ROW_TTL: Duration = Duration::from_secs(900);
 
 /// Size limit of an answer stored with a claim, in bytes.
-const MAX_KEPT: usize = 2048;
+const MAX_ANSWER_BYTES: usize = 2048;
 
 /// State of the request of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,11 +51,11 @@
     pub request_id: String,
     pub state: ClaimState,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    answer: Option<KeptText>,
+    answer: Option<StoredAnswer>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct KeptText {
+struct StoredAnswer {
     status: u16,
     content_type: String,
     body: String,
@@ -66,16 +66,16 @@
         request_id: &str,
         state: &AttemptState,
     ) -> Self {
-        let (word, answer) = match state {
+        let (claim_state, answer) = match state {
             AttemptState::Running => (ClaimState::Running, None),
             AttemptState::Unknown => (ClaimState::Unknown, None),
-            AttemptState::Answered(kept) => {
-                (ClaimState::Answered, kept.as_ref().and_then(keep_text))
+            AttemptState::Answered(cached) => {
+                (ClaimState::Answered, cached.as_ref().and_then(to_stored))
             }
         };
         Self {
             request_id: request_id.to_string(),
-            state: word,
+            state: claim_state,
             answer,
         }
     }
@@ -85,27 +85,27 @@
         match self.state {
             ClaimState::Running | ClaimState::Unknown => AttemptState::Unknown,
             ClaimState::Answered => {
-                AttemptState::Answered(self.answer.as_ref().and_then(restore_text))
+                AttemptState::Answered(self.answer.as_ref().and_then(from_stored))
             }
         }
     }
 }
 
-fn keep_text(answer: &CachedAnswer) -> Option<KeptText> {
+fn to_stored(answer: &CachedAnswer) -> Option<StoredAnswer> {
     let body = std::str::from_utf8(&answer.body).ok()?;
     let content_type = answer
         .headers
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
-    (body.len() <= MAX_KEPT).then(|| KeptText {
+    (body.len() <= MAX_ANSWER_BYTES).then(|| StoredAnswer {
         status: answer.status.as_u16(),
         content_type: content_type.to_string(),
         body: body.to_string(),
     })
 }
 
-fn restore_text(text: &KeptText) -> Option<CachedAnswer> {
+fn from_stored(text: &StoredAnswer) -> Option<CachedAnswer> {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(&text.content_type) {
         headers.insert(CONTENT_TYPE, value);
@@ -131,8 +131,8 @@
 impl ClaimStore {
     /// Starts the writer thread, which stops when the last handle is dropped.
     pub fn start(table: Arc<dyn Table>) -> Self {
-        let (updates, received) = flume::unbounded();
-        let writer = ClaimWriter::new(table.clone(), received);
+        let (updates, updates) = flume::unbounded();
+        let writer = ClaimWriter::new(table.clone(), updates);
         thread::Builder::new()
             .name("claims".into())
             .spawn(move || writer.run())
@@ -219,7 +219,7 @@
 /// Writes claims in batches, and deletes expired ones.
 struct ClaimWriter {
     table: Arc<dyn Table>,
-    received: flume::Receiver<Update>,
+    updates: flume::Receiver<Update>,
     pending: BTreeMap<String, Option<Claim>>,
     written: VecDeque<(Instant, String)>,
 }
@@ -227,43 +227,43 @@
 impl ClaimWriter {
     fn new(
         table: Arc<dyn Table>,
-        received: flume::Receiver<Update>,
+        updates: flume::Receiver<Update>,
     ) -> Self {
         Self {
             table,
-            received,
+            updates,
             pending: BTreeMap::new(),
             written: VecDeque::new(),
         }
     }
 
     fn run(mut self) {
-        let mut pause = FIRST_PAUSE;
-        while self.gather() {
+        let mut backoff = MIN_BACKOFF;
+        while self.collect_batch() {
             self.expire();
             match self.write() {
-                Ok(()) => pause = FIRST_PAUSE,
+                Ok(()) => backoff = MIN_BACKOFF,
                 Err(_) => {
                     let jitter = rand::rng().random_range(0.5..1.0);
-                    thread::sleep(pause.mul_f64(jitter));
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+                    thread::sleep(backoff.mul_f64(jitter));
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
     /// Collects the updates of one transaction. Returns false once all senders are gone.
-    fn gather(&mut self) -> bool {
+    fn collect_batch(&mut self) -> bool {
         if self.pending.is_empty() {
-            match self.received.recv_timeout(LONGEST_PAUSE) {
+            match self.updates.recv_timeout(MAX_BACKOFF) {
                 Ok(update) => self.take(update),
                 Err(flume::RecvTimeoutError::Timeout) => return true,
                 Err(flume::RecvTimeoutError::Disconnected) => return false,
             }
         }
-        let until = Instant::now() + GATHER;
-        while self.pending.len() < GROUP {
-            match self.received.recv_timeout(until - Instant::now()) {
+        let until = Instant::now() + BATCH_WINDOW;
+        while self.pending.len() < MAX_BATCH {
+            match self.updates.recv_timeout(until - Instant::now()) {
                 Ok(update) => self.take(update),
                 Err(_) => break,
             }
@@ -284,7 +284,7 @@
 
     fn expire(&mut self) {
         while let Some((at, _)) = self.written.front() {
-            if at.elapsed() < ROW_LIFE {
+            if at.elapsed() < ROW_TTL {
                 break;
             }
             if let Some((_, key)) = self.written.pop_front() {
@@ -294,16 +294,16 @@
     }
 
     fn write(&mut self) -> Result<(), PlatformError> {
-        let group: Vec<(String, Option<Claim>)> = self
+        let batch: Vec<(String, Option<Claim>)> = self
             .pending
             .iter()
-            .take(GROUP)
+            .take(MAX_BATCH)
             .map(|(key, claim)| (key.clone(), claim.clone()))
             .collect();
-        if group.is_empty() {
+        if batch.is_empty() {
             return Ok(());
         }
-        let writes = group
+        let writes = batch
             .iter()
             .map(|(key, claim)| Write {
                 key: key.clone(),
@@ -314,7 +314,7 @@
             conditions: Vec::new(),
             writes,
         })?;
-        for (key, claim) in group {
+        for (key, claim) in batch {
             self.pending.remove(&key);
             if claim.is_some_and(|claim| claim.state != ClaimState::Running) {
                 self.written.push_back((Instant::now(), key));
