--- a/src/request/claim_store.rs
+++ b/src/request/claim_store.rs
@@ -131,8 +131,8 @@
 impl ClaimStore {
     /// Starts the writer thread, which stops when the last handle is dropped.
     pub fn start(table: Arc<dyn Table>) -> Self {
-        let (updates, updates) = flume::unbounded();
-        let writer = ClaimWriter::new(table.clone(), updates);
+        let (updates, receiver) = flume::unbounded();
+        let writer = ClaimWriter::new(table.clone(), receiver);
         thread::Builder::new()
             .name("claims".into())
             .spawn(move || writer.run())
