--- a/src/request/attempt_ledger.rs
+++ b/src/request/attempt_ledger.rs
@@ -11,7 +11,7 @@
 };
 
 /// Time for which a key is retained after its request has ended.
-const KEPT: Duration = Duration::from_secs(600);
+const KEY_TTL: Duration = Duration::from_secs(600);
 
 /// Keys retained; the oldest ones whose requests have ended are evicted first.
 const MAX_KEYS: usize = 100_000;
@@ -38,8 +38,8 @@
 pub struct AttemptRecord {
     pub request_id: String,
     pub state: AttemptState,
-    at: Instant,
-    ended: Arc<Notify>,
+    updated_at: Instant,
+    wait_until_ended: Arc<Notify>,
 }
 
 /// Idempotency keys of requests that may not be repeated, kept by the owner of their target.
@@ -61,12 +61,12 @@
         if let Some(record) = records.get(&name) {
             return Some(record.clone());
         }
-        make_room(&mut records);
+        evict_old(&mut records);
         let record = AttemptRecord {
             request_id: request_id.to_string(),
             state: AttemptState::Running,
-            at: Instant::now(),
-            ended: Arc::default(),
+            updated_at: Instant::now(),
+            wait_until_ended: Arc::default(),
         };
         records.insert(name, record);
         None
@@ -92,8 +92,8 @@
         let name = (service.to_string(), key.to_string());
         if let Some(record) = self.lock().get_mut(&name) {
             record.state = state;
-            record.at = Instant::now();
-            record.ended.notify_waiters();
+            record.updated_at = Instant::now();
+            record.wait_until_ended.notify_waiters();
         }
     }
 
@@ -105,13 +105,13 @@
     ) {
         let name = (service.to_string(), key.to_string());
         if let Some(record) = self.lock().remove(&name) {
-            record.ended.notify_waiters();
+            record.wait_until_ended.notify_waiters();
         }
     }
 
     /// Waits until the request of a key has ended or the deadline has passed, and returns the record; `None` if the key
     /// was released.
-    pub async fn ended(
+    pub async fn wait_until_ended(
         &self,
         service: &str,
         key: &str,
@@ -119,7 +119,7 @@
     ) -> Option<AttemptRecord> {
         loop {
             let record = self.find(service, key)?;
-            let notified = record.ended.notified();
+            let notified = record.wait_until_ended.notified();
             tokio::pin!(notified);
             notified.as_mut().enable();
             // Read again, as the request may have ended before the notification was enabled.
@@ -138,17 +138,19 @@
     }
 }
 
-fn make_room(records: &mut HashMap<(String, String), AttemptRecord>) {
+fn evict_old(records: &mut HashMap<(String, String), AttemptRecord>) {
     if records.len() < MAX_KEYS {
         return;
     }
-    records.retain(|_, record| record.state == AttemptState::Running || record.at.elapsed() < KEPT);
+    records.retain(|_, record| {
+        record.state == AttemptState::Running || record.updated_at.elapsed() < KEY_TTL
+    });
     if records.len() < MAX_KEYS {
         return;
     }
     // Still full: evict the older half of the ended ones.
-    let mut ages: Vec<Instant> = records.values().map(|record| record.at).collect();
+    let mut ages: Vec<Instant> = records.values().map(|record| record.updated_at).collect();
     ages.sort_unstable();
-    let middle = ages[ages.len() / 2];
-    records.retain(|_, record| record.state == AttemptState::Running || record.at > middle);
+    let median = ages[ages.len() / 2];
+    records.retain(|_, record| record.state == AttemptState::Running || record.updated_at > median);
 }
--- a/src/request/owner_service.rs
+++ b/src/request/owner_service.rs
@@ -219,8 +219,9 @@
             return KeyVerdict::Known(record.state);
         }
         let ledger = &self.context.ledger;
-        let ended = ledger.ended(&request.service, &request.key, deadline(request));
-        match ended.await {
+        let wait_until_ended =
+            ledger.wait_until_ended(&request.service, &request.key, deadline(request));
+        match wait_until_ended.await {
             Some(record) => KeyVerdict::Known(record.state),
             // The other attempt did not run, and the key was released.
             None => KeyVerdict::Refused(Refusal::elsewhere(RefusalCode::NotOwner)),
