--- a/src/request/forwarder.rs
+++ b/src/request/forwarder.rs
@@ -13,13 +13,13 @@
 };
 
 /// Parts of an answer that are buffered for a slow caller.
-const PARTS_AHEAD: usize = 64;
+const PART_BUFFER: usize = 64;
 
 /// Interval without parts after which the liveness of the owner is checked.
-const QUIET: Duration = Duration::from_millis(100);
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time allowed for a ping before a link is used.
-const PING_LIMIT: Duration = Duration::from_millis(300);
+const PING_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Forwards requests to the owner of their target, which is this process or another host.
 #[derive(Clone)]
@@ -30,21 +30,21 @@
 }
 
 /// An owner whose liveness is checked while waiting for its answer, as a paused host keeps its links open.
-pub struct Watched {
+pub struct WatchedOwner {
     view: SharedView,
     host: String,
 }
 
-impl Watched {
+impl WatchedOwner {
     /// Waits for an answer. Returns `None` if the owner is considered dead in the meantime.
-    async fn unless_gone<T>(
+    async fn while_alive<T>(
         &self,
         answer: impl Future<Output = T>,
     ) -> Option<T> {
         tokio::pin!(answer);
         loop {
             // Tokens arrive more often than this, so no check is made for an active stream.
-            match tokio::time::timeout(QUIET, answer.as_mut()).await {
+            match tokio::time::timeout(LIVENESS_CHECK_INTERVAL, answer.as_mut()).await {
                 Ok(answer) => return Some(answer),
                 Err(_) if self.view.load().is_gone(&self.host) => return None,
                 Err(_) => {}
@@ -58,7 +58,7 @@
     Local(mpsc::Receiver<AnswerPart>),
     Remote {
         replies: Box<tonic::Streaming<wire::ForwardReply>>,
-        owner: Watched,
+        owner: WatchedOwner,
     },
     /// The owner was not reached.
     Lost(Refusal),
@@ -85,33 +85,33 @@
         ping: bool,
     ) -> Parts {
         if host == view.me {
-            let (sender, parts) = mpsc::channel(PARTS_AHEAD);
+            let (sender, parts) = mpsc::channel(PART_BUFFER);
             let owner = self.owner.clone();
             tokio::spawn(async move { owner.run(request, sender).await });
             return Parts::Local(parts);
         }
-        let unreached = || Parts::Lost(Refusal::elsewhere(RefusalCode::OwnerUnreachable));
+        let unreachable = || Parts::Lost(Refusal::elsewhere(RefusalCode::OwnerUnreachable));
         let Some(address) = view.peer_address(host) else {
-            return unreached();
+            return unreachable();
         };
         let mut link = self.links.to(address);
         if ping {
-            let answered = tokio::time::timeout(PING_LIMIT, link.ping(wire::Ack {})).await;
+            let answered = tokio::time::timeout(PING_TIMEOUT, link.ping(wire::Ack {})).await;
             if !matches!(answered, Ok(Ok(_))) {
-                return unreached();
+                return unreachable();
             }
         }
-        let owner = Watched {
+        let owner = WatchedOwner {
             view: self.view.clone(),
             host: host.to_string(),
         };
-        match owner.unless_gone(link.forward(request)).await {
+        match owner.while_alive(link.forward(request)).await {
             Some(Ok(reply)) => Parts::Remote {
                 replies: Box::new(reply.into_inner()),
                 owner,
             },
-            Some(Err(status)) => Parts::Lost(link_lost(&status)),
-            None => Parts::Lost(broken()),
+            Some(Err(status)) => Parts::Lost(call_failed(&status)),
+            None => Parts::Lost(link_broken()),
         }
     }
 
@@ -121,7 +121,7 @@
         request: wire::ForwardRequest,
         fence: u64,
     ) -> Parts {
-        let (sender, parts) = mpsc::channel(PARTS_AHEAD);
+        let (sender, parts) = mpsc::channel(PART_BUFFER);
         let owner = self.owner.clone();
         tokio::spawn(async move { owner.run_unowned(request, fence, sender).await });
         Parts::Local(parts)
@@ -155,13 +155,13 @@
         query: wire::OutcomeQuery,
     ) -> wire::OutcomeReply {
         let remote = (host != view.me).then(|| view.peer_address(host)).flatten();
-        let here = self.owner.outcome(&query.service, &query.key);
+        let local_outcome = self.owner.outcome(&query.service, &query.key);
         let Some(address) = remote else {
-            return here.await;
+            return local_outcome.await;
         };
         match self.links.to(address).outcome(query.clone()).await {
             Ok(reply) => reply.into_inner(),
-            Err(_) => here.await,
+            Err(_) => local_outcome.await,
         }
     }
 }
@@ -173,19 +173,19 @@
             Self::Lost(refusal) => AnswerPart::Refused(refusal.clone()),
             Self::Local(parts) => match parts.recv().await {
                 Some(part) => part,
-                None => AnswerPart::Refused(broken()),
+                None => AnswerPart::Refused(link_broken()),
             },
-            Self::Remote { replies, owner } => match owner.unless_gone(replies.message()).await {
+            Self::Remote { replies, owner } => match owner.while_alive(replies.message()).await {
                 Some(Ok(Some(reply))) => part_from_wire(reply),
-                Some(Err(status)) => AnswerPart::Refused(link_lost(&status)),
-                Some(Ok(None)) | None => AnswerPart::Refused(broken()),
+                Some(Err(status)) => AnswerPart::Refused(call_failed(&status)),
+                Some(Ok(None)) | None => AnswerPart::Refused(link_broken()),
             },
         }
     }
 }
 
 /// Returns the refusal for a link that broke during a request.
-fn broken() -> Refusal {
+fn link_broken() -> Refusal {
     Refusal {
         code: RefusalCode::OwnerUnreachable,
         may_have_run: true,
@@ -195,7 +195,7 @@
 }
 
 /// Returns the refusal for a failed call; only a failed connection attempt proves that nothing was sent.
-fn link_lost(status: &tonic::Status) -> Refusal {
+fn call_failed(status: &tonic::Status) -> Refusal {
     let mut source = status.source();
     while let Some(error) = source {
         if error.is::<tonic::ConnectError>() {
@@ -203,7 +203,7 @@
         }
         source = error.source();
     }
-    broken()
+    link_broken()
 }
 
 fn part_from_wire(reply: wire::ForwardReply) -> AnswerPart {
@@ -222,6 +222,6 @@
         },
         Some(Part::End(_)) => AnswerPart::End,
         Some(Part::Refusal(refusal)) => AnswerPart::Refused(refusal.into()),
-        None => AnswerPart::Refused(broken()),
+        None => AnswerPart::Refused(link_broken()),
     }
 }
