--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -3,7 +3,7 @@
         AnswerPart, CallerRequest, EntryEnd, Forwarder, PartSender, Refusal, RefusalCode,
         RetryBudget, engine_candidates,
         entry_progress::{CallerGone, EntryProgress},
-        forwarder::Parts,
+        forwarder::AnswerParts,
         plain_candidates,
         try_history::TryHistory,
     },
@@ -229,16 +229,20 @@
         mut forward: wire::ForwardRequest,
         ping: bool,
         out: &PartSender,
-    ) -> Option<Parts> {
+    ) -> Option<AnswerParts> {
         let Some(owner) = view.owners.get(target) else {
-            return Some(Parts::Lost(Refusal::elsewhere(RefusalCode::NoOwner)));
+            return Some(AnswerParts::Failed(Refusal::elsewhere(
+                RefusalCode::NoOwner,
+            )));
         };
         if view.is_gone(&owner.host) {
             if may_run_unowned(view, target) {
                 forward.may_load = false;
                 return Some(self.forwarder.run_unowned(forward, owner.fence));
             }
-            return Some(Parts::Lost(Refusal::elsewhere(RefusalCode::NoOwner)));
+            return Some(AnswerParts::Failed(Refusal::elsewhere(
+                RefusalCode::NoOwner,
+            )));
         }
         tokio::select! {
             parts = self.forwarder.forward(view, &owner.host, forward, ping) => Some(parts),
@@ -249,7 +253,7 @@
     /// Forwards the parts of one attempt to the caller until it ends.
     async fn relay(
         &self,
-        mut parts: Parts,
+        mut parts: AnswerParts,
         stream: bool,
         progress: &mut EntryProgress,
         out: &PartSender,
--- a/src/request/forwarder.rs
+++ b/src/request/forwarder.rs
@@ -54,14 +54,14 @@
 }
 
 /// The parts of one forwarded request's answer.
-pub enum Parts {
+pub enum AnswerParts {
     Local(mpsc::Receiver<AnswerPart>),
     Remote {
         replies: Box<tonic::Streaming<wire::ForwardReply>>,
         owner: WatchedOwner,
     },
     /// The owner was not reached.
-    Lost(Refusal),
+    Failed(Refusal),
 }
 
 impl Forwarder {
@@ -83,14 +83,14 @@
         host: &str,
         request: wire::ForwardRequest,
         ping: bool,
-    ) -> Parts {
+    ) -> AnswerParts {
         if host == view.me {
             let (sender, parts) = mpsc::channel(PART_BUFFER);
             let owner = self.owner.clone();
             tokio::spawn(async move { owner.run(request, sender).await });
-            return Parts::Local(parts);
+            return AnswerParts::Local(parts);
         }
-        let unreachable = || Parts::Lost(Refusal::elsewhere(RefusalCode::OwnerUnreachable));
+        let unreachable = || AnswerParts::Failed(Refusal::elsewhere(RefusalCode::OwnerUnreachable));
         let Some(address) = view.peer_address(host) else {
             return unreachable();
         };
@@ -106,12 +106,12 @@
             host: host.to_string(),
         };
         match owner.while_alive(link.forward(request)).await {
-            Some(Ok(reply)) => Parts::Remote {
+            Some(Ok(reply)) => AnswerParts::Remote {
                 replies: Box::new(reply.into_inner()),
                 owner,
             },
-            Some(Err(status)) => Parts::Lost(call_failed(&status)),
-            None => Parts::Lost(link_broken()),
+            Some(Err(status)) => AnswerParts::Failed(call_failed(&status)),
+            None => AnswerParts::Failed(link_broken()),
         }
     }
 
@@ -120,11 +120,11 @@
         &self,
         request: wire::ForwardRequest,
         fence: u64,
-    ) -> Parts {
+    ) -> AnswerParts {
         let (sender, parts) = mpsc::channel(PART_BUFFER);
         let owner = self.owner.clone();
         tokio::spawn(async move { owner.run_unowned(request, fence, sender).await });
-        Parts::Local(parts)
+        AnswerParts::Local(parts)
     }
 
     /// Cancels a request whose caller has disconnected.
@@ -166,11 +166,11 @@
     }
 }
 
-impl Parts {
+impl AnswerParts {
     /// Returns the next part; a broken link yields a refusal.
     pub async fn next(&mut self) -> AnswerPart {
         match self {
-            Self::Lost(refusal) => AnswerPart::Refused(refusal.clone()),
+            Self::Failed(refusal) => AnswerPart::Refused(refusal.clone()),
             Self::Local(parts) => match parts.recv().await {
                 Some(part) => part,
                 None => AnswerPart::Refused(link_broken()),
