--- a/src/request/owner_service.rs
+++ b/src/request/owner_service.rs
@@ -41,15 +41,15 @@
 
 /// Permission by which a request is sent to its target.
 #[derive(Debug, Clone, Copy)]
-enum Leave {
+enum Permission {
     /// This process owns the target and admits the request.
-    OfOwner,
+    Owner,
     /// No host can currently own the target; the fence of its last owner is still valid.
     Unowned { fence: u64 },
 }
 
 /// What to do with a request, according to the record of its key.
-enum KeyVerdict {
+enum KeyCheck {
     Run,
     Known(AttemptState),
     Refused(Refusal),
@@ -67,7 +67,7 @@
         parts: PartSender,
     ) {
         let _active = self.context.active.enter();
-        self.run_with(request, Leave::OfOwner, parts).await;
+        self.run_permitted(request, Permission::Owner, parts).await;
     }
 
     /// Runs a request while no host can own its target.
@@ -77,21 +77,21 @@
         fence: u64,
         parts: PartSender,
     ) {
-        let leave = Leave::Unowned { fence };
-        self.run_with(request, leave, parts).await;
+        let permission = Permission::Unowned { fence };
+        self.run_permitted(request, permission, parts).await;
     }
 
-    async fn run_with(
+    async fn run_permitted(
         &self,
         request: ForwardRequest,
-        leave: Leave,
+        permission: Permission,
         parts: PartSender,
     ) {
         // The key of a resumed request is already recorded.
-        let once = !request.repeatable && !request.key.is_empty() && !request.resumed;
-        let end = match once {
-            false => self.run_at_target(&request, leave, &parts).await,
-            true => self.run_once(&request, leave, &parts).await,
+        let at_most_once = !request.repeatable && !request.key.is_empty() && !request.resumed;
+        let end = match at_most_once {
+            false => self.run_at_target(&request, permission, &parts).await,
+            true => self.run_once(&request, permission, &parts).await,
         };
         if let RunEnd::Refused(refusal) = end {
             let _ = parts.send(AnswerPart::Refused(refusal)).await;
@@ -132,18 +132,18 @@
     async fn run_once(
         &self,
         request: &ForwardRequest,
-        leave: Leave,
+        permission: Permission,
         parts: &PartSender,
     ) -> RunEnd {
         let context = &self.context;
         let (service, key) = (&request.service, &request.key);
-        match self.key_verdict(request).await {
-            KeyVerdict::Refused(refusal) => return RunEnd::Refused(refusal),
-            KeyVerdict::Known(state) => return self.known(request, state, parts).await,
-            KeyVerdict::Run => {}
+        match self.check_key(request).await {
+            KeyCheck::Refused(refusal) => return RunEnd::Refused(refusal),
+            KeyCheck::Known(state) => return self.replay(request, state, parts).await,
+            KeyCheck::Run => {}
         }
         self.write_claim(request, &AttemptState::Running);
-        let end = self.run_at_target(request, leave, parts).await;
+        let end = self.run_at_target(request, permission, parts).await;
         let state = match &end {
             RunEnd::Answered(kept) => AttemptState::Answered(kept.clone()),
             RunEnd::Refused(refusal) if refusal.may_have_run => AttemptState::Unknown,
@@ -159,77 +159,77 @@
     }
 
     /// Decides from the record of the key whether the request may run.
-    async fn key_verdict(
+    async fn check_key(
         &self,
         request: &ForwardRequest,
-    ) -> KeyVerdict {
+    ) -> KeyCheck {
         let context = &self.context;
         let (service, key) = (&request.service, &request.key);
-        let later = request.attempt > 1;
-        let on_record = match later {
+        let is_later = request.attempt > 1;
+        let recorded = match is_later {
             true => context.ledger.find(service, key),
             false => context.ledger.begin(service, key, &request.request_id),
         };
-        if let Some(record) = on_record {
-            return self.settled(request, record).await;
+        if let Some(record) = recorded {
+            return self.wait_for_attempt(request, record).await;
         }
-        if later {
-            return self.later_attempt(request).await;
+        if is_later {
+            return self.find_later_attempt(request).await;
         }
         if request.attempt == 1 && !request.check_claims {
-            return KeyVerdict::Run;
+            return KeyCheck::Run;
         }
         let claim = Claim::new(&request.request_id, &AttemptState::Running);
         match context.claims.insert(service, key, claim).await {
-            Ok(None) => KeyVerdict::Run,
+            Ok(None) => KeyCheck::Run,
             Ok(Some(found)) => {
                 let state = found.attempt_state();
                 context.ledger.end(service, key, state.clone());
-                KeyVerdict::Known(state)
+                KeyCheck::Known(state)
             }
             // No earlier attempt can have run.
-            Err(_) if request.attempt == 1 => KeyVerdict::Run,
+            Err(_) if request.attempt == 1 => KeyCheck::Run,
             Err(_) => {
                 context.ledger.forget(service, key);
-                let pause = Duration::from_secs(1);
-                KeyVerdict::Refused(Refusal::not_run(RefusalCode::ClaimUnreadable, pause))
+                let retry_after = Duration::from_secs(1);
+                KeyCheck::Refused(Refusal::not_run(RefusalCode::ClaimUnreadable, retry_after))
             }
         }
     }
 
     /// Looks up a later attempt that has no record on this host; it never runs.
-    async fn later_attempt(
+    async fn find_later_attempt(
         &self,
         request: &ForwardRequest,
-    ) -> KeyVerdict {
+    ) -> KeyCheck {
         let claims = &self.context.claims;
         match claims.find(&request.service, &request.key).await {
-            Ok(Some(claim)) => KeyVerdict::Known(claim.attempt_state()),
-            _ => KeyVerdict::Refused(Refusal::unknown(RefusalCode::AttemptUnrecorded)),
+            Ok(Some(claim)) => KeyCheck::Known(claim.attempt_state()),
+            _ => KeyCheck::Refused(Refusal::unknown(RefusalCode::AttemptUnrecorded)),
         }
     }
 
     /// Waits until the recorded attempt has ended.
-    async fn settled(
+    async fn wait_for_attempt(
         &self,
         request: &ForwardRequest,
         record: AttemptRecord,
-    ) -> KeyVerdict {
+    ) -> KeyCheck {
         if record.state != AttemptState::Running {
-            return KeyVerdict::Known(record.state);
+            return KeyCheck::Known(record.state);
         }
         let ledger = &self.context.ledger;
         let wait_until_ended =
             ledger.wait_until_ended(&request.service, &request.key, deadline(request));
         match wait_until_ended.await {
-            Some(record) => KeyVerdict::Known(record.state),
+            Some(record) => KeyCheck::Known(record.state),
             // The other attempt did not run, and the key was released.
-            None => KeyVerdict::Refused(Refusal::elsewhere(RefusalCode::NotOwner)),
+            None => KeyCheck::Refused(Refusal::elsewhere(RefusalCode::NotOwner)),
         }
     }
 
     /// Answers a later attempt with the outcome of the first one.
-    async fn known(
+    async fn replay(
         &self,
         request: &ForwardRequest,
         state: AttemptState,
@@ -266,7 +266,7 @@
     async fn run_at_target(
         &self,
         request: &ForwardRequest,
-        leave: Leave,
+        permission: Permission,
         parts: &PartSender,
     ) -> RunEnd {
         let Some(spec) = self.spec(&request.target) else {
@@ -274,11 +274,11 @@
         };
         let deadline = deadline(request);
         let work = async {
-            match leave {
-                Leave::OfOwner => self.admit_and_send(&spec, request, deadline, parts).await,
-                Leave::Unowned { fence } => {
+            match permission {
+                Permission::Owner => self.admit_and_send(&spec, request, deadline, parts).await,
+                Permission::Unowned { fence } => {
                     let run = self.target_run(&spec, request, fence, Duration::ZERO, parts);
-                    bounded(deadline, run.send(None)).await
+                    with_deadline(deadline, run.send(None)).await
                 }
             }
         };
@@ -303,7 +303,7 @@
             match resumed {
                 Ok(Some(end)) => return end,
                 Ok(None) if request.repeatable => {}
-                _ => return lost(),
+                _ => return answer_lost(),
             }
         }
         let ticket = Ticket {
@@ -326,11 +326,11 @@
             Err(_) => return RunEnd::Refused(Refusal::elsewhere(RefusalCode::HostStopping)),
         };
         // Checked last, as this process may have been paused since the request was admitted.
-        if !spec.checks_fences && !self.may_send_unfenced(term) {
+        if !spec.checks_fences && !self.can_send_unfenced(term) {
             return RunEnd::Refused(Refusal::elsewhere(RefusalCode::NotOwner));
         }
         let run = self.target_run(spec, request, fence, load_wait, parts);
-        bounded(deadline, run.send(Some(&mut permit))).await
+        with_deadline(deadline, run.send(Some(&mut permit))).await
     }
 
     fn target_run<'a>(
@@ -356,7 +356,7 @@
 
     /// Returns true if no newer owner can exist for a target that does not check fences: the lease is still held, or the
     /// table is unreachable for all hosts.
-    fn may_send_unfenced(
+    fn can_send_unfenced(
         &self,
         term: u64,
     ) -> bool {
@@ -384,7 +384,7 @@
 }
 
 /// Ends a run at the deadline, with an unknown outcome.
-async fn bounded(
+async fn with_deadline(
     deadline: Instant,
     run: impl Future<Output = RunEnd>,
 ) -> RunEnd {
@@ -392,7 +392,7 @@
     timeout_at(deadline, run).await.unwrap_or(late)
 }
 
-fn lost() -> RunEnd {
+fn answer_lost() -> RunEnd {
     RunEnd::Refused(Refusal::unknown(RefusalCode::AnswerLost))
 }
 
