--- a/src/request/try_history.rs
+++ b/src/request/attempt_history.rs
@@ -11,7 +11,7 @@
 
 /// The failed attempts of a request.
 #[derive(Default)]
-pub struct TryHistory {
+pub struct AttemptHistory {
     /// Targets that are not tried again.
     pub avoid: BTreeSet<String>,
     /// Attempts rejected because the target was full.
@@ -32,7 +32,7 @@
     pub last: Option<Refusal>,
 }
 
-impl TryHistory {
+impl AttemptHistory {
     /// Excludes a target from further attempts.
     pub fn leave(
         &mut self,
--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -1,11 +1,12 @@
 use {
     super::{
         AnswerPart, CallerRequest, EntryEnd, Forwarder, PartSender, Refusal, RefusalCode,
-        RetryBudget, engine_candidates,
+        RetryBudget,
+        attempt_history::AttemptHistory,
+        engine_candidates,
         entry_progress::{CallerGone, EntryProgress},
         forwarder::AnswerParts,
         plain_candidates,
-        try_history::TryHistory,
     },
     crate::{
         clock::Instant,
@@ -106,7 +107,7 @@
         out: &PartSender,
     ) -> EntryEnd {
         let mut progress = EntryProgress::default();
-        let mut history = TryHistory::default();
+        let mut history = AttemptHistory::default();
         loop {
             let now = Instant::now();
             if now >= request.deadline {
@@ -159,7 +160,7 @@
         &self,
         view: &View,
         request: &CallerRequest,
-        history: &TryHistory,
+        history: &AttemptHistory,
     ) -> Option<String> {
         let begun_at = history
             .begun_at
@@ -200,7 +201,7 @@
         target: &str,
         request: &CallerRequest,
         progress: &mut EntryProgress,
-        history: &TryHistory,
+        history: &AttemptHistory,
         out: &PartSender,
     ) -> Try {
         let mut forward = request.to_forward(target, Instant::now());
@@ -289,7 +290,7 @@
         request: &CallerRequest,
         target: &str,
         refusal: Refusal,
-        history: &mut TryHistory,
+        history: &mut AttemptHistory,
         progress: &EntryProgress,
     ) -> Next {
         let code = refusal.code;
@@ -334,7 +335,7 @@
         request: &CallerRequest,
         target: &str,
         refusal: Refusal,
-        history: &mut TryHistory,
+        history: &mut AttemptHistory,
         progress: &EntryProgress,
     ) -> Next {
         history.may_have_run = true;
@@ -401,7 +402,7 @@
         &self,
         request: &CallerRequest,
         target: &str,
-        history: &TryHistory,
+        history: &AttemptHistory,
     ) {
         let why = history.last.as_ref().map_or("", |last| last.code.word());
         self.metrics.resend(why);
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,6 +1,7 @@
 //! Handling of a request: parsing, routing, attempts and outcome.
 
 mod answer_part;
+mod attempt_history;
 mod attempt_ledger;
 mod caller_request;
 mod claim_store;
@@ -25,7 +26,6 @@
 mod route;
 mod run_permit;
 mod target_run;
-mod try_history;
 
 pub use {
     answer_part::{AnswerHead, AnswerPart, PartSender},
