--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -137,9 +137,9 @@
             match self.after(request, &target, refusal, &mut history, &progress) {
                 Next::Try => {}
                 Next::PauseAndTry => {
-                    let pause = history.next_pause();
+                    let backoff = history.next_backoff();
                     tokio::select! {
-                        () = tokio::time::sleep(pause) => {}
+                        () = tokio::time::sleep(backoff) => {}
                         () = out.closed() => {
                             self.cancel(&view, &target, request).await;
                             return EntryEnd::CallerGone;
@@ -162,19 +162,19 @@
         request: &CallerRequest,
         history: &AttemptHistory,
     ) -> Option<String> {
-        let begun_at = history
-            .begun_at
+        let resume_target = history
+            .resume_target
             .clone()
             .filter(|target| view.config.targets.contains_key(target));
         // A non-repeatable request that may have run can only be resumed at the same target.
         let fixed = history.may_have_run && !request.repeatable;
-        if begun_at.is_some() || fixed {
-            return begun_at;
+        if resume_target.is_some() || fixed {
+            return resume_target;
         }
         let candidates = self.candidates(view, request);
         let untried = candidates
             .iter()
-            .find(|target| !history.avoid.contains(*target));
+            .find(|target| !history.excluded.contains(*target));
         untried.cloned()
     }
 
@@ -205,15 +205,15 @@
         out: &PartSender,
     ) -> Try {
         let mut forward = request.to_forward(target, Instant::now());
-        forward.resumed = history.begun_at.as_deref() == Some(target);
+        forward.resumed = history.resume_target.as_deref() == Some(target);
         forward.resume_from = progress.next_index;
-        forward.check_claims = !history.avoid.is_empty() || request.attempt == 0;
+        forward.check_claims = !history.excluded.is_empty() || request.attempt == 0;
         match progress.continued_body(request) {
             Some(body) => forward.body = body,
             // The request can be resumed at the same target, but not run again.
             None => forward.repeatable = false,
         }
-        let ping = !request.repeatable || history.lost_owner;
+        let ping = !request.repeatable || history.ping_owner;
         let parts = self.start(view, target, forward, ping, out).await;
         match parts {
             Some(parts) => self.relay(parts, request.stream, progress, out).await,
@@ -294,7 +294,7 @@
         progress: &EntryProgress,
     ) -> Next {
         let code = refusal.code;
-        history.last = Some(refusal.clone());
+        history.last_refusal = Some(refusal.clone());
         if OWNER_CODES.contains(&code) {
             let _ = self.wake_poller.try_send(());
         }
@@ -306,22 +306,22 @@
         }
         match code {
             RefusalCode::Overloaded => {
-                history.full += 1;
-                history.leave(target);
-                let spills = request.repeatable && (history.full as usize) < self.replicas;
+                history.rejections += 1;
+                history.exclude(target);
+                let spills = request.repeatable && (history.rejections as usize) < self.replicas;
                 next_if(spills)
             }
             RefusalCode::LoadFailed => {
                 history.failed_loads += 1;
-                history.leave(target);
+                history.exclude(target);
                 next_if(history.failed_loads < FAILED_LOADS)
             }
             RefusalCode::TargetUnreachable | RefusalCode::TargetLeaving | RefusalCode::NoTarget => {
-                history.leave(target);
+                history.exclude(target);
                 Next::Try
             }
             RefusalCode::AdapterNotLoaded if self.unowned(target) => {
-                history.leave(target);
+                history.exclude(target);
                 Next::Try
             }
             _ if history.waited() >= PATIENCE => Next::GiveUp,
@@ -339,7 +339,7 @@
         progress: &EntryProgress,
     ) -> Next {
         history.may_have_run = true;
-        history.lost_owner |= refusal.code == RefusalCode::OwnerUnreachable;
+        history.ping_owner |= refusal.code == RefusalCode::OwnerUnreachable;
         let foreign = refusal.code == RefusalCode::AnswerForeign;
         let late = refusal.code == RefusalCode::DeadlinePassed;
         let resumable = request.stream && request.model.is_some() && !foreign;
@@ -349,8 +349,8 @@
         }
         match foreign {
             // Further answers of this target may be wrong as well.
-            true => history.leave(target),
-            false => history.begin_at(target, progress),
+            true => history.exclude(target),
+            false => history.set_resume_target(target, progress),
         }
         Next::PauseAndTry
     }
@@ -404,7 +404,10 @@
         target: &str,
         history: &AttemptHistory,
     ) {
-        let why = history.last.as_ref().map_or("", |last| last.code.word());
+        let why = history
+            .last_refusal
+            .as_ref()
+            .map_or("", |last_refusal| last_refusal.code.word());
         self.metrics.resend(why);
         self.log.note(
             Event::RequestResent,
