--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -21,17 +21,17 @@
 };
 
 /// Longest wait of a request for a target to get an owner or become reachable.
-const PATIENCE: Duration = Duration::from_secs(3);
+const MAX_WAIT: Duration = Duration::from_secs(3);
 
 /// Refusals after which the ownership table is polled immediately.
-const OWNER_CODES: [RefusalCode; 3] = [
+const OWNERSHIP_CODES: [RefusalCode; 3] = [
     RefusalCode::NotOwner,
     RefusalCode::NoOwner,
     RefusalCode::OwnerUnreachable,
 ];
 
 /// Failed loads of the adapter after which the request is given up.
-const FAILED_LOADS: u32 = 2;
+const MAX_FAILED_LOADS: u32 = 2;
 
 /// Serves callers' requests on the host that received them: chooses targets, forwards to their owners and retries.
 #[derive(Clone)]
@@ -48,16 +48,16 @@
 }
 
 /// Result of one attempt.
-enum Try {
+enum AttemptResult {
     Answered,
     Refused(Refusal),
     CallerGone,
 }
 
 /// What to do after a refused attempt.
-enum Next {
-    Try,
-    PauseAndTry,
+enum RetryDecision {
+    AttemptResult,
+    RetryAfterBackoff,
     GiveUp,
 }
 
@@ -91,17 +91,17 @@
         if let Some(service) = view.config.services.get(&request.service) {
             self.budget.earn(&request.service, service.retry_share);
         }
-        let began = Instant::now();
-        let end = match self.attempts(request, out).await {
+        let started = Instant::now();
+        let end = match self.run_attempts(request, out).await {
             // This attempt did not run, but an earlier one may have.
             EntryEnd::NotRun(refusal) if request.is_later_attempt() => EntryEnd::Unknown(refusal),
             end => end,
         };
-        self.note_end(request, &end, began.elapsed());
+        self.log_end(request, &end, started.elapsed());
         end
     }
 
-    async fn attempts(
+    async fn run_attempts(
         &self,
         request: &CallerRequest,
         out: &PartSender,
@@ -117,26 +117,26 @@
                 ));
             }
             let view = self.view.load_full();
-            let Some(target) = self.pick(&view, request, &history) else {
+            let Some(target) = self.choose_target(&view, request, &history) else {
                 return history.end(Refusal::not_run(
                     RefusalCode::NoTarget,
                     Duration::from_secs(1),
                 ));
             };
             let refusal = match self
-                .one_try(&view, &target, request, &mut progress, &history, out)
+                .run_attempt(&view, &target, request, &mut progress, &history, out)
                 .await
             {
-                Try::Answered => return EntryEnd::Answered,
-                Try::CallerGone => {
+                AttemptResult::Answered => return EntryEnd::Answered,
+                AttemptResult::CallerGone => {
                     self.cancel(&view, &target, request).await;
                     return EntryEnd::CallerGone;
                 }
-                Try::Refused(refusal) => refusal,
+                AttemptResult::Refused(refusal) => refusal,
             };
-            match self.after(request, &target, refusal, &mut history, &progress) {
-                Next::Try => {}
-                Next::PauseAndTry => {
+            match self.after_refusal(request, &target, refusal, &mut history, &progress) {
+                RetryDecision::AttemptResult => {}
+                RetryDecision::RetryAfterBackoff => {
                     let backoff = history.next_backoff();
                     tokio::select! {
                         () = tokio::time::sleep(backoff) => {}
@@ -146,17 +146,17 @@
                         }
                     }
                 }
-                Next::GiveUp => {
+                RetryDecision::GiveUp => {
                     let fallback = Refusal::not_run(RefusalCode::NoTarget, Duration::ZERO);
                     return history.end(fallback);
                 }
             }
-            self.note_resent(request, &target, &history);
+            self.log_resend(request, &target, &history);
         }
     }
 
     /// Chooses the target of the next attempt; one that may already run the request is preferred.
-    fn pick(
+    fn choose_target(
         &self,
         view: &View,
         request: &CallerRequest,
@@ -167,8 +167,8 @@
             .clone()
             .filter(|target| view.config.targets.contains_key(target));
         // A non-repeatable request that may have run can only be resumed at the same target.
-        let fixed = history.may_have_run && !request.repeatable;
-        if resume_target.is_some() || fixed {
+        let resume_only = history.may_have_run && !request.repeatable;
+        if resume_target.is_some() || resume_only {
             return resume_target;
         }
         let candidates = self.candidates(view, request);
@@ -195,7 +195,7 @@
         }
     }
 
-    async fn one_try(
+    async fn run_attempt(
         &self,
         view: &View,
         target: &str,
@@ -203,7 +203,7 @@
         progress: &mut EntryProgress,
         history: &AttemptHistory,
         out: &PartSender,
-    ) -> Try {
+    ) -> AttemptResult {
         let mut forward = request.to_forward(target, Instant::now());
         forward.resumed = history.resume_target.as_deref() == Some(target);
         forward.resume_from = progress.next_index;
@@ -217,7 +217,7 @@
         let parts = self.start(view, target, forward, ping, out).await;
         match parts {
             Some(parts) => self.relay(parts, request.stream, progress, out).await,
-            None => Try::CallerGone,
+            None => AttemptResult::CallerGone,
         }
     }
 
@@ -237,7 +237,7 @@
             )));
         };
         if view.is_gone(&owner.host) {
-            if may_run_unowned(view, target) {
+            if can_run_unowned(view, target) {
                 forward.may_load = false;
                 return Some(self.forwarder.run_unowned(forward, owner.fence));
             }
@@ -258,26 +258,26 @@
         stream: bool,
         progress: &mut EntryProgress,
         out: &PartSender,
-    ) -> Try {
+    ) -> AttemptResult {
         loop {
             let part = tokio::select! {
                 part = parts.next() => part,
-                () = out.closed() => return Try::CallerGone,
+                () = out.closed() => return AttemptResult::CallerGone,
             };
             match part {
-                AnswerPart::Refused(refusal) => return Try::Refused(refusal),
+                AnswerPart::Refused(refusal) => return AttemptResult::Refused(refusal),
                 AnswerPart::End => {
                     if !stream && let Err(CallerGone) = progress.release(out).await {
-                        return Try::CallerGone;
+                        return AttemptResult::CallerGone;
                     }
-                    return Try::Answered;
+                    return AttemptResult::Answered;
                 }
                 part => {
                     if let AnswerPart::Head(head) = &part {
                         self.metrics.load_wait(head.load_wait);
                     }
                     if let Err(CallerGone) = progress.take(part, stream, out).await {
-                        return Try::CallerGone;
+                        return AttemptResult::CallerGone;
                     }
                 }
             }
@@ -285,77 +285,77 @@
     }
 
     /// Decides what to do after a refused attempt.
-    fn after(
+    fn after_refusal(
         &self,
         request: &CallerRequest,
         target: &str,
         refusal: Refusal,
         history: &mut AttemptHistory,
         progress: &EntryProgress,
-    ) -> Next {
+    ) -> RetryDecision {
         let code = refusal.code;
         history.last_refusal = Some(refusal.clone());
-        if OWNER_CODES.contains(&code) {
+        if OWNERSHIP_CODES.contains(&code) {
             let _ = self.wake_poller.try_send(());
         }
         if refusal.may_have_run {
-            return self.after_doubt(request, target, refusal, history, progress);
+            return self.after_possible_run(request, target, refusal, history, progress);
         }
         if !refusal.try_elsewhere {
-            return Next::GiveUp;
+            return RetryDecision::GiveUp;
         }
         match code {
             RefusalCode::Overloaded => {
                 history.rejections += 1;
                 history.exclude(target);
-                let spills = request.repeatable && (history.rejections as usize) < self.replicas;
-                next_if(spills)
+                let may_spill = request.repeatable && (history.rejections as usize) < self.replicas;
+                retry_if(may_spill)
             }
             RefusalCode::LoadFailed => {
                 history.failed_loads += 1;
                 history.exclude(target);
-                next_if(history.failed_loads < FAILED_LOADS)
+                retry_if(history.failed_loads < MAX_FAILED_LOADS)
             }
             RefusalCode::TargetUnreachable | RefusalCode::TargetLeaving | RefusalCode::NoTarget => {
                 history.exclude(target);
-                Next::Try
+                RetryDecision::AttemptResult
             }
-            RefusalCode::AdapterNotLoaded if self.unowned(target) => {
+            RefusalCode::AdapterNotLoaded if self.has_no_live_owner(target) => {
                 history.exclude(target);
-                Next::Try
+                RetryDecision::AttemptResult
             }
-            _ if history.waited() >= PATIENCE => Next::GiveUp,
-            _ => Next::PauseAndTry,
+            _ if history.waited() >= MAX_WAIT => RetryDecision::GiveUp,
+            _ => RetryDecision::RetryAfterBackoff,
         }
     }
 
     /// Decides what to do if the refused attempt may have run: only repeatable or resumable requests are retried.
-    fn after_doubt(
+    fn after_possible_run(
         &self,
         request: &CallerRequest,
         target: &str,
         refusal: Refusal,
         history: &mut AttemptHistory,
         progress: &EntryProgress,
-    ) -> Next {
+    ) -> RetryDecision {
         history.may_have_run = true;
         history.ping_owner |= refusal.code == RefusalCode::OwnerUnreachable;
-        let foreign = refusal.code == RefusalCode::AnswerForeign;
-        let late = refusal.code == RefusalCode::DeadlinePassed;
-        let resumable = request.stream && request.model.is_some() && !foreign;
-        let again = !late && (request.repeatable || resumable);
-        if !again || !self.budget.spend(&request.service) {
-            return Next::GiveUp;
+        let is_foreign = refusal.code == RefusalCode::AnswerForeign;
+        let is_late = refusal.code == RefusalCode::DeadlinePassed;
+        let resumable = request.stream && request.model.is_some() && !is_foreign;
+        let can_retry = !is_late && (request.repeatable || resumable);
+        if !can_retry || !self.budget.spend(&request.service) {
+            return RetryDecision::GiveUp;
         }
-        match foreign {
+        match is_foreign {
             // Further answers of this target may be wrong as well.
             true => history.exclude(target),
             false => history.set_resume_target(target, progress),
         }
-        Next::PauseAndTry
+        RetryDecision::RetryAfterBackoff
     }
 
-    fn unowned(
+    fn has_no_live_owner(
         &self,
         target: &str,
     ) -> bool {
@@ -398,24 +398,24 @@
         self.forwarder.outcome(&view, host, query).await
     }
 
-    fn note_resent(
+    fn log_resend(
         &self,
         request: &CallerRequest,
         target: &str,
         history: &AttemptHistory,
     ) {
-        let why = history
+        let cause = history
             .last_refusal
             .as_ref()
             .map_or("", |last_refusal| last_refusal.code.word());
-        self.metrics.resend(why);
+        self.metrics.resend(cause);
         self.log.note(
             Event::RequestResent,
-            &[("request", &request.id), ("from", &target), ("why", &why)],
+            &[("request", &request.id), ("from", &target), ("why", &cause)],
         );
     }
 
-    fn note_end(
+    fn log_end(
         &self,
         request: &CallerRequest,
         end: &EntryEnd,
@@ -442,7 +442,7 @@
 /// Returns true if requests may be sent to a target without an owner, as the ownership table is unreachable.
 ///
 /// Engines that do not check fences are excluded: a former owner could still be sending to them.
-fn may_run_unowned(
+fn can_run_unowned(
     view: &View,
     target: &str,
 ) -> bool {
@@ -454,9 +454,9 @@
     fenced && !view.table_reachable
 }
 
-fn next_if(again: bool) -> Next {
-    match again {
-        true => Next::Try,
-        false => Next::GiveUp,
+fn retry_if(can_retry: bool) -> RetryDecision {
+    match can_retry {
+        true => RetryDecision::AttemptResult,
+        false => RetryDecision::GiveUp,
     }
 }
