--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -56,7 +56,7 @@
 
 /// What to do after a refused attempt.
 enum RetryDecision {
-    AttemptResult,
+    Retry,
     RetryAfterBackoff,
     GiveUp,
 }
@@ -135,7 +135,7 @@
                 AttemptResult::Refused(refusal) => refusal,
             };
             match self.after_refusal(request, &target, refusal, &mut history, &progress) {
-                RetryDecision::AttemptResult => {}
+                RetryDecision::Retry => {}
                 RetryDecision::RetryAfterBackoff => {
                     let backoff = history.next_backoff();
                     tokio::select! {
@@ -318,11 +318,11 @@
             }
             RefusalCode::TargetUnreachable | RefusalCode::TargetLeaving | RefusalCode::NoTarget => {
                 history.exclude(target);
-                RetryDecision::AttemptResult
+                RetryDecision::Retry
             }
             RefusalCode::AdapterNotLoaded if self.has_no_live_owner(target) => {
                 history.exclude(target);
-                RetryDecision::AttemptResult
+                RetryDecision::Retry
             }
             _ if history.waited() >= MAX_WAIT => RetryDecision::GiveUp,
             _ => RetryDecision::RetryAfterBackoff,
@@ -456,7 +456,7 @@
 
 fn retry_if(can_retry: bool) -> RetryDecision {
     match can_retry {
-        true => RetryDecision::AttemptResult,
+        true => RetryDecision::Retry,
         false => RetryDecision::GiveUp,
     }
 }
