--- a/src/request/entry_progress.rs
+++ b/src/request/entry_progress.rs
@@ -5,7 +5,7 @@
 };
 
 /// Size limit of the sent events retained to continue a stream on another engine, in bytes.
-const MAX_KEPT: usize = 512 * 1024;
+const MAX_RETAINED_BYTES: usize = 512 * 1024;
 
 const DATA_FIELD: &str = "data: ";
 
@@ -16,9 +16,9 @@
     pub next_index: u64,
     /// Head of the answer, once received; that of a stream has also been sent.
     pub head: Option<AnswerHead>,
-    sent: Vec<Bytes>,
+    sent_events: Vec<Bytes>,
     sent_bytes: usize,
-    whole: Vec<Bytes>,
+    buffered: Vec<Bytes>,
 }
 
 /// The caller has disconnected.
@@ -42,7 +42,7 @@
                 let first = self.head.is_none();
                 let streams = stream && first;
                 self.head = Some(head.clone());
-                self.whole.clear();
+                self.buffered.clear();
                 if streams {
                     let part = AnswerPart::Head(head);
                     return out.send(part).await.map_err(|_| CallerGone);
@@ -52,19 +52,19 @@
                 // A part with another index belongs to another attempt.
                 if index == self.next_index {
                     self.next_index += u64::from(count);
-                    self.keep(&data);
+                    self.retain(&data);
                     let part = AnswerPart::Events { index, count, data };
                     return out.send(part).await.map_err(|_| CallerGone);
                 }
             }
-            AnswerPart::Events { data, .. } => self.whole.push(data),
+            AnswerPart::Events { data, .. } => self.buffered.push(data),
             AnswerPart::End | AnswerPart::Refused(_) => {}
         }
         Ok(())
     }
 
     /// Sends the buffered answer.
-    pub async fn release(
+    pub async fn flush(
         &mut self,
         out: &PartSender,
     ) -> Result<(), CallerGone> {
@@ -73,7 +73,7 @@
                 .await
                 .map_err(|_| CallerGone)?;
         }
-        for data in std::mem::take(&mut self.whole) {
+        for data in std::mem::take(&mut self.buffered) {
             let part = AnswerPart::Events {
                 index: 0,
                 count: 1,
@@ -94,7 +94,7 @@
         if !self.has_begun() {
             return Some(request.body.clone());
         }
-        if self.sent_bytes > MAX_KEPT {
+        if self.sent_bytes > MAX_RETAINED_BYTES {
             return None;
         }
         let mut body: Value = serde_json::from_slice(&request.body).ok()?;
@@ -108,20 +108,20 @@
         serde_json::to_vec(&body).ok().map(Bytes::from)
     }
 
-    fn keep(
+    fn retain(
         &mut self,
         data: &Bytes,
     ) {
         self.sent_bytes += data.len();
-        match self.sent_bytes > MAX_KEPT {
-            true => self.sent.clear(),
-            false => self.sent.push(data.clone()),
+        match self.sent_bytes > MAX_RETAINED_BYTES {
+            true => self.sent_events.clear(),
+            false => self.sent_events.push(data.clone()),
         }
     }
 
     fn sent_text(&self) -> Option<String> {
         let mut text = String::new();
-        for data in &self.sent {
+        for data in &self.sent_events {
             let lines = std::str::from_utf8(data).ok()?;
             for event in lines
                 .lines()
