--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -267,7 +267,7 @@
             match part {
                 AnswerPart::Refused(refusal) => return AttemptResult::Refused(refusal),
                 AnswerPart::End => {
-                    if !stream && let Err(CallerGone) = progress.release(out).await {
+                    if !stream && let Err(CallerGone) = progress.flush(out).await {
                         return AttemptResult::CallerGone;
                     }
                     return AttemptResult::Answered;
