--- a/src/request/entry_progress.rs
+++ b/src/request/entry_progress.rs
@@ -31,7 +31,7 @@
     }
 
     /// Handles a part of the answer. Parts of a stream are forwarded immediately, others are buffered.
-    pub async fn take(
+    pub async fn on_part(
         &mut self,
         part: AnswerPart,
         stream: bool,
--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -276,7 +276,7 @@
                     if let AnswerPart::Head(head) = &part {
                         self.metrics.load_wait(head.load_wait);
                     }
-                    if let Err(CallerGone) = progress.take(part, stream, out).await {
+                    if let Err(CallerGone) = progress.on_part(part, stream, out).await {
                         return AttemptResult::CallerGone;
                     }
                 }
