--- a/src/request/rate_limits.rs
+++ b/src/request/rate_limits.rs
@@ -14,8 +14,8 @@
 
 #[derive(Debug)]
 struct Bucket {
-    level: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl RateLimits {
@@ -29,18 +29,20 @@
         if rate <= 0.0 {
             return true;
         }
-        let room = (rate * BURST_SECONDS).max(1.0);
+        let capacity = (rate * BURST_SECONDS).max(1.0);
         let mut buckets = self.buckets.lock().expect("no holder panics");
         let bucket = buckets.entry(service.to_string()).or_insert(Bucket {
-            level: room,
-            at: now,
+            tokens: capacity,
+            refilled_at: now,
         });
-        let passed = now.saturating_duration_since(bucket.at).as_secs_f64();
-        bucket.level = (bucket.level + passed * rate).min(room);
-        bucket.at = now;
-        let admits = bucket.level >= 1.0;
+        let elapsed = now
+            .saturating_duration_since(bucket.refilled_at)
+            .as_secs_f64();
+        bucket.tokens = (bucket.tokens + elapsed * rate).min(capacity);
+        bucket.refilled_at = now;
+        let admits = bucket.tokens >= 1.0;
         if admits {
-            bucket.level -= 1.0;
+            bucket.tokens -= 1.0;
         }
         admits
     }
