--- a/src/request/entry_service.rs
+++ b/src/request/entry_service.rs
@@ -89,7 +89,7 @@
     ) -> EntryEnd {
         let view = self.view.load_full();
         if let Some(service) = view.config.services.get(&request.service) {
-            self.budget.earn(&request.service, service.retry_share);
+            self.budget.deposit(&request.service, service.retry_share);
         }
         let started = Instant::now();
         let end = match self.run_attempts(request, out).await {
@@ -344,7 +344,7 @@
         let is_late = refusal.code == RefusalCode::DeadlinePassed;
         let resumable = request.stream && request.model.is_some() && !is_foreign;
         let can_retry = !is_late && (request.repeatable || resumable);
-        if !can_retry || !self.budget.spend(&request.service) {
+        if !can_retry || !self.budget.withdraw(&request.service) {
             return RetryDecision::GiveUp;
         }
         match is_foreign {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -663,13 +663,13 @@
 #[test]
 fn a_retry_budget_runs_out_and_is_earned() {
     let budget = RetryBudget::default();
-    budget.earn("s", 0.5);
-    let spent = (0..20).filter(|_| budget.spend("s")).count();
+    budget.deposit("s", 0.5);
+    let spent = (0..20).filter(|_| budget.withdraw("s")).count();
     assert_eq!(spent, 10);
-    budget.earn("s", 0.5);
-    assert!(!budget.spend("s"));
-    budget.earn("s", 0.5);
-    assert!(budget.spend("s"));
+    budget.deposit("s", 0.5);
+    assert!(!budget.withdraw("s"));
+    budget.deposit("s", 0.5);
+    assert!(budget.withdraw("s"));
 }
 
 #[test]
