--- a/src/request/passed_headers.rs
+++ b/src/request/passed_headers.rs
@@ -7,7 +7,7 @@
 };
 
 /// Headers that apply to one connection or are set again by the proxy, and are not forwarded.
-const STOPPED: &[&str] = &[
+const NOT_FORWARDED: &[&str] = &[
     "authorization",
     "connection",
     "content-length",
@@ -33,13 +33,13 @@
 
 /// Returns the headers of a message that are forwarded.
 pub fn passed_headers(headers: &HeaderMap) -> HeaderMap {
-    let passes = |name: &HeaderName| {
+    let is_forwarded = |name: &HeaderName| {
         let name = name.as_str();
-        !STOPPED.contains(&name) && !name.starts_with(OWN_PREFIX)
+        !NOT_FORWARDED.contains(&name) && !name.starts_with(OWN_PREFIX)
     };
     headers
         .iter()
-        .filter(|(name, _)| passes(name))
+        .filter(|(name, _)| is_forwarded(name))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
