--- a/src/request/request_parser.rs
+++ b/src/request/request_parser.rs
@@ -30,9 +30,9 @@
 
 const HEADER_KEY: &str = "idempotency-key";
 
-const MAX_KEY: usize = 200;
+const MAX_KEY_LEN: usize = 200;
 
-const BEARER: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
 /// Head of a request as received.
 pub struct RequestHead<'a> {
@@ -71,10 +71,10 @@
         &self,
         headers: &HeaderMap,
     ) -> Result<&str, RequestError> {
-        let shown = text(headers, "authorization")?
-            .and_then(|value| value.strip_prefix(BEARER))
+        let token = text(headers, "authorization")?
+            .and_then(|value| value.strip_prefix(BEARER_PREFIX))
             .ok_or(RequestError::WrongKey)?;
-        let found = self.config.service_of_key(&KeyHash::from_key(shown));
+        let found = self.config.service_of_key(&KeyHash::from_key(token));
         let found = found.ok_or(RequestError::WrongKey)?;
         match text(headers, HEADER_SERVICE)? {
             Some(named) if named != found => Err(RequestError::WrongKey),
@@ -143,7 +143,7 @@
         let outfitter = self.outfitter(headers, &caller)?;
         let key = key(headers)?;
         let attempt = attempt(headers, &key)?;
-        let life = deadline(headers, caller.kind_spec)?;
+        let timeout = deadline(headers, caller.kind_spec)?;
         Ok(CallerRequest {
             id: head.id,
             service: caller.service.to_string(),
@@ -153,7 +153,7 @@
             repeatable: repeatable(headers, caller.kind_spec)?,
             kind: caller.kind,
             model: None,
-            deadline: head.arrived + life,
+            deadline: head.arrived + timeout,
             key,
             attempt,
             stream: false,
@@ -211,8 +211,8 @@
     let plain = key
         .bytes()
         .all(|byte| byte.is_ascii_graphic() && byte != b'/');
-    if key.len() > MAX_KEY || !plain {
-        let problem = format!("must be at most {MAX_KEY} printable characters without a slash");
+    if key.len() > MAX_KEY_LEN || !plain {
+        let problem = format!("must be at most {MAX_KEY_LEN} printable characters without a slash");
         return Err(RequestError::BadHeader {
             name: HEADER_KEY,
             problem,
@@ -244,15 +244,15 @@
     headers: &HeaderMap,
     kind: &KindSpec,
 ) -> Result<Duration, RequestError> {
-    let asked = parsed::<u64>(headers, HEADER_DEADLINE)?;
-    if asked == Some(0) {
+    let requested = parsed::<u64>(headers, HEADER_DEADLINE)?;
+    if requested == Some(0) {
         return Err(RequestError::BadHeader {
             name: HEADER_DEADLINE,
             problem: "must be at least 1".into(),
         });
     }
-    let life = asked.unwrap_or(kind.deadline_ms).min(kind.deadline_ms);
-    Ok(Duration::from_millis(life))
+    let timeout = requested.unwrap_or(kind.deadline_ms).min(kind.deadline_ms);
+    Ok(Duration::from_millis(timeout))
 }
 
 fn repeatable(
@@ -264,7 +264,7 @@
             name: HEADER_REPEATABLE,
             problem: "requests of this kind may not be repeated".into(),
         }),
-        Some(asked) => Ok(asked),
+        Some(requested) => Ok(requested),
         None => Ok(kind.repeatable),
     }
 }
