--- a/src/request/request_parser.rs
+++ b/src/request/request_parser.rs
@@ -71,12 +71,12 @@
         &self,
         headers: &HeaderMap,
     ) -> Result<&str, RequestError> {
-        let token = text(headers, "authorization")?
+        let token = header_text(headers, "authorization")?
             .and_then(|value| value.strip_prefix(BEARER_PREFIX))
             .ok_or(RequestError::WrongKey)?;
         let found = self.config.service_of_key(&KeyHash::from_key(token));
         let found = found.ok_or(RequestError::WrongKey)?;
-        match text(headers, HEADER_SERVICE)? {
+        match header_text(headers, HEADER_SERVICE)? {
             Some(named) if named != found => Err(RequestError::WrongKey),
             _ => Ok(found),
         }
@@ -171,7 +171,7 @@
     ) -> Result<Caller<'b>, RequestError> {
         let unknown = || RequestError::UnknownService(service.to_string());
         let spec = self.config.services.get(service).ok_or_else(unknown)?;
-        let kind = match text(headers, HEADER_KIND)? {
+        let kind = match header_text(headers, HEADER_KIND)? {
             Some(kind) => kind.to_string(),
             None => spec.kinds.first().cloned().unwrap_or_default(),
         };
@@ -196,7 +196,7 @@
         headers: &HeaderMap,
         caller: &Caller<'_>,
     ) -> Result<Option<String>, RequestError> {
-        let Some(named) = text(headers, HEADER_OUTFITTER)? else {
+        let Some(named) = header_text(headers, HEADER_OUTFITTER)? else {
             return Ok(caller.spec.outfitter.clone());
         };
         match self.config.outfitters.contains_key(named) {
@@ -207,11 +207,11 @@
 }
 
 fn key(headers: &HeaderMap) -> Result<String, RequestError> {
-    let key = text(headers, HEADER_KEY)?.unwrap_or_default();
-    let plain = key
+    let key = header_text(headers, HEADER_KEY)?.unwrap_or_default();
+    let is_valid = key
         .bytes()
         .all(|byte| byte.is_ascii_graphic() && byte != b'/');
-    if key.len() > MAX_KEY_LEN || !plain {
+    if key.len() > MAX_KEY_LEN || !is_valid {
         let problem = format!("must be at most {MAX_KEY_LEN} printable characters without a slash");
         return Err(RequestError::BadHeader {
             name: HEADER_KEY,
@@ -226,7 +226,7 @@
     headers: &HeaderMap,
     key: &str,
 ) -> Result<u32, RequestError> {
-    let attempt = parsed::<u32>(headers, HEADER_ATTEMPT)?;
+    let attempt = parse_header::<u32>(headers, HEADER_ATTEMPT)?;
     let problem = match (attempt, key.is_empty()) {
         (Some(0), _) => "counts from 1",
         (Some(2..), true) => "a later attempt needs its idempotency-key",
@@ -244,7 +244,7 @@
     headers: &HeaderMap,
     kind: &KindSpec,
 ) -> Result<Duration, RequestError> {
-    let requested = parsed::<u64>(headers, HEADER_DEADLINE)?;
+    let requested = parse_header::<u64>(headers, HEADER_DEADLINE)?;
     if requested == Some(0) {
         return Err(RequestError::BadHeader {
             name: HEADER_DEADLINE,
@@ -259,7 +259,7 @@
     headers: &HeaderMap,
     kind: &KindSpec,
 ) -> Result<bool, RequestError> {
-    match parsed::<bool>(headers, HEADER_REPEATABLE)? {
+    match parse_header::<bool>(headers, HEADER_REPEATABLE)? {
         Some(true) if !kind.repeatable => Err(RequestError::BadHeader {
             name: HEADER_REPEATABLE,
             problem: "requests of this kind may not be repeated".into(),
@@ -269,11 +269,11 @@
     }
 }
 
-fn parsed<T: FromStr<Err: Display>>(
+fn parse_header<T: FromStr<Err: Display>>(
     headers: &HeaderMap,
     name: &'static str,
 ) -> Result<Option<T>, RequestError> {
-    let Some(value) = text(headers, name)? else {
+    let Some(value) = header_text(headers, name)? else {
         return Ok(None);
     };
     let parsed = value.parse().map_err(|e: T::Err| RequestError::BadHeader {
@@ -284,7 +284,7 @@
 }
 
 /// Returns the value of a header. Fails if the header is present with different values.
-fn text<'a>(
+fn header_text<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
 ) -> Result<Option<&'a str>, RequestError> {
