--- a/src/request/run_permit.rs
+++ b/src/request/run_permit.rs
@@ -26,12 +26,12 @@
     }
 
     /// Records that the request was sent: the target may run it until it is settled.
-    pub fn sent(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.settled = false;
     }
 
     /// Records that the request has ended at the target, or never started there.
-    pub fn settled(&mut self) {
+    pub fn mark_settled(&mut self) {
         self.settled = true;
     }
 }
--- a/src/request/target_run.rs
+++ b/src/request/target_run.rs
@@ -55,12 +55,12 @@
         let id = &self.request.request_id;
         let answer = self.client.resume(self.spec.address, id, from).await;
         let answer = answer.ok()?;
-        self.note(Event::RequestResumed);
+        self.log_event(Event::RequestResumed);
         let check = AnswerCheck::new(id, &model, from);
         if self.send_head(&answer).await.is_err() {
-            return Some(gone());
+            return Some(receiver_gone());
         }
-        Some(self.stream(answer, check).await)
+        Some(self.forward_stream(answer, check).await)
     }
 
     /// Sends the request and forwards its answer.
@@ -70,19 +70,19 @@
     ) -> RunEnd {
         let mut permit = permit;
         if let Some(permit) = permit.as_deref_mut() {
-            permit.sent();
+            permit.mark_sent();
         }
-        self.note(Event::RequestSent);
+        self.log_event(Event::RequestSent);
         let end = match self.client.send(self.call()).await {
-            Ok(answer) => self.answer(answer).await,
-            Err(error) => self.failed(error).await,
+            Ok(answer) => self.forward_answer(answer).await,
+            Err(error) => self.on_error(error).await,
         };
         let settled = match &end {
             RunEnd::Answered(_) => true,
             RunEnd::Refused(refusal) => !refusal.may_have_run,
         };
         if let (true, Some(permit)) = (settled, permit) {
-            permit.settled();
+            permit.mark_settled();
         }
         end
     }
@@ -103,27 +103,27 @@
         }
     }
 
-    async fn answer(
+    async fn forward_answer(
         &self,
         answer: TargetAnswer,
     ) -> RunEnd {
-        self.contact(true);
+        self.report_contact(true);
         let Some(model) = &self.model else {
-            return self.whole(answer, None).await;
+            return self.forward_body(answer, None).await;
         };
         let id = &self.request.request_id;
         let check = AnswerCheck::new(id, model, self.request.resume_from);
         if !self.request.stream || !answer.status.is_success() {
-            return self.whole(answer, Some(check)).await;
+            return self.forward_body(answer, Some(check)).await;
         }
         if self.send_head(&answer).await.is_err() {
-            return gone();
+            return receiver_gone();
         }
-        self.stream(answer, check).await
+        self.forward_stream(answer, check).await
     }
 
     /// Forwards an answer that is not streamed, after validating it completely.
-    async fn whole(
+    async fn forward_body(
         &self,
         answer: TargetAnswer,
         check: Option<AnswerCheck>,
@@ -132,12 +132,12 @@
         let checks = answer.status.is_success();
         let body = match answer.whole().await {
             Ok(body) => body,
-            Err(error) => return self.failed(error).await,
+            Err(error) => return self.on_error(error).await,
         };
         if let (Some(check), true) = (check, checks)
             && let Err(error) = check.whole(&body)
         {
-            return self.failed(error).await;
+            return self.on_error(error).await;
         }
         let kept = CachedAnswer {
             status: head.status,
@@ -160,7 +160,7 @@
         RunEnd::Answered(Some(kept))
     }
 
-    async fn stream(
+    async fn forward_stream(
         &self,
         answer: TargetAnswer,
         mut check: AnswerCheck,
@@ -168,13 +168,13 @@
         let mut reader = SseReader::new(answer.body);
         let mut resumes = 0;
         loop {
-            let error = match self.pump(&mut reader, &mut check).await {
+            let error = match self.forward_events(&mut reader, &mut check).await {
                 Ok(end) => return end,
                 Err(error) => error,
             };
             let broken = matches!(error, TargetError::Gap { .. } | TargetError::CutShort(_));
             if !broken || resumes >= MAX_RESUMES {
-                return self.failed(error).await;
+                return self.on_error(error).await;
             }
             resumes += 1;
             tokio::time::sleep(RESUME_PAUSE).await;
@@ -182,16 +182,16 @@
             let from = check.next_index();
             match self.client.resume(self.spec.address, id, from).await {
                 Ok(answer) => {
-                    self.note(Event::RequestResumed);
+                    self.log_event(Event::RequestResumed);
                     reader = SseReader::new(answer.body);
                 }
-                Err(_) => return self.failed(error).await,
+                Err(_) => return self.on_error(error).await,
             }
         }
     }
 
     /// Forwards events until the end marker or an error.
-    async fn pump(
+    async fn forward_events(
         &self,
         reader: &mut SseReader,
         check: &mut AnswerCheck,
@@ -212,7 +212,7 @@
             if let Some(part) = batch.into_part(index)
                 && self.parts.send(part).await.is_err()
             {
-                return Ok(gone());
+                return Ok(receiver_gone());
             }
             if checked? {
                 let _ = self.parts.send(AnswerPart::End).await;
@@ -221,7 +221,7 @@
         }
     }
 
-    async fn failed(
+    async fn on_error(
         &self,
         error: TargetError,
     ) -> RunEnd {
@@ -236,17 +236,17 @@
         }
         let refusal = match error {
             TargetError::NotReached(_) => {
-                self.contact(false);
+                self.report_contact(false);
                 Refusal::elsewhere(RefusalCode::TargetUnreachable)
             }
             TargetError::NotRun {
                 code,
                 retry_after_ms,
-            } => self.target_refused(&code, retry_after_ms),
-            TargetError::FencedOff => self.target_refused("fenced_off", 0),
+            } => self.on_rejected(&code, retry_after_ms),
+            TargetError::FencedOff => self.on_rejected("fenced_off", 0),
             TargetError::ForeignAnswer { .. } => Refusal::unknown(RefusalCode::AnswerForeign),
             TargetError::CutShort(_) => {
-                self.contact(false);
+                self.report_contact(false);
                 Refusal::unknown(RefusalCode::AnswerLost)
             }
             _ => Refusal::unknown(RefusalCode::CutShort),
@@ -254,7 +254,7 @@
         RunEnd::Refused(refusal)
     }
 
-    fn target_refused(
+    fn on_rejected(
         &self,
         code: &str,
         retry_after_ms: u64,
@@ -300,7 +300,7 @@
         }
     }
 
-    fn contact(
+    fn report_contact(
         &self,
         reached: bool,
     ) {
@@ -310,7 +310,7 @@
         });
     }
 
-    fn note(
+    fn log_event(
         &self,
         event: Event,
     ) {
@@ -377,6 +377,6 @@
 }
 
 /// Returns the end of a run whose receiver is gone; the target may still be running the request.
-fn gone() -> RunEnd {
+fn receiver_gone() -> RunEnd {
     RunEnd::Refused(Refusal::unknown(RefusalCode::AnswerLost))
 }
