--- a/src/request/target_run.rs
+++ b/src/request/target_run.rs
@@ -24,7 +24,7 @@
 const MAX_RESUMES: u32 = 3;
 
 /// Delay before a broken stream is resumed.
-const RESUME_PAUSE: Duration = Duration::from_millis(20);
+const RESUME_DELAY: Duration = Duration::from_millis(20);
 
 /// How a run at a target ended.
 #[derive(Debug, Clone, PartialEq)]
@@ -129,17 +129,17 @@
         check: Option<AnswerCheck>,
     ) -> RunEnd {
         let head = self.head(&answer);
-        let checks = answer.status.is_success();
+        let is_success = answer.status.is_success();
         let body = match answer.whole().await {
             Ok(body) => body,
             Err(error) => return self.on_error(error).await,
         };
-        if let (Some(check), true) = (check, checks)
+        if let (Some(check), true) = (check, is_success)
             && let Err(error) = check.whole(&body)
         {
             return self.on_error(error).await;
         }
-        let kept = CachedAnswer {
+        let cached = CachedAnswer {
             status: head.status,
             headers: head.headers.clone(),
             body: body.clone(),
@@ -157,7 +157,7 @@
             // The request has been answered even if the caller no longer waits.
             let _ = self.parts.send(part).await;
         }
-        RunEnd::Answered(Some(kept))
+        RunEnd::Answered(Some(cached))
     }
 
     async fn forward_stream(
@@ -172,12 +172,12 @@
                 Ok(end) => return end,
                 Err(error) => error,
             };
-            let broken = matches!(error, TargetError::Gap { .. } | TargetError::CutShort(_));
-            if !broken || resumes >= MAX_RESUMES {
+            let can_resume = matches!(error, TargetError::Gap { .. } | TargetError::CutShort(_));
+            if !can_resume || resumes >= MAX_RESUMES {
                 return self.on_error(error).await;
             }
             resumes += 1;
-            tokio::time::sleep(RESUME_PAUSE).await;
+            tokio::time::sleep(RESUME_DELAY).await;
             let id = &self.request.request_id;
             let from = check.next_index();
             match self.client.resume(self.spec.address, id, from).await {
@@ -272,8 +272,8 @@
             }
             _ => {
                 let mut refusal = Refusal::elsewhere(RefusalCode::Overloaded);
-                let named = Duration::from_millis(retry_after_ms);
-                refusal.retry_after = refusal.retry_after.max(named);
+                let requested = Duration::from_millis(retry_after_ms);
+                refusal.retry_after = refusal.retry_after.max(requested);
                 refusal
             }
         }
