--- a/src/request/attempt_ledger.rs
+++ b/src/request/attempt_ledger.rs
@@ -39,7 +39,7 @@
     pub request_id: String,
     pub state: AttemptState,
     updated_at: Instant,
-    wait_until_ended: Arc<Notify>,
+    ended: Arc<Notify>,
 }
 
 /// Idempotency keys of requests that may not be repeated, kept by the owner of their target.
@@ -66,7 +66,7 @@
             request_id: request_id.to_string(),
             state: AttemptState::Running,
             updated_at: Instant::now(),
-            wait_until_ended: Arc::default(),
+            ended: Arc::default(),
         };
         records.insert(name, record);
         None
@@ -93,7 +93,7 @@
         if let Some(record) = self.lock().get_mut(&name) {
             record.state = state;
             record.updated_at = Instant::now();
-            record.wait_until_ended.notify_waiters();
+            record.ended.notify_waiters();
         }
     }
 
@@ -105,7 +105,7 @@
     ) {
         let name = (service.to_string(), key.to_string());
         if let Some(record) = self.lock().remove(&name) {
-            record.wait_until_ended.notify_waiters();
+            record.ended.notify_waiters();
         }
     }
 
@@ -119,7 +119,7 @@
     ) -> Option<AttemptRecord> {
         loop {
             let record = self.find(service, key)?;
-            let notified = record.wait_until_ended.notified();
+            let notified = record.ended.notified();
             tokio::pin!(notified);
             notified.as_mut().enable();
             // Read again, as the request may have ended before the notification was enabled.
@@ -149,8 +149,8 @@
         return;
     }
     // Still full: evict the older half of the ended ones.
-    let mut ages: Vec<Instant> = records.values().map(|record| record.updated_at).collect();
-    ages.sort_unstable();
-    let median = ages[ages.len() / 2];
+    let mut update_times: Vec<Instant> = records.values().map(|record| record.updated_at).collect();
+    update_times.sort_unstable();
+    let median = update_times[update_times.len() / 2];
     records.retain(|_, record| record.state == AttemptState::Running || record.updated_at > median);
 }
--- a/src/request/claim_store.rs
+++ b/src/request/claim_store.rs
@@ -105,15 +105,15 @@
     })
 }
 
-fn from_stored(text: &StoredAnswer) -> Option<CachedAnswer> {
+fn from_stored(stored: &StoredAnswer) -> Option<CachedAnswer> {
     let mut headers = HeaderMap::new();
-    if let Ok(value) = HeaderValue::from_str(&text.content_type) {
+    if let Ok(value) = HeaderValue::from_str(&stored.content_type) {
         headers.insert(CONTENT_TYPE, value);
     }
     Some(CachedAnswer {
-        status: StatusCode::from_u16(text.status).ok()?,
+        status: StatusCode::from_u16(stored.status).ok()?,
         headers,
-        body: Bytes::from(text.body.clone()),
+        body: Bytes::from(stored.body.clone()),
     })
 }
 
--- a/src/request/forwarder.rs
+++ b/src/request/forwarder.rs
@@ -60,7 +60,7 @@
         replies: Box<tonic::Streaming<wire::ForwardReply>>,
         owner: WatchedOwner,
     },
-    /// The owner was not reached.
+    /// The call to the owner failed.
     Failed(Refusal),
 }
 
--- a/src/request/owner_service.rs
+++ b/src/request/owner_service.rs
@@ -145,7 +145,7 @@
         self.write_claim(request, &AttemptState::Running);
         let end = self.run_at_target(request, permission, parts).await;
         let state = match &end {
-            RunEnd::Answered(kept) => AttemptState::Answered(kept.clone()),
+            RunEnd::Answered(cached) => AttemptState::Answered(cached.clone()),
             RunEnd::Refused(refusal) if refusal.may_have_run => AttemptState::Unknown,
             RunEnd::Refused(_) => {
                 context.ledger.forget(service, key);
@@ -219,9 +219,8 @@
             return KeyCheck::Known(record.state);
         }
         let ledger = &self.context.ledger;
-        let wait_until_ended =
-            ledger.wait_until_ended(&request.service, &request.key, deadline(request));
-        match wait_until_ended.await {
+        let ended = ledger.wait_until_ended(&request.service, &request.key, deadline(request));
+        match ended.await {
             Some(record) => KeyCheck::Known(record.state),
             // The other attempt did not run, and the key was released.
             None => KeyCheck::Refused(Refusal::elsewhere(RefusalCode::NotOwner)),
@@ -235,8 +234,8 @@
         state: AttemptState,
         parts: &PartSender,
     ) -> RunEnd {
-        let kept = match state {
-            AttemptState::Answered(Some(kept)) => kept,
+        let cached = match state {
+            AttemptState::Answered(Some(cached)) => cached,
             AttemptState::Answered(None) => {
                 return RunEnd::Refused(Refusal::unknown(RefusalCode::AlreadyAnswered));
             }
@@ -245,13 +244,13 @@
             }
         };
         let head = AnswerHead {
-            status: kept.status,
-            headers: kept.headers.clone(),
+            status: cached.status,
+            headers: cached.headers.clone(),
             target: request.target.clone(),
             load_wait: Duration::ZERO,
             replayed: true,
         };
-        let data = kept.body.clone();
+        let data = cached.body.clone();
         let events = AnswerPart::Events {
             index: 0,
             count: 1,
@@ -260,7 +259,7 @@
         for part in [AnswerPart::Head(head), events, AnswerPart::End] {
             let _ = parts.send(part).await;
         }
-        RunEnd::Answered(Some(kept))
+        RunEnd::Answered(Some(cached))
     }
 
     async fn run_at_target(
--- a/src/request/request_parser.rs
+++ b/src/request/request_parser.rs
@@ -143,7 +143,7 @@
         let outfitter = self.outfitter(headers, &caller)?;
         let key = key(headers)?;
         let attempt = attempt(headers, &key)?;
-        let timeout = deadline(headers, caller.kind_spec)?;
+        let timeout = timeout(headers, caller.kind_spec)?;
         Ok(CallerRequest {
             id: head.id,
             service: caller.service.to_string(),
@@ -240,7 +240,7 @@
     })
 }
 
-fn deadline(
+fn timeout(
     headers: &HeaderMap,
     kind: &KindSpec,
 ) -> Result<Duration, RequestError> {
@@ -251,8 +251,8 @@
             problem: "must be at least 1".into(),
         });
     }
-    let timeout = requested.unwrap_or(kind.deadline_ms).min(kind.deadline_ms);
-    Ok(Duration::from_millis(timeout))
+    let timeout_ms = requested.unwrap_or(kind.deadline_ms).min(kind.deadline_ms);
+    Ok(Duration::from_millis(timeout_ms))
 }
 
 fn repeatable(
