--- a/src/request/request_parser.rs
+++ b/src/request/request_parser.rs
@@ -228,8 +228,8 @@
 ) -> Result<u32, RequestError> {
     let attempt = parse_header::<u32>(headers, HEADER_ATTEMPT)?;
     let problem = match (attempt, key.is_empty()) {
-        (Some(0), _) => "counts from 1",
-        (Some(2..), true) => "a later attempt needs its idempotency-key",
+        (Some(0), _) => "must be at least 1",
+        (Some(2..), true) => "must be 1 without an idempotency-key header",
         (Some(attempt), _) => return Ok(attempt),
         (None, true) => return Ok(1),
         (None, false) => return Ok(0),
@@ -297,8 +297,10 @@
         return Ok(None);
     };
     if values.any(|other| other != first) {
-        return Err(bad("sent twice with different values"));
+        return Err(bad("is sent more than once with different values"));
     }
-    let value = first.to_str().map_err(|_| bad("is not plain text"))?;
+    let value = first
+        .to_str()
+        .map_err(|_| bad("is not printable ASCII text"))?;
     Ok(Some(value))
 }
