--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -189,7 +189,7 @@
         for target in &targets {
             let mut candidate =
                 outlook.candidate(board, request, target, AdapterCopyState::Unknown, tries);
-            candidate.copy_state = standing.copy_at(board, target, candidate.wait);
+            candidate.copy_state = standing.copy_at(board, target, candidate.time_to_first_event);
             candidates.push(candidate);
         }
         let terms = ChoiceContext {
@@ -204,7 +204,9 @@
             target: &targets[at],
             version: standing.newest,
             spare,
-            patience: terms.time_to_aim.saturating_sub(candidates[at].wait),
+            patience: terms
+                .time_to_aim
+                .saturating_sub(candidates[at].time_to_first_event),
         };
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. }
@@ -220,7 +222,7 @@
                 let is_ready =
                     |candidate: &&EngineCandidate| candidate.copy_state == AdapterCopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
-                let wait = candidates[to].wait;
+                let wait = candidates[to].time_to_first_event;
                 let version = standing.version_at(board, &targets[to], wait);
                 let version = version.map(|version| VersionSent {
                     version,
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -68,7 +68,7 @@
         let tokens = link.running_tokens() + prompt + answer;
         EngineCandidate {
             copy_state,
-            wait: self
+            time_to_first_event: self
                 .speed
                 .time_for(self.backlog_before(link, request) + prompt),
             load_time: link.load_time(self.now).unwrap_or(DEFAULT_LOAD_TIME),
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -28,7 +28,7 @@
 pub struct EngineCandidate {
     pub copy_state: AdapterCopyState,
     /// Expected time to the first event once the adapter is loaded.
-    pub wait: Duration,
+    pub time_to_first_event: Duration,
     /// Expected time to load the adapter from the weight store, if the load is requested now.
     pub load_time: Duration,
     /// Share of its KV memory in use with this request; 1 is full.
@@ -275,7 +275,7 @@
     non_home_surcharge: f64,
     context: &ChoiceContext,
 ) -> f64 {
-    let wait = candidate.wait.as_secs_f64();
+    let wait = candidate.time_to_first_event.as_secs_f64();
     let hall_penalty = match candidate.same_hall {
         true => 0.0,
         false => REMOTE_HALL_PENALTY_S,
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -199,7 +199,7 @@
     EngineCandidate {
         load_time: DEFAULT_LOAD_TIME,
         copy_state,
-        wait: ms(wait_ms),
+        time_to_first_event: ms(wait_ms),
         memory_share: 0.3,
         batch_share: 0.3,
         relative_load: 1.0,
