--- a/src/request/attempt_ledger.rs
+++ b/src/request/attempt_ledger.rs
@@ -98,7 +98,7 @@
     }
 
     /// Releases the key of a request that did not run.
-    pub fn forget(
+    pub fn release(
         &self,
         service: &str,
         key: &str,
--- a/src/request/owner_service.rs
+++ b/src/request/owner_service.rs
@@ -148,7 +148,7 @@
             RunEnd::Answered(cached) => AttemptState::Answered(cached.clone()),
             RunEnd::Refused(refusal) if refusal.may_have_run => AttemptState::Unknown,
             RunEnd::Refused(_) => {
-                context.ledger.forget(service, key);
+                context.ledger.release(service, key);
                 context.claims.write_behind(service, key, None);
                 return end;
             }
@@ -190,7 +190,7 @@
             // No earlier attempt can have run.
             Err(_) if request.attempt == 1 => KeyCheck::Run,
             Err(_) => {
-                context.ledger.forget(service, key);
+                context.ledger.release(service, key);
                 let retry_after = Duration::from_secs(1);
                 KeyCheck::Refused(Refusal::not_run(RefusalCode::ClaimUnreadable, retry_after))
             }
