--- a/src/request/direct/plain_choice.rs
+++ b/src/request/direct/plain_choice.rs
@@ -18,7 +18,7 @@
 }
 
 /// Added to the load of a target in another hall, as a share of its slots.
-const DISTANCE_COST: f64 = 0.34;
+const REMOTE_HALL_LOAD: f64 = 0.34;
 
 /// Chooses the target with the lowest load and returns its index; `draw`, a random number in `0.0..1.0`, breaks ties.
 ///
@@ -49,9 +49,9 @@
 }
 
 fn load(candidate: &PlainCandidate) -> f64 {
-    let distance = match candidate.same_hall {
+    let remote_load = match candidate.same_hall {
         true => 0.0,
-        false => DISTANCE_COST,
+        false => REMOTE_HALL_LOAD,
     };
-    f64::from(candidate.in_flight) / f64::from(candidate.slots.max(1)) + distance
+    f64::from(candidate.in_flight) / f64::from(candidate.slots.max(1)) + remote_load
 }
