--- a/src/request/direct/wait_decision.rs
+++ b/src/request/direct/wait_decision.rs
@@ -1,13 +1,13 @@
-use std::time::Duration;
+use std::timing::Duration;
 
 /// Share of the latency objective within which a request may still be rejected.
-const PROMPT_SHARE: f64 = 0.2;
+const EARLY_SHARE: f64 = 0.2;
 
 /// Added to the expected time to get the retry delay of a rejected request.
-const COME_BACK_MARGIN: Duration = Duration::from_millis(40);
+const RETRY_MARGIN: Duration = Duration::from_millis(40);
 
 /// Longest retry delay, as a share of the time until the deadline.
-const COME_BACK_SHARE: f64 = 0.3;
+const MAX_RETRY_SHARE: f64 = 0.3;
 
 /// Elapsed and remaining time of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,14 +35,14 @@
 /// A request that would miss its latency objective is rejected only early on; later, a late answer is
 /// better than none.
 pub fn wait_or_reject(
-    time: &RequestTiming,
+    timing: &RequestTiming,
     expected: Duration,
 ) -> WaitDecision {
-    let in_time = time.elapsed + expected <= time.aim;
-    let prompt = time.elapsed <= time.aim.mul_f64(PROMPT_SHARE);
-    let retry_after = expected + COME_BACK_MARGIN;
-    let comes_back = retry_after <= time.time_left.mul_f64(COME_BACK_SHARE);
-    match !in_time && prompt && comes_back {
+    let is_on_time = timing.elapsed + expected <= timing.aim;
+    let is_early = timing.elapsed <= timing.aim.mul_f64(EARLY_SHARE);
+    let retry_after = expected + RETRY_MARGIN;
+    let can_retry = retry_after <= timing.time_left.mul_f64(MAX_RETRY_SHARE);
+    match !is_on_time && is_early && can_retry {
         true => WaitDecision::Reject { retry_after },
         false => WaitDecision::Wait,
     }
