--- a/src/request/direct/next_step.rs
+++ b/src/request/direct/next_step.rs
@@ -52,17 +52,17 @@
     budget_left: bool,
 ) -> NextStep {
     let repeats = history.arrivals > 0;
-    let may_repeat = !repeats || budget_left;
-    let spent = history.runs >= route.max_attempts || history.arrivals >= MAX_ARRIVALS;
+    let can_resend = !repeats || budget_left;
+    let attempts_exhausted = history.runs >= route.max_attempts || history.arrivals >= MAX_ARRIVALS;
     match end {
         AttemptEnd::NotSent => NextStep::Resend { repeats },
-        AttemptEnd::NotRun { .. } if history.runs > 0 && (spent || !may_repeat) => {
+        AttemptEnd::NotRun { .. } if history.runs > 0 && (attempts_exhausted || !can_resend) => {
             NextStep::OutcomeUnknown
         }
-        AttemptEnd::NotRun { .. } if spent || !may_repeat => NextStep::Reject,
+        AttemptEnd::NotRun { .. } if attempts_exhausted || !can_resend => NextStep::Reject,
         AttemptEnd::NotRun { .. } => NextStep::Resend { repeats },
         AttemptEnd::Failed { .. } | AttemptEnd::Lost
-            if route.repeatable() && !spent && may_repeat =>
+            if route.repeatable() && !attempts_exhausted && can_resend =>
         {
             NextStep::Resend { repeats }
         }
