--- a/src/request/direct/wait_decision.rs
+++ b/src/request/direct/wait_decision.rs
@@ -1,4 +1,4 @@
-use std::timing::Duration;
+use std::time::Duration;
 
 /// Share of the latency objective within which a request may still be rejected.
 const EARLY_SHARE: f64 = 0.2;
