--- a/src/connection/front/admission/belief_gate.rs
+++ b/src/connection/front/admission/belief_gate.rs
@@ -1,4 +1,4 @@
-//! Holds requests back while what they would rest on is too old.
+//! Delays requests while a table that they depend on is too stale.
 
 use {
     crate::{
@@ -11,23 +11,22 @@
     tokio::sync::Notify,
 };
 
-/// A request is held back for so long at the most. News that are late are mostly late by less; past
-/// this a caller does better to come to another host, as long as most of its time is left.
+/// Past this delay the caller should retry at another host, while most of its time is left.
 const MOST_HELD: Duration = Duration::from_millis(250);
 
-/// Callers that were turned away come back after this time: to another host, as a rule.
+/// Retry delay for callers that were rejected because a table was too stale.
 pub const HELD_COME_BACK: Duration = Duration::from_millis(50);
 
-/// What a request is held back for.
+/// A table that must be fresh enough at one stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Belief {
-    /// It is to be routed: by the configuration.
+    /// The configuration, for routing.
     Declared,
-    /// It is to be sent for a customer: by the keys that stand.
+    /// The customers' keys, for sends on behalf of a customer.
     Keys,
-    /// It is to be sent: by the list of targets.
+    /// The list of targets, for every send.
     Targets,
-    /// It is to be sent for an adapter: by what is known of its versions.
+    /// The versions of adapters, for sends that need one.
     Versions,
 }
 
@@ -55,10 +54,10 @@
     }
 }
 
-/// Waits until a belief is young enough, and tells if that took time; false if it took too long.
+/// Waits until a table is fresh enough, and logs a delay; returns false on timeout.
 ///
-/// It guards against a host whose control thread gets no processor, or whose news are held up on full
-/// links: it must not send requests to targets that said longer ago than the bound that they leave.
+/// Guards against a host whose control thread is starved or whose updates are delayed: it must not send requests to
+/// targets that announced longer ago than the staleness bound that they drain.
 pub async fn wait_until_confirmed(
     board: &Rc<RefCell<TargetBoard>>,
     belief: Belief,
--- a/src/connection/front/admission/key_check.rs
+++ b/src/connection/front/admission/key_check.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: the first thing that is asked of a request once its route is known.
+//! Authentication: finds the customer that a request is sent for.
 
 use {
     crate::{
@@ -9,13 +9,12 @@
     http::{HeaderMap, header},
 };
 
-/// Begins the value of the header that bears a key.
+/// Authentication scheme, in lower case.
 const SCHEME: &[u8] = b"bearer";
 
-/// The customer whose key a request bears; `None` where requests need no key.
+/// Returns the credential of a request, or `None` if the route needs no key.
 ///
-/// A request with several such headers bears none that could be told from the others: hosts and whatever stands behind
-/// them might each take another one for it.
+/// Rejects requests with several `authorization` headers: hosts and targets might each use another one.
 pub fn identify(
     headers: &HeaderMap,
     route: &Route,
@@ -37,7 +36,7 @@
     }))
 }
 
-/// The key in the value of a header.
+/// Returns the key in the value of an `authorization` header.
 fn key_of(value: &[u8]) -> Option<&[u8]> {
     let (scheme, key) = value.split_at_checked(SCHEME.len())?;
     let key = key.strip_prefix(b" ")?.trim_ascii();
--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -1,8 +1,9 @@
-//! What a request passes before it is sent to a target, in this order: that the configuration is young enough to route
-//! it by (`belief_gate`), whose it is (`key_check`), whether that customer may use more (`quota_gate`); then before each
-//! send whether keys, versions and the list of targets are young enough (`belief_gate`), for plain services, at which
-//! target there is a place (`place_gate`), and whether a target that takes only so many requests takes this one
-//! (`permit_gate`).
+//! Admission control: the checks that a request passes before it is sent to a target.
+//!
+//! Once per request: the configuration is fresh enough to route by (`belief_gate`), the key is valid (`key_check`) and
+//! the customer has quota left (`quota_gate`). Before each send: keys, versions and the list of targets are fresh enough
+//! (`belief_gate`), a target of a plain service has a free slot (`place_gate`), and a rate-limited target grants a
+//! permit (`permit_gate`).
 
 mod belief_gate;
 mod key_check;
--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -1,4 +1,4 @@
-//! Leave to send to a target that takes only so many requests a second from all hosts together.
+//! Permits to send to a target whose request rate is limited over all hosts.
 
 use {
     crate::{
@@ -10,13 +10,14 @@
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// The host that counts answers within this time; past it nothing is sent.
 const ASK_LIMIT: Duration = Duration::from_millis(50);
 
-/// A target whose counting host does not answer is left alone for so long: by then another one counts, or this one is back.
+/// Backoff for a target after a permit request that nobody answered.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
 
-/// True if a request may go to a target now; else the target is left alone until it may be asked for again.
+/// Requests a permit where the target needs one, and returns true if a request may be sent there now.
+///
+/// If not, the target is closed on this host until the next permit may be requested.
 pub async fn take_permit(
     board: &Rc<RefCell<TargetBoard>>,
     target: &Arc<str>,
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -1,4 +1,4 @@
-//! A place at a target of a plain service, before a request is sent there.
+//! Concurrency slots at the targets of plain services.
 
 use {
     crate::{
@@ -12,22 +12,21 @@
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// The host that gives places out answers within this time; past it a request goes where this host would send it by
-/// itself.
+/// Timeout of a slot request; past it this host chooses a target by itself.
 const ASK_LIMIT: Duration = Duration::from_millis(50);
 
-/// What became of a request for a place.
+/// Result of a slot request.
 pub enum PlaceFound {
     Place(HeldPlace),
-    /// All targets are full; the caller does better to come back after this time.
+    /// No target has a free slot; the caller should retry after this time.
     Full {
         come_back: Duration,
     },
-    /// Nobody answers who gives places out, or none knows of a target.
+    /// No slot allocator answered, or it knows no target that this host knows.
     Unknown,
 }
 
-/// A place at a target, told to have ended when dropped.
+/// A concurrency slot at a target; released when dropped.
 pub struct HeldPlace {
     board: Rc<RefCell<TargetBoard>>,
     service: String,
@@ -43,7 +42,7 @@
     }
 }
 
-/// Asks for a place for a request that is not to go to these targets.
+/// Requests a slot at any target of the service but those in `tried`.
 pub async fn find_place(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
@@ -90,7 +89,7 @@
         target: given.target.as_str().into(),
         end: PlaceEnd::Other,
     };
-    // What gives places out may know of a target that this host does not know yet.
+    // The allocator may know a target before this host does.
     let known = board.borrow().links.contains_key(&place.target);
     match known {
         true => PlaceFound::Place(place),
@@ -98,8 +97,8 @@
     }
 }
 
-/// Targets that a request is not to go to: those that it was sent to, those that take none now, and those that this host
-/// avoids, unless it avoids all of them.
+/// Returns the targets to exclude: those already tried, those that are closed, and those that this host avoids after
+/// failures, unless it avoids all of them.
 fn passed_over(
     board: &TargetBoard,
     service: &str,
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -1,4 +1,4 @@
-//! Whether a request's customer may use as much as the request costs, over all hosts.
+//! Charges the cost of a request to its customer's quota, which is shared by all hosts.
 
 use {
     crate::{
@@ -16,34 +16,31 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// A host that counts a customer's use answers within this time: a round trip takes some 3 ms, and small hosts are
-/// busy for some tens of ms now and then.
 const ASK_LIMIT: Duration = Duration::from_millis(100);
 
-/// Part of its aim for which a request waits until its customer may use what it costs: it is still answered in time then,
-/// and if it came back, which many callers do once, it would not be.
+/// Share of the route's latency objective for which a request waits for quota. Waiting that long still leaves time to
+/// answer, a while a rejected caller that retries would be late.
 const WAIT_SHARE: f64 = 0.4;
 
-/// Part of its aim for which a request waits until it is known who counts its customer's use. When all hosts were lost at
-/// once, that is known 0.2 to 0.6 s after they have started again, and requests come after 0.06 s.
+/// Share of the route's latency objective for which a request waits until a host is known that counts the quota, such as
+/// after all hosts have restarted.
 const UNCOUNTED_WAIT_SHARE: f64 = 0.6;
 
-/// Callers whose customer's use nobody counts come back after this time: most hosts that were lost have a successor
-/// or are back by then.
+/// Retry delay for callers whose quota no reachable host counts.
 const UNCOUNTED_COME_BACK: Duration = Duration::from_millis(300);
 
-/// Callers that are over their limit are told to come back after this time at the least: several share what comes in.
+/// Minimum retry delay for callers over their limit: several of them share the quota that accrues.
 const LEAST_COME_BACK: Duration = Duration::from_millis(50);
 
-/// What a request was let use; it goes back when dropped before the request may have run.
+/// Quota charged for a request; refunded when dropped, unless the request may have run.
 pub struct Charged {
     board: Rc<RefCell<TargetBoard>>,
-    /// What it was granted by; none if it was paid for with what had been granted ahead.
+    /// Refund of the grant; `None` if the charge was covered by quota granted in advance.
     grant: Option<ChargeRefund>,
 }
 
 impl Charged {
-    /// The request may have run.
+    /// Makes the charge final, as the request may have run.
     pub fn keep(&mut self) {
         self.grant = None;
     }
@@ -57,7 +54,8 @@
     }
 }
 
-/// Lets a request use what it costs, or gives the answer to it; `None` if nothing is counted for it.
+/// Charges the cost of a request, waiting for quota for a while; returns `None` if its customer has no limit, and the
+/// answer to the caller if the request is rejected.
 pub async fn charge(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
@@ -92,12 +90,12 @@
     }
 }
 
-/// Why a request was not let use what it costs.
+/// Why a request was not charged.
 #[derive(Debug, Clone, Copy)]
 enum Uncharged {
-    /// It will be there after this time.
+    /// The quota is used up; enough has accrued after this time.
     Over { come_back: Duration },
-    /// Nobody answers who counts its customer's use.
+    /// No host that counts the quota answered.
     Uncounted,
 }
 
@@ -112,7 +110,7 @@
     }
 }
 
-/// One request before the hosts that count its customer's use.
+/// Charges one request, part by part of its customer's quota.
 struct QuotaGate<'a> {
     board: &'a Rc<RefCell<TargetBoard>>,
     customer: &'a str,
@@ -152,7 +150,7 @@
         known.next_step(self.cost, asked, Instant::now())
     }
 
-    /// Asks one host; gives what it granted.
+    /// Sends a charge to the host that counts one part of the quota; returns `None` if it was not granted.
     async fn ask(
         &self,
         part: usize,
@@ -196,7 +194,7 @@
         timeout_at(until, ask.answer()).await.ok().flatten()
     }
 
-    /// Takes an answer in; true if the request was granted what it costs.
+    /// Records an answer; returns true if the cost of the request was granted.
     fn note_answer(
         &self,
         part: usize,
