--- a/src/connection/front/admission/belief_gate.rs
+++ b/src/connection/front/admission/belief_gate.rs
@@ -12,14 +12,14 @@
 };
 
 /// Past this delay the caller should retry at another host, while most of its time is left.
-const MOST_HELD: Duration = Duration::from_millis(250);
+const MAX_DELAY: Duration = Duration::from_millis(250);
 
 /// Retry delay for callers that were rejected because a table was too stale.
-pub const HELD_COME_BACK: Duration = Duration::from_millis(50);
+pub const STALE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// A table that must be fresh enough at one stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Belief {
+pub enum FreshnessCheck {
     /// The configuration, for routing.
     Declared,
     /// The customers' keys, for sends on behalf of a customer.
@@ -30,7 +30,7 @@
     Versions,
 }
 
-impl Belief {
+impl FreshnessCheck {
     fn word(self) -> &'static str {
         match self {
             Self::Declared => "declared",
@@ -60,19 +60,19 @@
 /// targets that announced longer ago than the staleness bound that they drain.
 pub async fn wait_until_confirmed(
     board: &Rc<RefCell<TargetBoard>>,
-    belief: Belief,
+    belief: FreshnessCheck,
     request: &str,
 ) -> bool {
     let begun = Instant::now();
-    if news_to_wait_for(board, belief).is_none() {
+    if pending_update(board, belief).is_none() {
         return true;
     }
     let confirmed = async {
-        while let Some(news) = news_to_wait_for(board, belief) {
+        while let Some(news) = pending_update(board, belief) {
             news.notified().await;
         }
     };
-    let confirmed = timeout_at(begun + MOST_HELD, confirmed).await;
+    let confirmed = timeout_at(begun + MAX_DELAY, confirmed).await;
     note!(
         Event::RequestHeld,
         id = request,
@@ -83,9 +83,9 @@
     confirmed.is_ok()
 }
 
-fn news_to_wait_for(
+fn pending_update(
     board: &Rc<RefCell<TargetBoard>>,
-    belief: Belief,
+    belief: FreshnessCheck,
 ) -> Option<Rc<Notify>> {
     let board = board.borrow();
     let confirmed = belief.is_confirmed(&board, Instant::now());
--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -12,7 +12,7 @@
 mod quota_gate;
 
 pub use {
-    belief_gate::{Belief, HELD_COME_BACK, wait_until_confirmed},
+    belief_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_confirmed},
     key_check::identify,
     permit_gate::take_permit,
     place_gate::{HeldPlace, PlaceFound, find_place},
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -2,7 +2,7 @@
     super::{
         AnswerBody, OwnAnswer, OwnCause,
         admission::{
-            Belief, Charged, HELD_COME_BACK, HeldPlace, PlaceFound, charge, find_place,
+            Charged, FreshnessCheck, HeldPlace, PlaceFound, STALE_RETRY_AFTER, charge, find_place,
             take_permit, wait_until_confirmed,
         },
         chooser::{Choice, Chooser},
@@ -249,12 +249,12 @@
     ) -> Outcome {
         loop {
             if !self.wait_until_confirmed(request).await {
-                return self.unserved(request, tries, OwnCause::Unconfirmed, HELD_COME_BACK);
+                return self.unserved(request, tries, OwnCause::Unconfirmed, STALE_RETRY_AFTER);
             }
             if resume_after.is_none()
                 && let Some(cause) = self.lost_key(request)
             {
-                return self.unserved(request, tries, cause, HELD_COME_BACK);
+                return self.unserved(request, tries, cause, STALE_RETRY_AFTER);
             }
             let (choice, mut place) = self.choose(request, tries).await;
             let mut destination = match choice {
@@ -412,14 +412,14 @@
             .is_some();
         // What a request was routed by may have aged while it waited for its adapter.
         if request.credential.is_some()
-            && !wait_until_confirmed(&self.board, Belief::Keys, id).await
+            && !wait_until_confirmed(&self.board, FreshnessCheck::Keys, id).await
         {
             return false;
         }
-        if has_adapter && !wait_until_confirmed(&self.board, Belief::Versions, id).await {
+        if has_adapter && !wait_until_confirmed(&self.board, FreshnessCheck::Versions, id).await {
             return false;
         }
-        wait_until_confirmed(&self.board, Belief::Targets, id).await
+        wait_until_confirmed(&self.board, FreshnessCheck::Targets, id).await
     }
 
     /// Why a request must not be sent by the key that it was admitted by: it may have been taken away while the request
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AnswerBody, Dispatcher, OwnAnswer, OwnCause, RequestProblem, RequestReader,
-        admission::{Belief, HELD_COME_BACK, wait_until_confirmed},
+        admission::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_confirmed},
         request_trace::millis,
     },
     crate::{
@@ -135,8 +135,11 @@
             return Ok(own(OwnAnswer::after(OwnCause::Stopping, STOP_COME_BACK)));
         }
         let id_text = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
-        if !wait_until_confirmed(&self.board, Belief::Declared, id_text).await {
-            return Ok(own(OwnAnswer::after(OwnCause::Unconfirmed, HELD_COME_BACK)));
+        if !wait_until_confirmed(&self.board, FreshnessCheck::Declared, id_text).await {
+            return Ok(own(OwnAnswer::after(
+                OwnCause::Unconfirmed,
+                STALE_RETRY_AFTER,
+            )));
         }
         self.board.borrow_mut().note_routed(Instant::now());
         let routing = self.board.borrow().routing().clone();
@@ -167,7 +170,7 @@
         let board = self.board.borrow();
         let answer = match cause {
             OwnCause::UnknownKey if !board.allows_unknown_keys(now) => {
-                OwnAnswer::after(OwnCause::Unconfirmed, HELD_COME_BACK)
+                OwnAnswer::after(OwnCause::Unconfirmed, STALE_RETRY_AFTER)
             }
             cause => OwnAnswer::new(cause),
         };
