--- a/src/connection/front/admission/belief_gate.rs
+++ b/src/connection/front/admission/belief_gate.rs
@@ -31,7 +31,7 @@
 }
 
 impl FreshnessCheck {
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Self::Declared => "declared",
             Self::Keys => "keys",
@@ -40,7 +40,7 @@
         }
     }
 
-    pub fn is_confirmed(
+    pub fn is_fresh(
         self,
         board: &TargetBoard,
         now: Instant,
@@ -60,24 +60,24 @@
 /// targets that announced longer ago than the staleness bound that they drain.
 pub async fn wait_until_confirmed(
     board: &Rc<RefCell<TargetBoard>>,
-    belief: FreshnessCheck,
+    check: FreshnessCheck,
     request: &str,
 ) -> bool {
-    let begun = Instant::now();
-    if pending_update(board, belief).is_none() {
+    let started = Instant::now();
+    if pending_update(board, check).is_none() {
         return true;
     }
     let confirmed = async {
-        while let Some(news) = pending_update(board, belief) {
-            news.notified().await;
+        while let Some(update) = pending_update(board, check) {
+            update.notified().await;
         }
     };
-    let confirmed = timeout_at(begun + MAX_DELAY, confirmed).await;
+    let confirmed = timeout_at(started + MAX_DELAY, confirmed).await;
     note!(
         Event::RequestHeld,
         id = request,
-        table = belief.word(),
-        waited_ms = millis(begun.elapsed()),
+        table = check.name(),
+        waited_ms = millis(started.elapsed()),
         confirmed = confirmed.is_ok()
     );
     confirmed.is_ok()
@@ -85,9 +85,9 @@
 
 fn pending_update(
     board: &Rc<RefCell<TargetBoard>>,
-    belief: FreshnessCheck,
+    check: FreshnessCheck,
 ) -> Option<Rc<Notify>> {
     let board = board.borrow();
-    let confirmed = belief.is_confirmed(&board, Instant::now());
+    let confirmed = check.is_fresh(&board, Instant::now());
     (!confirmed).then(|| board.confirmation_news())
 }
