--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -10,10 +10,10 @@
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-const ASK_LIMIT: Duration = Duration::from_millis(50);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Backoff for a target after a permit request that nobody answered.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Requests a permit where the target needs one, and returns true if a request may be sent there now.
 ///
@@ -22,34 +22,34 @@
     board: &Rc<RefCell<TargetBoard>>,
     target: &Arc<str>,
 ) -> bool {
-    let begun = Instant::now();
+    let started = Instant::now();
     let id = rand::random();
-    let mut ask = {
+    let mut pending = {
         let board = board.borrow();
-        match board.openness(target, begun) {
+        match board.openness(target, started) {
             Openness::Open => return true,
             Openness::Closed => return false,
             Openness::Limited => {}
         }
-        let ask = board.permits.start(id);
-        board.ask_permit(id, target, begun);
-        ask
+        let pending = board.permits.start(id);
+        board.ask_permit(id, target, started);
+        pending
     };
-    let answer = timeout_at(begun + ASK_LIMIT, ask.answer()).await;
-    let (state, pause) = match answer.ok().flatten() {
+    let answer = timeout_at(started + PERMIT_TIMEOUT, pending.answer()).await;
+    let (state, backoff) = match answer.ok().flatten() {
         Some(answer) if answer.granted => ("granted", None),
         Some(answer) => {
-            let pause = Duration::from_millis(u64::from(answer.ask_again_ms));
-            ("denied", Some(pause))
+            let backoff = Duration::from_millis(u64::from(answer.ask_again_ms));
+            ("denied", Some(backoff))
         }
-        None => ("unanswered", Some(UNANSWERED_PAUSE)),
+        None => ("unanswered", Some(UNANSWERED_BACKOFF)),
     };
     let labels = StateLabels { state };
     metrics().permit_asks.get_or_create(&labels).inc();
-    let Some(pause) = pause else {
+    let Some(backoff) = backoff else {
         return true;
     };
-    let until = Instant::now() + pause;
+    let until = Instant::now() + backoff;
     board.borrow_mut().close(target, until);
     false
 }
