--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -14,7 +14,7 @@
 pub use {
     belief_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_confirmed},
     key_check::identify,
-    permit_gate::take_permit,
+    permit_gate::acquire_permit,
     place_gate::{HeldPlace, PlaceFound, find_place},
     quota_gate::{Charged, charge},
 };
--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -18,7 +18,7 @@
 /// Requests a permit where the target needs one, and returns true if a request may be sent there now.
 ///
 /// If not, the target is closed on this host until the next permit may be requested.
-pub async fn take_permit(
+pub async fn acquire_permit(
     board: &Rc<RefCell<TargetBoard>>,
     target: &Arc<str>,
 ) -> bool {
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -2,8 +2,8 @@
     super::{
         AnswerBody, OwnAnswer, OwnCause,
         admission::{
-            Charged, FreshnessCheck, HeldPlace, PlaceFound, STALE_RETRY_AFTER, charge, find_place,
-            take_permit, wait_until_confirmed,
+            Charged, FreshnessCheck, HeldPlace, PlaceFound, STALE_RETRY_AFTER, acquire_permit,
+            charge, find_place, wait_until_confirmed,
         },
         chooser::{Choice, Chooser},
         crash_probe::{accuse, acquit, answers_now},
@@ -275,7 +275,7 @@
                 }
                 Choice::Refuse(_) | Choice::Nowhere => return self.nowhere(request, tries),
             };
-            if !take_permit(&self.board, &destination.target).await {
+            if !acquire_permit(&self.board, &destination.target).await {
                 let target = destination.target.clone();
                 let step = TraceStep::NoPermit { target };
                 tries.trace.add(step, Instant::now());
