--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -15,6 +15,6 @@
     belief_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_confirmed},
     key_check::identify,
     permit_gate::acquire_permit,
-    place_gate::{HeldPlace, PlaceFound, find_place},
+    place_gate::{HeldSlot, SlotOutcome, acquire_slot},
     quota_gate::{Charged, charge},
 };
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -16,8 +16,8 @@
 const ASK_LIMIT: Duration = Duration::from_millis(50);
 
 /// Result of a slot request.
-pub enum PlaceFound {
-    Place(HeldPlace),
+pub enum SlotOutcome {
+    Place(HeldSlot),
     /// No target has a free slot; the caller should retry after this time.
     Full {
         come_back: Duration,
@@ -27,7 +27,7 @@
 }
 
 /// A concurrency slot at a target; released when dropped.
-pub struct HeldPlace {
+pub struct HeldSlot {
     board: Rc<RefCell<TargetBoard>>,
     service: String,
     id: u64,
@@ -35,7 +35,7 @@
     pub end: PlaceEnd,
 }
 
-impl Drop for HeldPlace {
+impl Drop for HeldSlot {
     fn drop(&mut self) {
         let ended = PlaceEnded::new(&self.service, &self.target, self.id, self.end);
         self.board.borrow().end_place(ended);
@@ -43,11 +43,11 @@
 }
 
 /// Requests a slot at any target of the service but those in `tried`.
-pub async fn find_place(
+pub async fn acquire_slot(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
     tried: &[String],
-) -> PlaceFound {
+) -> SlotOutcome {
     let now = Instant::now();
     let id = rand::random();
     let service = &request.service.name;
@@ -62,7 +62,7 @@
         let board = board.borrow();
         let ask = board.places.start(id);
         if !board.ask_place(wanted) {
-            return PlaceFound::Unknown;
+            return SlotOutcome::Unknown;
         }
         ask
     };
@@ -74,15 +74,15 @@
     board: &Rc<RefCell<TargetBoard>>,
     service: &str,
     given: Option<PlaceGiven>,
-) -> PlaceFound {
+) -> SlotOutcome {
     let Some(given) = given.filter(|given| !given.unknown) else {
-        return PlaceFound::Unknown;
+        return SlotOutcome::Unknown;
     };
     if given.target.is_empty() {
         let come_back = Duration::from_millis(u64::from(given.come_back_ms));
-        return PlaceFound::Full { come_back };
+        return SlotOutcome::Full { come_back };
     }
-    let place = HeldPlace {
+    let place = HeldSlot {
         board: board.clone(),
         service: service.to_string(),
         id: given.id,
@@ -92,8 +92,8 @@
     // The allocator may know a target before this host does.
     let known = board.borrow().links.contains_key(&place.target);
     match known {
-        true => PlaceFound::Place(place),
-        false => PlaceFound::Unknown,
+        true => SlotOutcome::Place(place),
+        false => SlotOutcome::Unknown,
     }
 }
 
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -2,8 +2,8 @@
     super::{
         AnswerBody, OwnAnswer, OwnCause,
         admission::{
-            Charged, FreshnessCheck, HeldPlace, PlaceFound, STALE_RETRY_AFTER, acquire_permit,
-            charge, find_place, wait_until_confirmed,
+            Charged, FreshnessCheck, HeldSlot, STALE_RETRY_AFTER, SlotOutcome, acquire_permit,
+            acquire_slot, charge, wait_until_confirmed,
         },
         chooser::{Choice, Chooser},
         crash_probe::{accuse, acquit, answers_now},
@@ -353,19 +353,19 @@
         &self,
         request: &CallRequest,
         tries: &mut Tries,
-    ) -> (Choice, Option<HeldPlace>) {
+    ) -> (Choice, Option<HeldSlot>) {
         if request.generation.is_some() {
             return (self.chooser.choose(request, tries, Instant::now()), None);
         }
-        let found = find_place(&self.board, request, &tries.tried).await;
+        let found = acquire_slot(&self.board, request, &tries.tried).await;
         let now = Instant::now();
         match found {
-            PlaceFound::Place(place) => {
+            SlotOutcome::Place(place) => {
                 let choice = self.chooser.choose_place(tries, &place.target, now);
                 (choice, Some(place))
             }
-            PlaceFound::Full { come_back } => (Choice::Refuse(come_back), None),
-            PlaceFound::Unknown => (self.chooser.choose(request, tries, now), None),
+            SlotOutcome::Full { come_back } => (Choice::Refuse(come_back), None),
+            SlotOutcome::Unknown => (self.chooser.choose(request, tries, now), None),
         }
     }
 
