--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -13,7 +13,7 @@
 };
 
 /// Timeout of a slot request; past it this host chooses a target by itself.
-const ASK_LIMIT: Duration = Duration::from_millis(50);
+const SLOT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Result of a slot request.
 pub enum SlotOutcome {
@@ -51,26 +51,26 @@
     let now = Instant::now();
     let id = rand::random();
     let service = &request.service.name;
-    let wanted = PlaceWanted {
+    let slot_request = PlaceWanted {
         service: service.clone(),
         id,
         passed_over: passed_over(&board.borrow(), service, tried, now),
         aim_ms: request.route.aim.as_millis() as u32,
         left_ms: request.left(now).as_millis() as u32,
     };
-    let mut ask = {
+    let mut pending = {
         let board = board.borrow();
-        let ask = board.places.start(id);
-        if !board.ask_place(wanted) {
+        let pending = board.places.start(id);
+        if !board.ask_place(slot_request) {
             return SlotOutcome::Unknown;
         }
-        ask
+        pending
     };
-    let given = timeout_at(now + ASK_LIMIT, ask.answer()).await;
-    found(board, service, given.ok().flatten())
+    let given = timeout_at(now + SLOT_TIMEOUT, pending.answer()).await;
+    outcome_of(board, service, given.ok().flatten())
 }
 
-fn found(
+fn outcome_of(
     board: &Rc<RefCell<TargetBoard>>,
     service: &str,
     given: Option<PlaceGiven>,
@@ -107,13 +107,13 @@
 ) -> Vec<String> {
     let targets = board.targets_of(service).iter();
     let avoided = targets.filter(|target| !board.links[&target.id].avoided_for(now).is_zero());
-    let mut passed: Vec<String> = avoided.map(|target| target.id.to_string()).collect();
-    if passed.len() == board.targets_of(service).len() {
-        passed.clear();
+    let mut excluded: Vec<String> = avoided.map(|target| target.id.to_string()).collect();
+    if excluded.len() == board.targets_of(service).len() {
+        excluded.clear();
     }
     let targets = board.targets_of(service).iter();
     let closed = targets.filter(|target| board.openness(&target.id, now) == Openness::Closed);
-    passed.extend(closed.map(|target| target.id.to_string()));
-    passed.extend(tried.iter().cloned());
-    passed
+    excluded.extend(closed.map(|target| target.id.to_string()));
+    excluded.extend(tried.iter().cloned());
+    excluded
 }
