--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -19,7 +19,7 @@
 const ASK_LIMIT: Duration = Duration::from_millis(100);
 
 /// Share of the route's latency objective for which a request waits for quota. Waiting that long still leaves time to
-/// answer, a while a rejected caller that retries would be late.
+/// answer, while a rejected caller that retries would be late.
 const WAIT_SHARE: f64 = 0.4;
 
 /// Share of the route's latency objective for which a request waits until a host is known that counts the quota, such as
