--- a/src/connection/front/admission/belief_gate.rs
+++ b/src/connection/front/admission/belief_gate.rs
@@ -58,7 +58,7 @@
 ///
 /// Guards against a host whose control thread is starved or whose updates are delayed: it must not send requests to
 /// targets that announced longer ago than the staleness bound that they drain.
-pub async fn wait_until_confirmed(
+pub async fn wait_until_fresh(
     board: &Rc<RefCell<TargetBoard>>,
     check: FreshnessCheck,
     request: &str,
--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -12,7 +12,7 @@
 mod quota_gate;
 
 pub use {
-    belief_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_confirmed},
+    belief_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
     key_check::identify,
     permit_gate::acquire_permit,
     place_gate::{HeldSlot, SlotOutcome, acquire_slot},
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -3,7 +3,7 @@
         AnswerBody, OwnAnswer, OwnCause,
         admission::{
             Charged, FreshnessCheck, HeldSlot, STALE_RETRY_AFTER, SlotOutcome, acquire_permit,
-            acquire_slot, charge, wait_until_confirmed,
+            acquire_slot, charge, wait_until_fresh,
         },
         chooser::{Choice, Chooser},
         crash_probe::{accuse, acquit, answers_now},
@@ -248,7 +248,7 @@
         resume_after: Option<u64>,
     ) -> Outcome {
         loop {
-            if !self.wait_until_confirmed(request).await {
+            if !self.wait_until_fresh(request).await {
                 return self.unserved(request, tries, OwnCause::Unconfirmed, STALE_RETRY_AFTER);
             }
             if resume_after.is_none()
@@ -400,7 +400,7 @@
     }
 
     /// Waits until all that a send rests on is young enough; false if that took too long.
-    async fn wait_until_confirmed(
+    async fn wait_until_fresh(
         &self,
         request: &CallRequest,
     ) -> bool {
@@ -412,14 +412,14 @@
             .is_some();
         // What a request was routed by may have aged while it waited for its adapter.
         if request.credential.is_some()
-            && !wait_until_confirmed(&self.board, FreshnessCheck::Keys, id).await
+            && !wait_until_fresh(&self.board, FreshnessCheck::Keys, id).await
         {
             return false;
         }
-        if has_adapter && !wait_until_confirmed(&self.board, FreshnessCheck::Versions, id).await {
+        if has_adapter && !wait_until_fresh(&self.board, FreshnessCheck::Versions, id).await {
             return false;
         }
-        wait_until_confirmed(&self.board, FreshnessCheck::Targets, id).await
+        wait_until_fresh(&self.board, FreshnessCheck::Targets, id).await
     }
 
     /// Why a request must not be sent by the key that it was admitted by: it may have been taken away while the request
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AnswerBody, Dispatcher, OwnAnswer, OwnCause, RequestProblem, RequestReader,
-        admission::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_confirmed},
+        admission::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
         request_trace::millis,
     },
     crate::{
@@ -135,7 +135,7 @@
             return Ok(own(OwnAnswer::after(OwnCause::Stopping, STOP_COME_BACK)));
         }
         let id_text = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
-        if !wait_until_confirmed(&self.board, FreshnessCheck::Declared, id_text).await {
+        if !wait_until_fresh(&self.board, FreshnessCheck::Declared, id_text).await {
             return Ok(own(OwnAnswer::after(
                 OwnCause::Unconfirmed,
                 STALE_RETRY_AFTER,
