--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -16,5 +16,5 @@
     key_check::identify,
     permit_gate::acquire_permit,
     place_gate::{HeldSlot, SlotOutcome, acquire_slot},
-    quota_gate::{Charged, charge},
+    quota_gate::{QuotaCharge, charge},
 };
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -33,20 +33,20 @@
 const LEAST_COME_BACK: Duration = Duration::from_millis(50);
 
 /// Quota charged for a request; refunded when dropped, unless the request may have run.
-pub struct Charged {
+pub struct QuotaCharge {
     board: Rc<RefCell<TargetBoard>>,
     /// Refund of the grant; `None` if the charge was covered by quota granted in advance.
     grant: Option<ChargeRefund>,
 }
 
-impl Charged {
+impl QuotaCharge {
     /// Makes the charge final, as the request may have run.
     pub fn keep(&mut self) {
         self.grant = None;
     }
 }
 
-impl Drop for Charged {
+impl Drop for QuotaCharge {
     fn drop(&mut self) {
         if let Some(refund) = self.grant.take() {
             self.board.borrow().refund(refund);
@@ -59,7 +59,7 @@
 pub async fn charge(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
-) -> Result<Option<Charged>, OwnAnswer> {
+) -> Result<Option<QuotaCharge>, OwnAnswer> {
     let Some(credential) = &request.credential else {
         return Ok(None);
     };
@@ -124,7 +124,7 @@
         known.on_request(self.cost, Instant::now());
     }
 
-    async fn charge(&self) -> Result<Charged, Uncharged> {
+    async fn charge(&self) -> Result<QuotaCharge, Uncharged> {
         let mut asked = AskedParts::default();
         loop {
             match self.next_step(&asked) {
@@ -155,7 +155,7 @@
         &self,
         part: usize,
         charge: Charge,
-    ) -> Option<Charged> {
+    ) -> Option<QuotaCharge> {
         let asked_at = Instant::now();
         let answer = self.answer_of(part, charge, asked_at + ASK_LIMIT).await;
         let granted = self.note_answer(part, &charge, answer, asked_at);
@@ -222,8 +222,8 @@
     fn charged(
         &self,
         grant: Option<ChargeRefund>,
-    ) -> Charged {
-        Charged {
+    ) -> QuotaCharge {
+        QuotaCharge {
             board: self.board.clone(),
             grant,
         }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -2,7 +2,7 @@
     super::{
         AnswerBody, OwnAnswer, OwnCause,
         admission::{
-            Charged, FreshnessCheck, HeldSlot, STALE_RETRY_AFTER, SlotOutcome, acquire_permit,
+            FreshnessCheck, HeldSlot, QuotaCharge, STALE_RETRY_AFTER, SlotOutcome, acquire_permit,
             acquire_slot, charge, wait_until_fresh,
         },
         chooser::{Choice, Chooser},
@@ -651,13 +651,13 @@
     arrived: Instant,
     served: bool,
     tries: Tries,
-    charged: Option<Charged>,
+    charged: Option<QuotaCharge>,
 }
 
 impl Unserved {
     fn new(
         request: &CallRequest,
-        charged: Option<Charged>,
+        charged: Option<QuotaCharge>,
     ) -> Self {
         Self {
             id: request.id_text().to_string(),
@@ -668,7 +668,7 @@
         }
     }
 
-    fn disarm(mut self) -> (Tries, Option<Charged>) {
+    fn disarm(mut self) -> (Tries, Option<QuotaCharge>) {
         self.served = true;
         (std::mem::take(&mut self.tries), self.charged.take())
     }
@@ -712,7 +712,7 @@
 
 /// What was charged for a request stays so if it may have run, and goes back otherwise.
 fn settle(
-    charged: Option<Charged>,
+    charged: Option<QuotaCharge>,
     may_have_run: bool,
 ) {
     if let Some(mut charged) = charged.filter(|_| may_have_run) {
