--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -16,21 +16,21 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-const ASK_LIMIT: Duration = Duration::from_millis(100);
+const CHARGE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Share of the route's latency objective for which a request waits for quota. Waiting that long still leaves time to
 /// answer, while a rejected caller that retries would be late.
-const WAIT_SHARE: f64 = 0.4;
+const MAX_WAIT_SHARE: f64 = 0.4;
 
 /// Share of the route's latency objective for which a request waits until a host is known that counts the quota, such as
 /// after all hosts have restarted.
-const UNCOUNTED_WAIT_SHARE: f64 = 0.6;
+const MAX_UNCOUNTED_WAIT_SHARE: f64 = 0.6;
 
 /// Retry delay for callers whose quota no reachable host counts.
-const UNCOUNTED_COME_BACK: Duration = Duration::from_millis(300);
+const UNCOUNTED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Minimum retry delay for callers over their limit: several of them share the quota that accrues.
-const LEAST_COME_BACK: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Quota charged for a request; refunded when dropped, unless the request may have run.
 pub struct QuotaCharge {
@@ -71,41 +71,43 @@
         customer: &credential.customer.name,
         cost: limit.cost(request.told_tokens),
     };
-    gate.note_request();
-    let begun = Instant::now();
-    let patience = begun + request.route.aim.mul_f64(WAIT_SHARE);
-    let counted_by = begun + request.route.aim.mul_f64(UNCOUNTED_WAIT_SHARE);
+    gate.record_request();
+    let started = Instant::now();
+    let quota_deadline = started + request.route.aim.mul_f64(MAX_WAIT_SHARE);
+    let counter_deadline = started + request.route.aim.mul_f64(MAX_UNCOUNTED_WAIT_SHARE);
     loop {
         match gate.charge().await {
             Ok(charged) => return Ok(Some(charged)),
-            Err(Uncharged::Over { come_back }) if Instant::now() + come_back <= patience => {
+            Err(ChargeError::Over { come_back })
+                if Instant::now() + come_back <= quota_deadline =>
+            {
                 sleep_until(Instant::now() + come_back).await;
             }
-            Err(Uncharged::Uncounted) if Instant::now() < counted_by => {
-                let news = board.borrow().confirmation_news();
-                let _ = timeout_at(counted_by, news.notified()).await;
+            Err(ChargeError::Uncounted) if Instant::now() < counter_deadline => {
+                let update = board.borrow().confirmation_news();
+                let _ = timeout_at(counter_deadline, update.notified()).await;
             }
-            Err(uncharged) => return Err(uncharged.answer()),
+            Err(error) => return Err(error.answer()),
         }
     }
 }
 
 /// Why a request was not charged.
 #[derive(Debug, Clone, Copy)]
-enum Uncharged {
+enum ChargeError {
     /// The quota is used up; enough has accrued after this time.
     Over { come_back: Duration },
     /// No host that counts the quota answered.
     Uncounted,
 }
 
-impl Uncharged {
+impl ChargeError {
     fn answer(self) -> OwnAnswer {
         match self {
             Self::Over { come_back } => {
-                OwnAnswer::after(OwnCause::OverLimit, come_back.max(LEAST_COME_BACK))
+                OwnAnswer::after(OwnCause::OverLimit, come_back.max(MIN_RETRY_AFTER))
             }
-            Self::Uncounted => OwnAnswer::after(OwnCause::Uncounted, UNCOUNTED_COME_BACK),
+            Self::Uncounted => OwnAnswer::after(OwnCause::Uncounted, UNCOUNTED_RETRY_AFTER),
         }
     }
 }
@@ -118,25 +120,25 @@
 }
 
 impl QuotaGate<'_> {
-    fn note_request(&self) {
+    fn record_request(&self) {
         let mut board = self.board.borrow_mut();
         let known = board.quotas.of(self.customer);
         known.on_request(self.cost, Instant::now());
     }
 
-    async fn charge(&self) -> Result<QuotaCharge, Uncharged> {
+    async fn charge(&self) -> Result<QuotaCharge, ChargeError> {
         let mut asked = AskedParts::default();
         loop {
             match self.next_step(&asked) {
                 QuotaStep::Ask { part, charge } => {
                     asked[part] = true;
-                    if let Some(charged) = self.ask(part, charge).await {
+                    if let Some(charged) = self.pending(part, charge).await {
                         return Ok(charged);
                     }
                 }
                 QuotaStep::Paid => return Ok(self.charged(None)),
-                QuotaStep::Over { come_back } => return Err(Uncharged::Over { come_back }),
-                QuotaStep::Uncounted => return Err(Uncharged::Uncounted),
+                QuotaStep::Over { come_back } => return Err(ChargeError::Over { come_back }),
+                QuotaStep::Uncounted => return Err(ChargeError::Uncounted),
             }
         }
     }
@@ -151,14 +153,16 @@
     }
 
     /// Sends a charge to the host that counts one part of the quota; returns `None` if it was not granted.
-    async fn ask(
+    async fn pending(
         &self,
         part: usize,
         charge: Charge,
     ) -> Option<QuotaCharge> {
-        let asked_at = Instant::now();
-        let answer = self.answer_of(part, charge, asked_at + ASK_LIMIT).await;
-        let granted = self.note_answer(part, &charge, answer, asked_at);
+        let sent_at = Instant::now();
+        let answer = self
+            .request_charge(part, charge, sent_at + CHARGE_TIMEOUT)
+            .await;
+        let granted = self.record_answer(part, &charge, answer, sent_at);
         granted.then(|| {
             self.charged(Some(ChargeRefund {
                 slot: slot_for(self.customer, part) as u32,
@@ -169,11 +173,11 @@
         })
     }
 
-    async fn answer_of(
+    async fn request_charge(
         &self,
         part: usize,
         charge: Charge,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<ChargeAnswer> {
         let asked = ChargeAsk {
             slot: slot_for(self.customer, part) as u32,
@@ -182,7 +186,7 @@
             need: charge.need.ceil() as u32,
             ahead: charge.ahead.floor() as u32,
         };
-        let mut ask = {
+        let mut pending = {
             let board = self.board.borrow();
             if !board.ask_charge(asked) {
                 count_ask("nobody");
@@ -191,16 +195,16 @@
             count_ask("asked");
             board.quotas.asks.start(charge.id)
         };
-        timeout_at(until, ask.answer()).await.ok().flatten()
+        timeout_at(deadline, pending.answer()).await.ok().flatten()
     }
 
     /// Records an answer; returns true if the cost of the request was granted.
-    fn note_answer(
+    fn record_answer(
         &self,
         part: usize,
         charge: &Charge,
         answer: Option<ChargeAnswer>,
-        asked_at: Instant,
+        sent_at: Instant,
     ) -> bool {
         let now = Instant::now();
         let mut board = self.board.borrow_mut();
@@ -215,7 +219,7 @@
             return false;
         }
         known.on_answer(part);
-        known.on_ahead(f64::from(answer.granted) - charge.need.ceil(), asked_at);
+        known.on_ahead(f64::from(answer.granted) - charge.need.ceil(), sent_at);
         true
     }
 
