--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -132,7 +132,7 @@
             match self.next_step(&asked) {
                 QuotaStep::Ask { part, charge } => {
                     asked[part] = true;
-                    if let Some(charged) = self.pending(part, charge).await {
+                    if let Some(charged) = self.charge_part(part, charge).await {
                         return Ok(charged);
                     }
                 }
@@ -153,7 +153,7 @@
     }
 
     /// Sends a charge to the host that counts one part of the quota; returns `None` if it was not granted.
-    async fn pending(
+    async fn charge_part(
         &self,
         part: usize,
         charge: Charge,
