--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -41,7 +41,7 @@
 
 impl QuotaCharge {
     /// Makes the charge final, as the request may have run.
-    pub fn keep(&mut self) {
+    pub fn commit(&mut self) {
         self.grant = None;
     }
 }
@@ -122,8 +122,8 @@
 impl QuotaGate<'_> {
     fn record_request(&self) {
         let mut board = self.board.borrow_mut();
-        let known = board.quotas.of(self.customer);
-        known.on_request(self.cost, Instant::now());
+        let usage = board.quotas.of(self.customer);
+        usage.on_request(self.cost, Instant::now());
     }
 
     async fn charge(&self) -> Result<QuotaCharge, ChargeError> {
@@ -148,8 +148,8 @@
         asked: &AskedParts,
     ) -> QuotaStep {
         let mut board = self.board.borrow_mut();
-        let known = board.quotas.of(self.customer);
-        known.next_step(self.cost, asked, Instant::now())
+        let usage = board.quotas.of(self.customer);
+        usage.next_step(self.cost, asked, Instant::now())
     }
 
     /// Sends a charge to the host that counts one part of the quota; returns `None` if it was not granted.
@@ -208,18 +208,18 @@
     ) -> bool {
         let now = Instant::now();
         let mut board = self.board.borrow_mut();
-        let known = board.quotas.of(self.customer);
+        let usage = board.quotas.of(self.customer);
         let Some(answer) = answer.filter(|answer| !answer.not_counted) else {
-            known.on_silent(part, now);
+            usage.on_silent(part, now);
             return false;
         };
         if answer.granted == 0 && charge.need > 0.0 {
             let come_back = Duration::from_millis(u64::from(answer.come_back_ms));
-            known.on_over(part, charge.need, come_back, now);
+            usage.on_over(part, charge.need, come_back, now);
             return false;
         }
-        known.on_answer(part);
-        known.on_ahead(f64::from(answer.granted) - charge.need.ceil(), sent_at);
+        usage.on_answer(part);
+        usage.on_ahead(f64::from(answer.granted) - charge.need.ceil(), sent_at);
         true
     }
 
