--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -716,7 +716,7 @@
     may_have_run: bool,
 ) {
     if let Some(mut charged) = charged.filter(|_| may_have_run) {
-        charged.keep();
+        charged.commit();
     }
 }
 
