--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -1,20 +1,20 @@
 //! Admission control: the checks that a request passes before it is sent to a target.
 //!
-//! Once per request: the configuration is fresh enough to route by (`belief_gate`), the key is valid (`key_check`) and
+//! Once per request: the configuration is fresh enough to route by (`freshness_gate`), the key is valid (`key_check`) and
 //! the customer has quota left (`quota_gate`). Before each send: keys, versions and the list of targets are fresh enough
-//! (`belief_gate`), a target of a plain service has a free slot (`place_gate`), and a rate-limited target grants a
+//! (`freshness_gate`), a target of a plain service has a free slot (`slot_gate`), and a rate-limited target grants a
 //! permit (`permit_gate`).
 
-mod belief_gate;
+mod freshness_gate;
 mod key_check;
 mod permit_gate;
-mod place_gate;
+mod slot_gate;
 mod quota_gate;
 
 pub use {
-    belief_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
+    freshness_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
     key_check::identify,
     permit_gate::acquire_permit,
-    place_gate::{HeldSlot, SlotOutcome, acquire_slot},
+    slot_gate::{HeldSlot, SlotOutcome, acquire_slot},
     quota_gate::{QuotaCharge, charge},
 };
