--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -8,13 +8,13 @@
 mod freshness_gate;
 mod key_check;
 mod permit_gate;
-mod slot_gate;
 mod quota_gate;
+mod slot_gate;
 
 pub use {
     freshness_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
     key_check::identify,
     permit_gate::acquire_permit,
-    slot_gate::{HeldSlot, SlotOutcome, acquire_slot},
     quota_gate::{QuotaCharge, charge},
+    slot_gate::{HeldSlot, SlotOutcome, acquire_slot},
 };
