--- a/src/connection/front/admission/freshness_gate.rs
+++ b/src/connection/front/admission/freshness_gate.rs
@@ -67,20 +67,20 @@
     if pending_update(board, check).is_none() {
         return true;
     }
-    let confirmed = async {
+    let fresh = async {
         while let Some(update) = pending_update(board, check) {
             update.notified().await;
         }
     };
-    let confirmed = timeout_at(started + MAX_DELAY, confirmed).await;
+    let fresh = timeout_at(started + MAX_DELAY, fresh).await;
     note!(
         Event::RequestHeld,
         id = request,
         table = check.name(),
         waited_ms = millis(started.elapsed()),
-        confirmed = confirmed.is_ok()
+        confirmed = fresh.is_ok()
     );
-    confirmed.is_ok()
+    fresh.is_ok()
 }
 
 fn pending_update(
@@ -88,6 +88,6 @@
     check: FreshnessCheck,
 ) -> Option<Rc<Notify>> {
     let board = board.borrow();
-    let confirmed = check.is_fresh(&board, Instant::now());
-    (!confirmed).then(|| board.confirmation_news())
+    let fresh = check.is_fresh(&board, Instant::now());
+    (!fresh).then(|| board.confirmation_news())
 }
