--- a/src/connection/front/admission/slot_gate.rs
+++ b/src/connection/front/admission/slot_gate.rs
@@ -17,13 +17,13 @@
 
 /// Result of a slot request.
 pub enum SlotOutcome {
-    Place(HeldSlot),
+    Acquired(HeldSlot),
     /// No target has a free slot; the caller should retry after this time.
     Full {
-        come_back: Duration,
+        retry_after: Duration,
     },
     /// No slot allocator answered, or it knows no target that this host knows.
-    Unknown,
+    Unavailable,
 }
 
 /// A concurrency slot at a target; released when dropped.
@@ -62,38 +62,38 @@
         let board = board.borrow();
         let pending = board.places.start(id);
         if !board.ask_place(slot_request) {
-            return SlotOutcome::Unknown;
+            return SlotOutcome::Unavailable;
         }
         pending
     };
-    let given = timeout_at(now + SLOT_TIMEOUT, pending.answer()).await;
-    outcome_of(board, service, given.ok().flatten())
+    let answer = timeout_at(now + SLOT_TIMEOUT, pending.answer()).await;
+    outcome_of(board, service, answer.ok().flatten())
 }
 
 fn outcome_of(
     board: &Rc<RefCell<TargetBoard>>,
     service: &str,
-    given: Option<PlaceGiven>,
+    answer: Option<PlaceGiven>,
 ) -> SlotOutcome {
-    let Some(given) = given.filter(|given| !given.unknown) else {
-        return SlotOutcome::Unknown;
+    let Some(answer) = answer.filter(|answer| !answer.unknown) else {
+        return SlotOutcome::Unavailable;
     };
-    if given.target.is_empty() {
-        let come_back = Duration::from_millis(u64::from(given.come_back_ms));
-        return SlotOutcome::Full { come_back };
+    if answer.target.is_empty() {
+        let retry_after = Duration::from_millis(u64::from(answer.come_back_ms));
+        return SlotOutcome::Full { retry_after };
     }
-    let place = HeldSlot {
+    let slot = HeldSlot {
         board: board.clone(),
         service: service.to_string(),
-        id: given.id,
-        target: given.target.as_str().into(),
+        id: answer.id,
+        target: answer.target.as_str().into(),
         end: PlaceEnd::Other,
     };
     // The allocator may know a target before this host does.
-    let known = board.borrow().links.contains_key(&place.target);
+    let known = board.borrow().links.contains_key(&slot.target);
     match known {
-        true => SlotOutcome::Place(place),
-        false => SlotOutcome::Unknown,
+        true => SlotOutcome::Acquired(slot),
+        false => SlotOutcome::Unavailable,
     }
 }
 
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -256,7 +256,7 @@
             {
                 return self.unserved(request, tries, cause, STALE_RETRY_AFTER);
             }
-            let (choice, mut place) = self.choose(request, tries).await;
+            let (choice, mut slot) = self.choose(request, tries).await;
             let mut destination = match choice {
                 Choice::Send(destination) => destination,
                 Choice::Wait { until, expected } => {
@@ -270,8 +270,8 @@
                     self.wait_for_standings(until).await;
                     continue;
                 }
-                Choice::Refuse(come_back) if tries.history.runs == 0 => {
-                    return self.refuse(request, unplaced_cause(request), come_back);
+                Choice::Refuse(retry_after) if tries.history.runs == 0 => {
+                    return self.refuse(request, unplaced_cause(request), retry_after);
                 }
                 Choice::Refuse(_) | Choice::Nowhere => return self.nowhere(request, tries),
             };
@@ -309,10 +309,10 @@
             tries.history.runs += 1;
             let sent = send(&self.board, names, request, &destination, streams).await;
             tries.history.runs -= 1;
-            if let Some(place) = &mut place {
-                place.end = place_end(&sent, sent_at.elapsed());
+            if let Some(slot) = &mut slot {
+                slot.end = place_end(&sent, sent_at.elapsed());
             }
-            drop(place);
+            drop(slot);
             if let Some(paid) = paid.filter(|_| sent.never_arrived()) {
                 let mut board = self.board.borrow_mut();
                 board.budget(&request.service.name).give_back(&paid);
@@ -360,12 +360,12 @@
         let found = acquire_slot(&self.board, request, &tries.tried).await;
         let now = Instant::now();
         match found {
-            SlotOutcome::Place(place) => {
-                let choice = self.chooser.choose_place(tries, &place.target, now);
-                (choice, Some(place))
+            SlotOutcome::Acquired(slot) => {
+                let choice = self.chooser.choose_place(tries, &slot.target, now);
+                (choice, Some(slot))
             }
-            SlotOutcome::Full { come_back } => (Choice::Refuse(come_back), None),
-            SlotOutcome::Unknown => (self.chooser.choose(request, tries, now), None),
+            SlotOutcome::Full { retry_after } => (Choice::Refuse(retry_after), None),
+            SlotOutcome::Unavailable => (self.chooser.choose(request, tries, now), None),
         }
     }
 
@@ -599,7 +599,7 @@
         request: &CallRequest,
         tries: &mut Tries,
         cause: OwnCause,
-        come_back: Duration,
+        retry_after: Duration,
     ) -> Outcome {
         if let Some(failure) = tries.failure.take() {
             return Outcome::Final(pass_on(failure));
@@ -608,7 +608,7 @@
             let answer = OwnAnswer::new(OwnCause::AnswerLost);
             return Outcome::Final(self.answer(request, answer));
         }
-        self.refuse(request, cause, come_back)
+        self.refuse(request, cause, retry_after)
     }
 
     fn time_over(
