--- a/src/connection/front/admission/slot_gate.rs
+++ b/src/connection/front/admission/slot_gate.rs
@@ -54,7 +54,7 @@
     let slot_request = PlaceWanted {
         service: service.clone(),
         id,
-        passed_over: passed_over(&board.borrow(), service, tried, now),
+        passed_over: excluded_targets(&board.borrow(), service, tried, now),
         aim_ms: request.route.aim.as_millis() as u32,
         left_ms: request.left(now).as_millis() as u32,
     };
@@ -99,7 +99,7 @@
 
 /// Returns the targets to exclude: those already tried, those that are closed, and those that this host avoids after
 /// failures, unless it avoids all of them.
-fn passed_over(
+fn excluded_targets(
     board: &TargetBoard,
     service: &str,
     tried: &[String],
