--- a/src/connection/front/adapter_standing.rs
+++ b/src/connection/front/adapter_standing.rs
@@ -11,7 +11,7 @@
     std::time::Duration,
 };
 
-/// How an adapter stands for a request: which versions may serve it, and where they are.
+/// Availability of an adapter for a request: which versions may serve it, and at which engines they are.
 pub(super) struct AdapterStanding<'a> {
     adapter: &'a str,
     /// The newest version.
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The copy at an engine, as far as it can serve a request that is expected to begin there after `wait`.
+    /// Returns the state of the copy at an engine, for a request that is expected to start there after `wait`.
     pub fn copy_at(
         &self,
         board: &TargetBoard,
@@ -45,14 +45,13 @@
         let copy = board.adapters.get(self.adapter, target);
         let copy = copy.map_or(CopyState::Unknown, |copy| self.otherwise(board, copy, wait));
         match board.links[target].view.holder {
-            // Nobody is left who would tell that it is there.
+            // Without a holder no host would report that the copy is ready.
             None if is_coming(copy) => CopyState::Unknown,
             _ => copy,
         }
     }
 
-    /// The version that an engine holds and that may serve a request which is expected to begin there after
-    /// `wait`.
+    /// Returns the version that an engine holds, if it may serve a request that is expected to start there after `wait`.
     pub fn version_at(
         &self,
         board: &TargetBoard,
@@ -64,7 +63,7 @@
         serves.allows(wait, self.now).then_some(held)
     }
 
-    /// A copy that can't serve now.
+    /// Returns the state of a copy that can't serve now.
     fn otherwise(
         &self,
         board: &TargetBoard,
@@ -74,7 +73,7 @@
         let serves = board.serves_until(self.adapter, copy.version);
         let is_old = copy.version < self.newest;
         match copy.state {
-            // A request would wait there for longer than versions that are replaced meanwhile may serve.
+            // The request would wait longer than a version may serve if it were replaced meanwhile.
             CopyState::Ready if !is_old => CopyState::Full {
                 until: self.now + LOOK_AGAIN,
             },
@@ -86,7 +85,7 @@
         }
     }
 
-    /// True if an engine's holder should have told of the adapter by now.
+    /// Returns true if the report of an engine's holder on the adapter is overdue.
     pub fn is_late_at(
         &self,
         board: &TargetBoard,
@@ -97,7 +96,6 @@
     }
 }
 
-/// True if the holder should have told by now.
 fn is_late(
     state: CopyState,
     now: Instant,
--- a/src/connection/front/against_engines.rs
+++ b/src/connection/front/against_engines.rs
@@ -6,21 +6,20 @@
     },
 };
 
-/// Engines that were weighed for a request and could not take it, by the first thing that spoke against
-/// each.
+/// Counts of the engines that could not take a request, by the first reason that ruled each of them out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AgainstEngines {
-    /// Engines that were weighed.
+    /// All candidates.
     pub weighed: usize,
-    /// The request was turned away there before.
+    /// Engines that were tried for this request before.
     pub tried: usize,
-    /// They take no request now, by what they say of themselves.
+    /// Engines that have announced that they accept no requests now.
     pub closed: usize,
-    /// Avoided after failures.
+    /// Engines that are avoided after failures.
     pub avoided: usize,
-    /// Nobody gives orders to them.
+    /// Engines that no host controls.
     pub without_holder: usize,
-    /// Their holders said a moment ago that they can't take the adapter.
+    /// Engines whose holder has reported lately that the adapter does not fit.
     pub full: usize,
 }
 
--- a/src/connection/front/answer_body.rs
+++ b/src/connection/front/answer_body.rs
@@ -9,12 +9,12 @@
     tokio::sync::mpsc,
 };
 
-/// The answer can't be completed; the connection is cut so that it does not look whole.
+/// The answer can't be completed; the connection is closed early, so that the caller sees a truncated answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the answer can't be completed")]
 pub struct BrokenAnswer;
 
-/// The body of an answer to a caller.
+/// Body of an answer to a caller.
 #[derive(Debug)]
 pub enum AnswerBody {
     Whole(Option<Bytes>),
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -21,29 +21,29 @@
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// Price of a copy of an adapter that is asked for once in a few seconds over all hosts.
+/// Cost of loading a copy of an adapter that is requested once in a few seconds over all hosts.
 const COPY_PRICE: Duration = Duration::from_millis(300);
 
-/// A request waits for an engine at least this long before it looks again.
+/// Minimum wait of a request before it tries to choose an engine again.
 const LEAST_WAIT: Duration = Duration::from_millis(2);
 
-/// Share of its aim after which it is refused.
+/// Share of the route's latency objective after which a request that no target can take is rejected.
 const LOOK_SHARE: f64 = 0.17;
 
-/// Callers that are refused while all targets are closed are told to come back within this time after the first opens.
+/// Retries of callers that are rejected while all targets are closed are spread over this time after the first one opens.
 const OPENING_SPREAD: Duration = Duration::from_millis(500);
 
-/// What is decided for the next send.
+/// Decision on the next send of a request.
 pub enum Choice {
     Send(Destination),
     Wait {
         until: Instant,
         expected: Option<Duration>,
     },
-    /// Tell the caller to come back after this time.
+    /// Reject the request; the caller should retry after this time.
     Refuse(Duration),
     Nowhere,
-    /// Wait for what holders tell of their engines, until this time at the most.
+    /// Wait until the queried holders have reported the status of their engines, at most until this time.
     Look {
         until: Instant,
     },
@@ -52,7 +52,6 @@
 /// Chooses the target of each send.
 pub struct Chooser {
     board: Rc<RefCell<TargetBoard>>,
-    /// The hall of this host.
     hall: String,
 }
 
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Chooses where a request goes next.
+    /// Chooses the target of the next send of a request.
     pub fn choose(
         &self,
         request: &CallRequest,
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Sends a request to the target at which it has a place.
+    /// Chooses the target at which a request holds a concurrency slot.
     pub fn choose_place(
         &self,
         tries: &mut Tries,
@@ -131,7 +130,7 @@
         )
     }
 
-    /// A request for the base model alone runs at any engine that holds it.
+    /// Chooses an engine for a request without an adapter: any engine that holds the base model.
     fn choose_base(
         &self,
         board: &mut TargetBoard,
@@ -207,7 +206,7 @@
         };
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. } if candidates[to].batch > 1.0 && tries.draws_again() => {
-                // All of the sample are taken: other engines may have room.
+                // Every engine of the sample is busy: others may have room.
                 self.choose_for_adapter(board, request, tries, adapter, now)
             }
             EngineChoice::Send { to, ask } => {
@@ -240,7 +239,7 @@
                 }
             }
             EngineChoice::Wait { until, expected } => {
-                // Whoever is late is asked again; asks that come too often are held back there.
+                // Overdue holders are asked again; the board limits the rate of these requests.
                 for (at, target) in targets.iter().enumerate() {
                     if standing.is_late_at(board, target) {
                         ask_for(board, tries, &ask_at(at, false), now);
@@ -267,7 +266,7 @@
     }
 }
 
-/// Decides on a target; `counts` are the candidates and those of them that were ready.
+/// Records a choice in the trace and returns it; `counts` is the number of candidates and of the ready ones among them.
 fn send_to(
     board: &TargetBoard,
     tries: &mut Tries,
@@ -312,7 +311,7 @@
     }
 }
 
-/// No engine can take a request: it looks again a few times while a refusal is still prompt.
+/// No engine can take a request: retries the choice while there is time for a prompt rejection.
 fn nowhere_yet(
     board: &TargetBoard,
     request: &CallRequest,
@@ -332,8 +331,10 @@
     }
 }
 
-/// All targets are closed by what they say of themselves: a request waits if one opens while a refusal is still prompt; else
-/// it is refused at once, and its caller is told when one opens. `None` if a target is not closed.
+/// Returns what to do if all targets are closed, or `None` if one is not.
+///
+/// Waits if a target opens while there is time for a prompt rejection; otherwise rejects at once, and the caller retries
+/// when the first target opens.
 fn wait_for_opening(
     board: &TargetBoard,
     request: &CallRequest,
@@ -347,13 +348,13 @@
             expected: None,
         });
     }
-    // Callers that are refused together don't come back together.
+    // Callers that are rejected together must not retry together.
     let spread = rand::rng().random_range(Duration::ZERO..OPENING_SPREAD);
     let come_back = opens.saturating_duration_since(now) + spread;
     Some(Choice::Refuse(come_back))
 }
 
-/// True if a refusal at this time is still prompt.
+/// Returns true if a rejection at this time is still prompt.
 fn is_prompt(
     request: &CallRequest,
     at: Instant,
@@ -372,13 +373,13 @@
     }
 }
 
-/// The more requests share a copy, the less each pays for it.
+/// Returns the cost of a new copy of an adapter for one request; requests that share the copy share its cost.
 fn copy_price(
     board: &TargetBoard,
     adapter: &str,
     now: Instant,
 ) -> Duration {
-    // One request here tells nothing of the other hosts; several do.
+    // Several requests on this host suggest as many on the others; a single one does not.
     let here = (board.demand.recent(adapter, now) - 1.0).max(0.0);
     let told = f64::from(board.adapters.uses(adapter));
     if !board.policy().shares_copy_price {
--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a target has ended under a request, or only broke its answer off.
+//! Detects whether a target crashed while it ran a request, or only dropped the connection.
 
 use {
     crate::{
@@ -19,28 +19,26 @@
     tokio::task::spawn_local,
 };
 
-/// Time for a target's answer to a check of its health; a sound one answers within some milliseconds.
 const PROBE_LIMIT: Duration = Duration::from_millis(300);
 
-/// Time from the first check to the second. One that turned the first away for want of room has answered others by then; an end is
-/// told to all hosts so much later.
+/// Interval between the two health checks: a target that rejected the first one because it was full has answered other
+/// requests by the second. It delays the report of a crash by as much.
 const SECOND_CHECK: Duration = Duration::from_millis(200);
 
-/// What a check of a target's health showed.
+/// Result of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Health {
-    /// It answered, whatever it said.
+    /// The target answered, with any status.
     Answers,
-    /// Nothing takes connections there, or they end at once.
+    /// Connections are refused, or closed at once.
     Down,
-    /// It says nothing: a link may be cut.
+    /// No answer in time: the network may be partitioned.
     Silent,
 }
 
-/// A check of the health of one target.
 struct HealthCheck {
     call: HttpCall,
-    /// The header line that lets only this target answer.
+    /// Header line by which any other target at the address rejects the call.
     expect: String,
 }
 
@@ -56,7 +54,7 @@
         }
     }
 
-    /// Asks over a connection of its own: others may have ended for reasons of theirs.
+    /// Runs the check over a new connection, since an open one may be closed for other reasons.
     async fn at(
         &self,
         address: SocketAddr,
@@ -73,7 +71,9 @@
     }
 }
 
-/// True if a target answers right now. Before a suspected request is sent: should the target end, then under it.
+/// Returns true if a target answers a health check now.
+///
+/// Called before a suspect request is sent, so that a crash that follows can be attributed to it.
 pub async fn answers_now(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
@@ -93,8 +93,8 @@
     }
 }
 
-/// A request was lost as its target had just begun it: finds out whether the target has ended, and tells all
-/// hosts if so.
+/// Records a request as a suspect after its connection was lost, and probes in the background whether its target
+/// crashed; reports a crash to all hosts.
 pub fn accuse(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
@@ -112,7 +112,7 @@
         let mut board = board.borrow_mut();
         board.crashes.on_loss(&run.0, lost);
         let link = board.links.get(&run.0);
-        // One that leaves ends by plan, whatever runs there.
+        // A target that drains stops by plan, whatever it runs.
         let link = link.filter(|link| link.view.usable_until.is_none());
         let Some(address) = link.map(|link| link.view.record.address) else {
             return;
@@ -131,7 +131,7 @@
     spawn_local(probe.run(address));
 }
 
-/// A target gave a request a whole answer: what ended under it before was ended by others.
+/// Clears a request that a target has answered completely: earlier crashes were not its fault.
 pub fn acquit(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
@@ -146,7 +146,7 @@
     }
 }
 
-/// Looks at one start of a target.
+/// Probes one incarnation of a target.
 struct CrashProbe {
     board: Rc<RefCell<TargetBoard>>,
     check: HealthCheck,
@@ -192,7 +192,8 @@
         board.report_poison(PoisonReport::Struck { strikes });
     }
 
-    /// True if the target takes no connections twice, and nothing was heard of this start meanwhile.
+    /// Returns true if the target was down in both checks and this incarnation has sent nothing meanwhile, or if it was
+    /// replaced.
     async fn has_ended(
         &self,
         address: SocketAddr,
@@ -207,14 +208,14 @@
         self.check.at(address).await == Health::Down && !self.was_heard()
     }
 
-    /// True if the target is gone or has started anew.
+    /// Returns true if the target is gone or has a new incarnation.
     fn has_other_start(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.run.0);
         link.is_none_or(|link| link.view.record.started != self.run.1)
     }
 
-    /// True if this start of the target has sent anything since the loss.
+    /// Returns true if this incarnation of the target has sent anything since the loss.
     fn was_heard(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.run.0);
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -32,36 +32,34 @@
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// Callers that were refused come back after this time, if nothing better is known.
+/// Default retry delay for callers that were rejected.
 const COME_BACK: Duration = Duration::from_millis(400);
 
-/// Pause before an engine is tried again whose load was not over.
+/// Backoff before a request is sent again to an engine that is still loading its adapter.
 const LOAD_PAUSE: Duration = Duration::from_millis(25);
 
-/// A repeat waits so long for loans of other hosts' allowance, which come within a round trip; a caller would
-/// come back after 0.4 s.
+/// Timeout of a repeat that waits for repeat budget borrowed from other hosts.
 const LOAN_WAIT: Duration = Duration::from_millis(150);
 
-/// Time between two looks whether a loan has come.
+/// Interval at which a waiting repeat checks whether budget was borrowed.
 const LOAN_LOOK: Duration = Duration::from_millis(10);
 
-/// A stream whose first event came so shortly before it broke off may have ended its target by its begin: a target falls within a
-/// tenth of a second, and hundreds of tokens later others are as likely.
+/// A stream that breaks off within this time of its first event is suspected of having crashed its target; later on, any
+/// other request at the target is as likely the cause.
 const JUST_BEGUN: Duration = Duration::from_secs(1);
 
-/// A target that was gone before a request came breaks it off within a round trip, some 2 ms; one that ends under a request has
-/// begun it first.
+/// A connection that is lost sooner than this was closed before the target started the request.
 const LEAST_RUN: Duration = Duration::from_millis(3);
 
-/// How the sends of a request ended.
+/// Result of all sends of a request.
 enum Outcome {
-    /// This is the final answer.
+    /// The final answer.
     Final(Response<AnswerBody>),
-    /// The answer has begun.
+    /// The head and the first piece of an answer that is still being sent.
     Open(Box<OpenAnswer>),
 }
 
-/// Sends each request to a target, again where that is allowed, and gives the final answer.
+/// Sends each request to a target, with resends where the route allows them, and returns the final answer.
 pub struct Dispatcher {
     board: Rc<RefCell<TargetBoard>>,
     chooser: Chooser,
@@ -81,7 +79,7 @@
         }
     }
 
-    /// Serves one request to its final answer, or to the first event of a stream.
+    /// Serves a request up to its final answer, or to the first event of a stream.
     pub async fn serve(
         self: &Rc<Self>,
         request: CallRequest,
@@ -116,7 +114,7 @@
         response
     }
 
-    /// Opens the rest of a stream that broke, behind the event `after`, at another target.
+    /// Opens the rest of a broken stream at another target, after the event `after`.
     pub async fn resume(
         &self,
         request: &CallRequest,
@@ -143,8 +141,7 @@
         }
     }
 
-    /// The answer to a request that is known to end targets. It is told so at once: it would only end another one, with all
-    /// that runs there.
+    /// Rejects a request that is known to crash targets, with an error that callers do not retry.
     fn refuse_poison(
         &self,
         request: &CallRequest,
@@ -158,7 +155,7 @@
         self.answer(request, OwnAnswer::new(OwnCause::EndsTargets))
     }
 
-    /// The answer to a request whose customer may not use what it costs, or whose use nobody counts.
+    /// Rejects a request that could not be charged to its customer's quota.
     fn refuse_uncharged(
         &self,
         request: &CallRequest,
@@ -184,7 +181,7 @@
         self.answer(request, answer)
     }
 
-    /// What is thought of a request under which targets have ended; `None` for every other one.
+    /// Returns the verdict on a request that targets have crashed under, or `None` if there were no such crashes.
     fn standing(
         &self,
         request: &CallRequest,
@@ -196,7 +193,7 @@
         }
     }
 
-    /// True if the request is known to end targets.
+    /// Returns true if the request is known to crash targets.
     fn is_refused(
         &self,
         request: &CallRequest,
@@ -204,7 +201,7 @@
         self.standing(request) == Some(Standing::Refused)
     }
 
-    /// True if targets have ended under the request: it is not sent again by itself, its caller may do so.
+    /// Returns true if targets have crashed under the request: only its caller may send it again.
     fn has_ended_targets(
         &self,
         request: &CallRequest,
@@ -212,8 +209,8 @@
         self.standing(request).is_some()
     }
 
-    /// True if targets have ended under the request, or one may have a moment ago: it goes to targets only that answer
-    /// right now.
+    /// Returns true if targets have crashed under the request, or one may just have: it is sent only to targets that answer
+    /// a health check first.
     fn is_suspected(
         &self,
         request: &CallRequest,
@@ -284,7 +281,7 @@
             destination.resume_after = resume_after;
             let names = self.formats.headers();
             let streams = request.route.kind == RouteKind::Stream;
-            // Paid right before it is sent: it may have waited for its adapter for seconds.
+            // Charged right before the send: the request may have waited seconds for its adapter.
             let repeats = tries.history.arrivals > 0;
             let paid = match repeats {
                 true => self.pay_for_repeat(request),
@@ -299,13 +296,13 @@
                 tries.tried.push(destination.target.to_string());
                 continue;
             }
-            // It may have become known while this one waited for its adapter, for seconds.
+            // The request may have become known as poison while it waited seconds for its adapter.
             if self.is_refused(request) {
                 return Outcome::Final(self.refuse_poison(request));
             }
             let run = self.run_at(&destination.target);
             let sent_at = Instant::now();
-            // Until its end is known a send may have run.
+            // A send counts as run until its end is known.
             tries.history.runs += 1;
             let sent = send(&self.board, names, request, &destination, streams).await;
             tries.history.runs -= 1;
@@ -348,7 +345,7 @@
         }
     }
 
-    /// Where a request goes next, and its place there if it needs one.
+    /// Chooses the target of the next send, and acquires a concurrency slot there if it needs one.
     async fn choose(
         &self,
         request: &CallRequest,
@@ -369,7 +366,7 @@
         }
     }
 
-    /// The start of a target that a send now is for.
+    /// Returns the current incarnation of a target.
     fn run_at(
         &self,
         target: &Arc<str>,
@@ -377,7 +374,7 @@
         (target.clone(), self.board.borrow().started(target))
     }
 
-    /// A stream was broken off; its request is accused if its answer had just begun.
+    /// Handles a broken stream; its request becomes a suspect if the stream had just begun.
     pub fn on_broken(
         &self,
         request: &CallRequest,
@@ -391,7 +388,7 @@
         }
     }
 
-    /// A stream came to its end.
+    /// Handles the end of a complete stream.
     pub fn on_whole(
         &self,
         request: &CallRequest,
@@ -399,7 +396,7 @@
         acquit(&self.board, request);
     }
 
-    /// Waits until all that a send rests on is young enough; false if that took too long.
+    /// Waits until all tables that a send depends on are fresh; returns false on timeout.
     async fn wait_until_fresh(
         &self,
         request: &CallRequest,
@@ -410,7 +407,7 @@
             .as_ref()
             .and_then(|g| g.adapter())
             .is_some();
-        // What a request was routed by may have aged while it waited for its adapter.
+        // The tables that the request was routed by may have become stale while it waited for its adapter.
         if request.credential.is_some()
             && !wait_until_fresh(&self.board, FreshnessCheck::Keys, id).await
         {
@@ -422,8 +419,8 @@
         wait_until_fresh(&self.board, FreshnessCheck::Targets, id).await
     }
 
-    /// Why a request must not be sent by the key that it was admitted by: it may have been taken away while the request
-    /// waited for its adapter, for seconds.
+    /// Returns why a request must not be sent with its key any more: the key may have been revoked while the request waited
+    /// seconds for its adapter.
     fn lost_key(
         &self,
         request: &CallRequest,
@@ -437,7 +434,7 @@
         }
     }
 
-    /// Decides what follows a send without an answer; gives the final answer if there is one.
+    /// Decides what follows a failed send; returns the final answer, or `None` if the request is to be sent again.
     async fn after(
         &self,
         request: &CallRequest,
@@ -480,7 +477,7 @@
         }
     }
 
-    /// True if a repeat can be paid for, perhaps by a loan that other hosts are asked for first.
+    /// Returns true if the budget allows a repeat, after waiting for budget borrowed from other hosts if needed.
     async fn wait_for_allowance(
         &self,
         request: &CallRequest,
@@ -521,7 +518,7 @@
         paid
     }
 
-    /// True if the engine turned the request away because its adapter was still being loaded.
+    /// Returns true if the engine rejected the request because it was still loading the adapter.
     fn is_coming(
         &self,
         request: &CallRequest,
@@ -556,7 +553,7 @@
         }
     }
 
-    /// Waits until a holder has told how its engine stands, or until a time.
+    /// Waits until a holder has reported the status of its engine, or until a time.
     async fn wait_for_standings(
         &self,
         until: Instant,
@@ -568,7 +565,7 @@
         }
     }
 
-    /// Waits for news of the adapter, or until a time.
+    /// Waits for an update on the request's adapter, or until a time.
     async fn wait(
         &self,
         request: &CallRequest,
@@ -593,7 +590,7 @@
         self.unserved(request, tries, unplaced_cause(request), COME_BACK)
     }
 
-    /// The answer to a request that is sent nowhere, or not once more.
+    /// Returns the final answer to a request that is not sent, or not again.
     fn unserved(
         &self,
         request: &CallRequest,
@@ -645,7 +642,7 @@
     }
 }
 
-/// Tells that the caller has gone, if a request is dropped before its final answer.
+/// Logs that the caller has gone, if dropped before the final answer.
 struct Unserved {
     id: String,
     arrived: Instant,
@@ -690,7 +687,6 @@
     }
 }
 
-/// Why a request finds no target.
 fn unplaced_cause(request: &CallRequest) -> OwnCause {
     match request.generation {
         Some(_) => OwnCause::NoAdapter,
@@ -698,7 +694,7 @@
     }
 }
 
-/// What a send tells of how busy its target is.
+/// Returns what a send shows of the load of its target.
 fn place_end(
     sent: &Sent,
     took: Duration,
@@ -710,7 +706,7 @@
     }
 }
 
-/// What was charged for a request stays so if it may have run, and goes back otherwise.
+/// Makes the charge for a request final if the request may have run, and refunds it otherwise.
 fn settle(
     charged: Option<QuotaCharge>,
     may_have_run: bool,
@@ -720,7 +716,7 @@
     }
 }
 
-/// Tells how a request went: in one line if it went smoothly, else with every step.
+/// Logs a served request: one line, preceded by its trace if it failed or was late.
 fn tell(
     request: &CallRequest,
     tries: &Tries,
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -8,19 +8,18 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// What other hosts send to an engine is unknown when it was last told longer ago.
+/// Maximum age of a report of other hosts' load at an engine; past it that load counts as unknown.
 const LOAD_KNOWN: Duration = Duration::from_millis(400);
 
-/// Rank of the requests that engines admit before all others.
+/// Priority of the requests that engines admit before all others.
 const MOST_URGENT: u8 = 0;
 
-/// What all candidates for one request are measured with.
+/// Estimates wait and load of the candidates for one request.
 pub(super) struct EngineOutlook<'a> {
     speed: ReadingSpeed,
     policy: Policy,
-    /// Tokens that run at an engine of the service, in the mean.
+    /// Mean number of running tokens per engine of the service.
     mean_tokens: f64,
-    /// The hall of this host.
     hall: &'a str,
     now: Instant,
 }
@@ -35,7 +34,7 @@
     ) -> Self {
         let service = &request.service.name;
         let mean_tokens = match board.asks_before_sends() {
-            // Of other engines too little is known.
+            // The load of other engines is too stale.
             true => board.mean_tokens(targets.iter()),
             false => board.mean_tokens(board.engines_of(service).iter()),
         };
@@ -48,7 +47,7 @@
         }
     }
 
-    /// An engine, as it stands for a request.
+    /// Returns an engine as a candidate for a request.
     pub fn candidate(
         &self,
         board: &TargetBoard,
@@ -82,7 +81,7 @@
         }
     }
 
-    /// True if what other hosts send there was last told too long ago.
+    /// Returns true if the report of other hosts' load at an engine is stale.
     fn is_unknown(
         &self,
         board: &TargetBoard,
@@ -92,8 +91,9 @@
         board.asks_before_sends() && since.is_some_and(|since| !link.told_since(since))
     }
 
-    /// Tokens of prompts that are read at an engine before that of a request. Engines admit the most
-    /// urgent first, so these wait for the one prompt that is being read at the most.
+    /// Returns the prompt tokens that an engine reads before the prompt of a request.
+    ///
+    /// Engines admit the most urgent requests first, so these wait for at most the one prompt that is being read.
     fn backlog_before(
         &self,
         link: &TargetLink,
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -1,4 +1,4 @@
-//! Which engines a request may go to, and what their holders are asked right before it is sent.
+//! Samples the engines that a request may go to, and queries their holders right before it is sent.
 
 use {
     super::tries::{QueryRound, Tries},
@@ -14,22 +14,21 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Wait for what holders tell of their engines.
 const QUERY_WAIT: Duration = Duration::from_millis(20);
 
-/// What a holder told of its engine counts for so long.
+/// Validity of a holder's report on its engine.
 const QUERY_FRESH: Duration = Duration::from_millis(60);
 
-/// Engines that are ready for a request whose holders are asked, at the most.
+/// Maximum number of engines in a sample that are ready for the request.
 const QUERIED_READY: usize = 6;
 
-/// Engines that are not ready for it whose holders are asked, at the most.
+/// Maximum number of engines in a sample that neither hold nor load the adapter.
 const QUERIED_OTHERS: usize = 4;
 
-/// Engines on which an adapter may settle, besides those that hold it.
+/// Number of engines that an adapter may be loaded at, besides those that hold it.
 const SETTLING_PLACES: usize = 8;
 
-/// The engines that a request for the base model alone may go to: a sample of a large site's.
+/// Returns the engines that a request without an adapter may go to; a sample of them on a large site.
 pub(super) fn sample_of_service(
     board: &TargetBoard,
     request: &CallRequest,
@@ -47,8 +46,9 @@
         .collect()
 }
 
-/// The engines that a request for an adapter may go to, in the order in which it settles: on a large
-/// site a sample of those that hold it, those to which it comes, and a few where it may come next.
+/// Returns the engines that a request for an adapter may go to, in the adapter's order of preference.
+///
+/// On a large site these are a sample of the engines that hold it, those that load it, and a few that may load it next.
 pub(super) fn sample_for_adapter(
     board: &TargetBoard,
     request: &CallRequest,
@@ -69,7 +69,7 @@
         .into_iter()
         .partition(|at| state(at).is_some_and(is_coming));
     open.retain(|at| !state(at).is_some_and(|state| is_full(state, now)));
-    // Where it was lately it comes back much faster.
+    // An engine that held the adapter lately loads it much faster.
     open.sort_by_key(|at| state(at) != Some(CopyState::Remembered));
     open.truncate(QUERIED_OTHERS);
     let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
@@ -80,8 +80,10 @@
     chosen.into_iter().map(|at| order[at].clone()).collect()
 }
 
-/// The engines among which is chosen. On a large site their holders are asked first how they stand,
-/// since what was last heard is too old; `Err` gives the time until which their answers are awaited.
+/// Returns the engines to choose from.
+///
+/// On a large site their holders are queried first, since earlier reports are too stale; `Err` holds the time until which
+/// to wait for their reports.
 pub(super) fn look_before_send(
     board: &TargetBoard,
     request: &CallRequest,
@@ -115,7 +117,7 @@
     Err(now + QUERY_WAIT)
 }
 
-/// Asks the holders of these engines how they stand; false if there is none to ask.
+/// Queries the holders of engines for their status; returns false if none of the engines has a holder.
 fn query_all(
     board: &TargetBoard,
     request: &CallRequest,
@@ -151,8 +153,8 @@
     asked > 0
 }
 
-/// Leaves out engines that take no request now, unless all do: a sample of closed ones would have a request refused that others
-/// would take.
+/// Removes closed engines unless all are closed: a sample of closed engines would get a request rejected that others
+/// could take.
 fn without_closed<T>(
     engines: Vec<T>,
     is_closed: impl Fn(&T) -> bool,
--- a/src/connection/front/event_splitter.rs
+++ b/src/connection/front/event_splitter.rs
@@ -1,41 +1,41 @@
 use bytes::{Bytes, BytesMut};
 
-/// Ends one event of a stream.
+/// Terminator of an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// An event longer than this is taken for nonsense, in bytes.
+/// Maximum size of an event, in bytes; a stream with a longer one is broken.
 const MAX_EVENT: usize = 1024 * 1024;
 
-/// Events of one stream, out of the answers of the targets that made it one after the other.
+/// Joins the answers of several targets, one after another, to one stream of server-sent events.
 ///
-/// Only whole events come out, each once and without a gap.
+/// Returns only complete events, each once and without a gap.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
     last_id: Option<u64>,
 }
 
-/// The stream has a hole, or makes no sense.
+/// The stream has a gap in its event ids, or an event is too long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BrokenStream;
 
 impl EventSplitter {
-    /// Id of the last event that came out.
+    /// Returns the id of the last event that was returned.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// True between two events.
+    /// Returns true if no incomplete event is buffered.
     pub fn is_between_events(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Another target goes on; what was begun of an event comes again from there.
+    /// Discards an incomplete event, before another target continues the stream and sends it again.
     pub fn restart(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes bytes in; gives the whole events among what has come, without those already given.
+    /// Appends bytes; returns the events that are now complete, without those returned before.
     pub fn take(
         &mut self,
         piece: &[u8],
@@ -61,7 +61,7 @@
         Ok(events.split_off(fresh))
     }
 
-    /// True for an event that has come out before; its id otherwise becomes the last.
+    /// Returns true if an event was returned before; otherwise its id becomes the last one.
     fn is_repeated(
         &mut self,
         id: Option<u64>,
@@ -93,7 +93,7 @@
     Some(found + EVENT_END.len())
 }
 
-/// The number in an event's `id:` line.
+/// Returns the number in the `id:` line of an event.
 fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -22,37 +22,36 @@
     tokio::time::timeout,
 };
 
-/// Time for a connection to a target to come up.
 const CONNECT_LIMIT: Duration = Duration::from_millis(300);
 
-/// Bodies up to this size are read whole before they are passed on, in bytes.
+/// Bodies up to this size in bytes are read completely before they are relayed.
 const WHOLE_LIMIT: usize = 256 * 1024;
 
-/// The last rank that engines know among the requests that wait there.
+/// Lowest priority that engines know.
 const LEAST_URGENT: u8 = 9;
 
-/// The version of its adapter that a request is sent for.
+/// Version of the adapter that a request is sent for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionSent {
     pub version: u64,
-    /// The newest one that is known.
+    /// Newest known version.
     pub newest: u64,
-    /// The request is expected to begin after this time.
+    /// Expected wait of the request before the engine starts it.
     pub wait: Duration,
 }
 
-/// Where a request goes, and on what condition it may run there.
+/// Target of a send, and the conditions on which the request may run there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
     pub target: Arc<str>,
-    /// Version of the adapter that must be there; none for requests without one.
+    /// Version of the adapter that the target must hold; `None` for requests without an adapter.
     pub version: Option<VersionSent>,
-    /// The answer goes on behind this event.
+    /// Id of the event after which the answer continues.
     pub resume_after: Option<u64>,
 }
 
 impl Destination {
-    /// A target, without conditions.
+    /// Returns a destination without conditions.
     pub fn of(target: &str) -> Self {
         Self {
             target: target.into(),
@@ -62,15 +61,15 @@
     }
 }
 
-/// One request that runs, or may run, at a target; it counts as ended when dropped.
+/// A request that may run at a target; counted there until dropped.
 pub struct Flight {
     board: Rc<RefCell<TargetBoard>>,
     target: Arc<str>,
-    /// Which start of the target it runs at.
+    /// Incarnation of the target that it runs at.
     started: Option<TargetStart>,
     adapter: Option<String>,
     tokens: RequestTokens,
-    /// Nothing of the answer has come yet.
+    /// True until the first byte of the answer arrives.
     unread: Cell<bool>,
 }
 
@@ -98,8 +97,8 @@
         }
     }
 
-    /// Does something with the target's link, unless the target is gone or has started anew: what ends of
-    /// an earlier start says nothing of the later one.
+    /// Applies a change to the target's link, unless the target is gone or has a new incarnation, which the end of an earlier
+    /// request does not concern.
     fn with_link(
         &self,
         change: impl FnOnce(&mut TargetLink),
@@ -111,19 +110,19 @@
         }
     }
 
-    /// True unless the target is gone or has started anew since the flight began.
+    /// Returns true if the target still has the incarnation that the request was sent to.
     fn is_at_known_start(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.target);
         link.is_some_and(|link| link.view.record.started == self.started)
     }
 
-    /// Something came from the target.
+    /// Records that bytes have arrived from the target.
     fn on_heard(&self) {
         self.with_link(|link| link.heard = Some(Instant::now()));
     }
 
-    /// The head of the answer to a request that was sent at `sent` has come.
+    /// Records what the head of an answer announces; `sent` is the time of the request.
     fn on_head(
         &self,
         names: &HeaderNames,
@@ -142,7 +141,7 @@
             .on_answer(target, start, &said, sent, Instant::now());
     }
 
-    /// The first of the answer has come, or none will.
+    /// Records that the target has read the prompt: the answer has started, or none will come.
     fn on_prompt_read(&self) {
         if !self.unread.replace(false) {
             return;
@@ -150,7 +149,7 @@
         self.with_link(|link| link.on_prompt_read(self.tokens));
     }
 
-    /// Keeps the connection of an exchange that is over.
+    /// Returns the connection of a finished exchange to the pool of idle ones.
     pub fn keep(
         &self,
         connection: HttpConnection,
@@ -167,7 +166,7 @@
     }
 }
 
-/// A whole answer of a target.
+/// A complete answer of a target.
 #[derive(Debug)]
 pub struct WholeAnswer {
     pub status: StatusCode,
@@ -175,16 +174,16 @@
     pub body: Bytes,
 }
 
-/// An answer whose body goes on.
+/// An answer whose body is still being sent.
 pub struct OpenAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// What has arrived of the body.
+    /// First piece of the body.
     pub first: Bytes,
     pub source: AnswerSource,
 }
 
-/// Where the rest of a body comes from.
+/// Source of the rest of a body.
 pub struct AnswerSource {
     connection: HttpConnection,
     decoder: BodyDecoder,
@@ -194,7 +193,7 @@
 }
 
 impl AnswerSource {
-    /// The next piece; `None` at the body's end.
+    /// Returns the next piece, or `None` at the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let piece = self.connection.body_piece(&mut self.decoder).await;
         if matches!(piece, Ok(Some(_))) {
@@ -203,7 +202,7 @@
         piece
     }
 
-    /// True if the target has sent nothing at all to this host for so long, or has started anew.
+    /// Returns true if the target has sent nothing to this host for `time`, or if it has a new incarnation.
     pub fn target_is_silent(
         &self,
         time: Duration,
@@ -214,17 +213,16 @@
         link.is_none_or(|link| link.is_silent(time, Instant::now()))
     }
 
-    /// The target that answers.
     pub fn target(&self) -> &str {
         &self.flight.target
     }
 
-    /// The start of the target that answers.
+    /// Returns the incarnation of the target that answers.
     pub fn run(&self) -> TargetRun {
         (self.flight.target.clone(), self.flight.started)
     }
 
-    /// The body is over.
+    /// Ends a completely read body, and returns the connection to the pool if it can be reused.
     pub fn finish(self) {
         if self.reusable {
             self.flight.keep(self.connection, self.idle_limit);
@@ -232,29 +230,30 @@
     }
 }
 
-/// What a send brought.
+/// Result of a send.
 pub enum Sent {
     Whole(WholeAnswer),
     Open(Box<OpenAnswer>),
-    /// The target ran it and failed.
+    /// The target ran the request and failed.
     Failed(WholeAnswer),
-    /// No answer that can be passed on.
+    /// There is no answer that can be relayed.
     Ended(AttemptEnd),
-    /// The target does not hold what the request needs, and did not run it.
+    /// The target does not hold what the request needs, and has not run it.
     Misdirected,
-    /// Nothing was sent: by now it is not known well enough that the target takes requests, or it has said that it takes none,
-    /// or its version of the adapter may serve no longer.
+    /// Nothing was sent: a table has become too stale, the target has announced that it accepts no requests, its version of
+    /// the adapter may no longer serve, or the key was revoked.
     Unconfirmed,
 }
 
 impl Sent {
-    /// True if it is known that nothing of the request arrived at a target.
+    /// Returns true if the request certainly never reached a target.
     pub fn never_arrived(&self) -> bool {
         matches!(self, Self::Unconfirmed | Self::Ended(AttemptEnd::NotSent))
     }
 }
 
-/// Sends a request to a target and reads its answer: plain ones whole, streams to the first piece.
+/// Sends a request to a target and reads its answer: up to the first piece for streams, otherwise completely if it is not
+/// too large.
 pub async fn send(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
@@ -269,7 +268,7 @@
         return Sent::Ended(AttemptEnd::NotSent);
     };
     let now = Instant::now();
-    // The connection may have taken its time to come up, and may lead to a start that is over.
+    // Connecting may have taken long, and the connection may lead to an earlier incarnation.
     if !board.borrow().is_usable(&destination.target, now) || !flight.is_at_known_start() {
         return Sent::Ended(AttemptEnd::NotSent);
     }
@@ -335,8 +334,8 @@
     }))
 }
 
-/// True if what a send rests on is young enough, the list of targets and the version that it is for, and the target has not
-/// said meanwhile that it takes none.
+/// Returns true if the list of targets and the adapter's version are fresh enough, the key is valid, and the target has
+/// not announced that it accepts no requests.
 fn may_send(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
@@ -352,7 +351,7 @@
             let until = board.serves_until(adapter, sent.version);
             until.allows(sent.wait, now)
         });
-    // A stream that goes on elsewhere began while its key stood.
+    // A resumed stream was started while its key was valid.
     let resumes = destination.resume_after.is_some();
     let key_stands = resumes
         || request
@@ -393,7 +392,7 @@
     }
 }
 
-/// The target turned the request away.
+/// Handles a rejection by the target.
 async fn not_run(
     head: ResponseHead,
     mut source: AnswerSource,
@@ -435,7 +434,7 @@
     flight.with_link(|link| link.health.on_failure(Instant::now()));
 }
 
-/// The headers of an answer that go on to the caller.
+/// Returns the headers of an answer that are relayed to the caller.
 fn passed_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in [
         header::CONNECTION,
@@ -450,7 +449,7 @@
     headers
 }
 
-/// The request as it goes to the target.
+/// Encodes the request for the target.
 fn request_bytes(
     names: &HeaderNames,
     request: &CallRequest,
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -33,29 +33,29 @@
     },
 };
 
-/// Pause after a failed accept, such as when file descriptors run out.
+/// Backoff after a failed accept, such as when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Callers come back to another host after this time when this one stops.
+/// Retry delay for callers while this host stops; they should use another one.
 const STOP_COME_BACK: Duration = Duration::from_millis(20);
 
-/// Callers come back after this time while no configuration is known.
+/// Retry delay for callers while no configuration is known.
 const NOT_READY_COME_BACK: Duration = Duration::from_millis(300);
 
-/// Connections of callers, among the figures.
+/// Metric label of callers' connections.
 const CALLERS: StateLabels = StateLabels { state: "callers" };
 
-/// How far a planned stop has come.
+/// Stage of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrontStop {
     Serving,
-    /// Requests are served; connections end after their request.
+    /// Requests are served; connections are closed after their request.
     Leaving,
-    /// New requests are refused.
+    /// New requests are rejected.
     Refusing,
 }
 
-/// Takes callers' connections and serves their requests.
+/// Accepts callers' connections and serves their requests.
 pub struct FrontListener {
     dispatcher: Rc<Dispatcher>,
     reader: RequestReader,
@@ -157,10 +157,9 @@
 }
 
 impl FrontListener {
-    /// The answer to a request that is not routed, with a line on what that rests on.
+    /// Returns the answer to a request that is not routed, and logs the configuration that this depends on.
     ///
-    /// A key that stands nowhere may have been added since a configuration that is older than its bound; its caller
-    /// would take 401 for the last word.
+    /// While the configuration is stale, an unknown key gets a retryable answer, since it may have been added meanwhile.
     fn reject(
         &self,
         cause: OwnCause,
@@ -187,7 +186,7 @@
     }
 }
 
-/// A connection that is open; counted until dropped.
+/// An open connection; counted until dropped.
 struct OpenConnection {
     count: Arc<AtomicUsize>,
 }
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -1,4 +1,4 @@
-//! Callers: their connections, reading their requests, sending these to targets, and the answers.
+//! The front end: accepts callers' connections, reads their requests, sends these to targets and relays the answers.
 
 mod adapter_standing;
 mod admission;
--- a/src/connection/front/own_answer.rs
+++ b/src/connection/front/own_answer.rs
@@ -4,42 +4,42 @@
     std::time::Duration,
 };
 
-/// Why a request gets an answer of this host's own.
+/// Reason for which this host answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnCause {
     /// No configuration is known yet.
     NotReady,
     NoRoute,
-    /// No customer has the key that the request bears, or it bears none.
+    /// The key is missing, or belongs to no customer.
     UnknownKey,
-    /// Its customer has used up what it may, over all hosts.
+    /// The customer's quota, which is shared by all hosts, is used up.
     OverLimit,
-    /// Nobody who counts its customer's use answers; other hosts may reach one.
+    /// No host that counts the customer's quota answers; other hosts may reach one.
     Uncounted,
     BodyTooLarge,
     BodyTooSlow,
-    /// The process stops.
+    /// The host is shutting down.
     Stopping,
-    /// What this host would serve it by is too old; other hosts may know more.
+    /// A table that is needed to serve the request is too stale on this host.
     Unconfirmed,
-    /// Every target that could run it is full, or none is there.
+    /// All targets are full or closed, or there is none.
     NoTarget,
     /// The adapter can't be loaded in time.
     NoAdapter,
-    /// Targets turned it away, and it may not be sent again.
+    /// Targets rejected the request, and it may not be sent again.
     TurnedAway,
-    /// The time was over before it ran.
+    /// The deadline passed before the request ran.
     TimeOverUnsent,
-    /// The time was over, and it may have run.
+    /// The deadline passed, and the request may have run.
     TimeOver,
-    /// It may have run, and its answer is lost.
+    /// The request may have run, and its answer is lost.
     AnswerLost,
-    /// Targets end under it, so that it is sent to none any more.
+    /// The request crashes targets, and is no longer sent to any.
     EndsTargets,
 }
 
 impl OwnCause {
-    /// The cause in logs and in the body.
+    /// Returns the code of the cause in logs and in the body.
     pub fn word(self) -> &'static str {
         match self {
             Self::NotReady => "not_ready",
@@ -61,12 +61,12 @@
         }
     }
 
-    /// True if a request that gets this answer may have run.
+    /// Returns true if a request that gets this answer may have run.
     pub fn may_have_run(self) -> bool {
         matches!(self, Self::TimeOver | Self::AnswerLost)
     }
 
-    /// 408, 429 and 503 promise that the request has not run and never will.
+    /// Returns the HTTP status; 408, 429 and 503 guarantee that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -84,18 +84,17 @@
             | Self::TimeOverUnsent => StatusCode::SERVICE_UNAVAILABLE,
             Self::TimeOver => StatusCode::GATEWAY_TIMEOUT,
             Self::AnswerLost => StatusCode::BAD_GATEWAY,
-            // It has not run, but 503 would promise that it may be served later, and callers' libraries send 502 to
-            // 504 again by themselves.
+            // The request has not run, but client libraries retry 502 to 504 by themselves.
             Self::EndsTargets => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 }
 
-/// An answer of this host's own.
+/// An answer that this host gives itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnAnswer {
     pub cause: OwnCause,
-    /// When the caller should come back, for requests that have not run.
+    /// Delay before a retry, for requests that have not run.
     pub retry_after: Option<Duration>,
 }
 
@@ -117,7 +116,7 @@
         }
     }
 
-    /// The answer on the wire; it names the request that it belongs to.
+    /// Builds the HTTP response, with the id of the request.
     pub fn into_response(
         self,
         id_name: &HeaderName,
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -13,7 +13,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: &[HeaderName] = &[
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -32,13 +32,13 @@
 /// Why a request could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestProblem {
-    /// The caller gets this answer.
+    /// The caller gets an answer with this cause.
     Answer(OwnCause),
     /// The caller is gone.
     Gone,
 }
 
-/// Makes a [`CallRequest`] out of what arrives on a caller's connection.
+/// Reads a [`CallRequest`] from a caller's connection.
 pub struct RequestReader {
     formats: Arc<dyn Formats>,
 }
@@ -48,7 +48,7 @@
         Self { formats }
     }
 
-    /// The id that the caller gave to its request.
+    /// Returns the id that the caller gave to its request.
     pub fn id(
         &self,
         headers: &HeaderMap,
@@ -56,7 +56,7 @@
         headers.get(&self.formats.headers().request_id).cloned()
     }
 
-    /// Reads the whole request; `draw`, from 0 to below 1, chooses the part of a split route.
+    /// Reads a complete request; `draw`, from 0 to below 1, chooses the part of a split route.
     pub async fn read(
         &self,
         request: Request<Incoming>,
@@ -113,13 +113,13 @@
     draw: f64,
 ) -> Result<Arc<TargetService>, RequestProblem> {
     let service = route.service(draw).and_then(|name| routing.service(name));
-    // A route to nowhere is the operators' mistake; it may be mended soon.
+    // A route without a service is a configuration error, and may be fixed soon.
     service
         .cloned()
         .ok_or(RequestProblem::Answer(OwnCause::NoTarget))
 }
 
-/// The caller's deadline, or the route's time-out if that comes first.
+/// Returns the caller's deadline, or the route's timeout if that is shorter.
 fn allowed_time(
     headers: &HeaderMap,
     names: &HeaderNames,
@@ -176,8 +176,7 @@
     text(headers, name)?.trim().parse().ok()
 }
 
-/// Headers that go on to the target; those that only hosts may set are left out, and callers' keys, which are no
-/// business of targets.
+/// Returns the headers to forward to the target, without callers' keys and headers that only hosts may set.
 fn passed_headers(
     headers: &HeaderMap,
     names: &HeaderNames,
--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -4,23 +4,23 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Steps of one request that are kept; later ones are only counted.
+/// Maximum number of recorded steps of a request; later ones are only counted.
 const MAX_STEPS: usize = 24;
 
-/// A decision on a request, or something that happened to it.
+/// A decision on a request, or the result of a send.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TraceStep {
-    /// A target was chosen, among so many candidates of which so many were ready.
+    /// A target was chosen; `ready` of the `candidates` were ready.
     Chosen {
         target: Arc<str>,
         candidates: usize,
         ready: usize,
-        /// Requests and unread tokens there, of all hosts.
+        /// Requests and unread prompt tokens of all hosts at the target.
         running: u32,
         unread_tokens: u64,
-        /// Age of what other hosts' part of that rests on.
+        /// Age of the report on other hosts' requests.
         load_age: Option<Duration>,
-        /// Of its adapter, and how old what is known of versions is.
+        /// Version of the adapter, and age of the table of versions.
         version: Option<VersionSent>,
         declared_age: Option<Duration>,
     },
@@ -29,13 +29,13 @@
         target: Arc<str>,
         spare: bool,
     },
-    /// The request waits for an adapter that should be there after `expected`.
+    /// The request waits for an adapter that should be loaded after `expected`.
     Waits {
         expected: Option<Duration>,
     },
-    /// No engine could take it, for these reasons.
+    /// No engine could take the request, for these reasons.
     Unplaced(AgainstEngines),
-    /// The host that counts what the target gets did not let it through.
+    /// The target's rate limit granted no permit.
     NoPermit {
         target: Arc<str>,
     },
@@ -53,13 +53,13 @@
     Lost {
         target: Arc<str>,
     },
-    /// It is sent once more; `repeats` draws on the shared budget.
+    /// The request is sent again; `repeats` if that is charged to the shared repeat budget.
     Resent {
         repeats: bool,
     },
 }
 
-/// What was decided for one request, told only if it does not go smoothly.
+/// Steps of one request, logged only if it fails or is late.
 #[derive(Debug, Default)]
 pub struct RequestTrace {
     steps: Vec<(Instant, TraceStep)>,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The target that was chosen last.
+    /// Returns the target of the last send, or `-` if there was none.
     pub fn last_target(&self) -> &str {
         let chosen = self.steps.iter().rev().find_map(|(_, step)| match step {
             TraceStep::Chosen { target, .. } => Some(&**target),
@@ -87,7 +87,7 @@
         chosen.unwrap_or("-")
     }
 
-    /// The version that the last send was for.
+    /// Returns the version of the adapter for the last send.
     pub fn last_version(&self) -> Option<VersionSent> {
         self.steps.iter().rev().find_map(|(_, step)| match step {
             TraceStep::Chosen { version, .. } => *version,
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Time from the arrival to the last send; zero if there was none.
+    /// Returns the time from the arrival to the last send; zero if there was none.
     pub fn before_last_send(
         &self,
         arrived: Instant,
@@ -107,7 +107,7 @@
         sent.map_or(Duration::ZERO, |at| at.saturating_duration_since(arrived))
     }
 
-    /// Time from the arrival to the last send, if the request had to wait for it.
+    /// Returns the time from the arrival to the last send, or `None` if the request did not wait or was not sent.
     pub fn waited(
         &self,
         arrived: Instant,
@@ -123,7 +123,7 @@
         Some(chosen.saturating_duration_since(arrived))
     }
 
-    /// Writes a line for each step.
+    /// Logs one line for each step.
     pub fn tell(
         &self,
         id: &str,
@@ -254,7 +254,7 @@
     }
 }
 
-/// Milliseconds with a fraction, for lines.
+/// Converts a duration to milliseconds with one decimal, for log lines.
 pub fn millis(time: Duration) -> f64 {
     (time.as_secs_f64() * 10_000.0).round() / 10.0
 }
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -18,21 +18,21 @@
     tokio::sync::mpsc,
 };
 
-/// Pieces that wait for a slow caller before the target is held up.
+/// Pieces that are buffered for a slow caller before backpressure reaches the target.
 const PIECES: usize = 16;
 
-/// A stream that may go on elsewhere is given up here after a silence of so many pauses.
+/// Silence after which a resumable stream is abandoned, as a multiple of the route's gap objective.
 const SILENT_PAUSES: u32 = 4;
 
-/// Why an answer could not be passed on to its end.
+/// How the relay of an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RelayEnd {
     Whole,
     CallerGone,
     TimeOver,
-    /// The target broke the answer off.
+    /// The target closed the connection within the answer, or the stream was invalid.
     Broken,
-    /// The target is silent, and so are all others that it serves here.
+    /// The target sends nothing, neither for this stream nor for any other of this host.
     Silent,
 }
 
@@ -48,8 +48,7 @@
     }
 }
 
-/// Passes one answer on, piece by piece; where the route allows, it goes on at another target when
-/// the first one breaks it off.
+/// Relays an answer piece by piece; on resumable routes a broken stream continues at another target.
 pub struct StreamRelay {
     dispatcher: Rc<Dispatcher>,
     request: CallRequest,
@@ -59,7 +58,7 @@
 }
 
 impl StreamRelay {
-    /// Starts to pass an answer on; gives the response for the caller.
+    /// Starts the relay of an answer, and returns the response for the caller.
     pub fn start(
         dispatcher: Rc<Dispatcher>,
         answer: OpenAnswer,
@@ -101,7 +100,7 @@
                 RelayEnd::CallerGone => return self.tell(Event::RequestCallerGone, end, &source),
                 RelayEnd::Broken | RelayEnd::Silent if self.request.route.resumable => {
                     let target = source.target().to_string();
-                    // What the broken target may still do for it ends with the connection.
+                    // Closes the connection, so that the broken target cancels the request.
                     drop(source);
                     match self.resume(&target).await {
                         Some(answer) => {
@@ -120,7 +119,7 @@
         }
     }
 
-    /// Passes on what one target sends.
+    /// Relays the answer of one target.
     async fn pass_on(
         &mut self,
         first: Bytes,
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Gives a piece to the caller; on routes that may be resumed, only whole events.
+    /// Sends a piece to the caller; on resumable routes, only complete events.
     async fn give(
         &mut self,
         piece: Bytes,
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Opens the rest of the stream at another target, unless the caller leaves meanwhile.
+    /// Opens the rest of the stream at another target; returns `None` if that fails, or if the caller leaves.
     async fn resume(
         &mut self,
         broken: &str,
@@ -209,7 +208,7 @@
         );
     }
 
-    /// Ends the answer so that it does not look whole.
+    /// Closes the connection early, so that the caller sees a truncated answer.
     async fn cut(
         &self,
         end: RelayEnd,
--- a/src/connection/front/tries.rs
+++ b/src/connection/front/tries.rs
@@ -10,32 +10,32 @@
     std::sync::Arc,
 };
 
-/// Samples of engines that are given up for one request, at the most.
+/// Maximum number of samples of engines that a request discards because all of them are busy.
 const MAX_TAKEN_SAMPLES: u32 = 2;
 
-/// What was tried for one request.
+/// Attempts to serve one request.
 #[derive(Default)]
 pub struct Tries {
     pub history: RequestHistory,
-    /// Targets that turned it away, were not reached, or broke off.
+    /// Targets that rejected it, were not reached, or lost the connection.
     pub tried: Vec<String>,
-    /// The last failure that a target gave as an answer.
+    /// Last answer with a server error.
     pub failure: Option<WholeAnswer>,
     pub trace: RequestTrace,
-    /// How engines stand was asked of their holders.
+    /// Last query of engines' status.
     pub query: Option<QueryRound>,
-    /// Samples of engines that were found taken.
+    /// Discarded samples of engines.
     taken_samples: u32,
 }
 
-/// Engines whose holders were asked how they stand.
+/// Engines whose holders were queried, and the time of the query.
 pub struct QueryRound {
     pub targets: Vec<Arc<str>>,
     pub since: Instant,
 }
 
 impl Tries {
-    /// A send ended without an answer that can be passed on.
+    /// Records a send without an answer that can be relayed.
     pub fn note_end(
         &mut self,
         destination: &Destination,
@@ -54,8 +54,7 @@
         self.trace.add(step, now);
     }
 
-    /// Gives up the sample of engines that was asked; false if that was done too often, or if the
-    /// request was not restricted to a sample.
+    /// Discards the sample of engines; returns false if that was done too often, or if there is no sample.
     pub fn draws_again(&mut self) -> bool {
         if self.query.is_none() || self.taken_samples >= MAX_TAKEN_SAMPLES {
             return false;
@@ -65,7 +64,7 @@
         true
     }
 
-    /// True if this target is not to be tried again.
+    /// Returns true if this target is not to be tried again.
     pub fn has_tried(
         &self,
         target: &str,
--- a/src/connection/front/waiter.rs
+++ b/src/connection/front/waiter.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Waits for news of the adapter.
+    /// Waits for an update on the adapter.
     pub async fn news(&self) {
         self.news.notified().await;
     }
--- a/src/connection/front/waits.rs
+++ b/src/connection/front/waits.rs
@@ -1,9 +1,9 @@
-//! How long requests wait before they look for an engine again.
+//! Delays before a request tries to choose an engine again.
 
 use std::time::Duration;
 
-/// Wait for the answer of a holder that was just asked.
+/// Delay after a holder was asked to load an adapter.
 pub const ASK_WAIT: Duration = Duration::from_millis(60);
 
-/// Pause before a request that no engine can take looks again.
+/// Delay when no engine can take the request.
 pub const LOOK_AGAIN: Duration = Duration::from_millis(25);
