--- a/src/connection/front/adapter_standing.rs
+++ b/src/connection/front/adapter_availability.rs
@@ -12,14 +12,14 @@
 };
 
 /// Availability of an adapter for a request: which versions may serve it, and at which engines they are.
-pub(super) struct AdapterStanding<'a> {
+pub(super) struct AdapterAvailability<'a> {
     adapter: &'a str,
     /// The newest version.
     pub newest: u64,
     now: Instant,
 }
 
-impl<'a> AdapterStanding<'a> {
+impl<'a> AdapterAvailability<'a> {
     pub fn of(
         board: &TargetBoard,
         adapter: &'a str,
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        adapter_standing::AdapterStanding,
+        adapter_availability::AdapterAvailability,
         against_engines::AgainstEngines,
         engine_outlook::EngineOutlook,
         engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
@@ -176,7 +176,7 @@
         adapter: &str,
         now: Instant,
     ) -> Choice {
-        let standing = AdapterStanding::of(board, adapter, now);
+        let standing = AdapterAvailability::of(board, adapter, now);
         let drawn = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
         let targets = match look_before_send(board, request, tries, drawn, now) {
             Ok(targets) => targets,
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -1,6 +1,6 @@
 //! The front end: accepts callers' connections, reads their requests, sends these to targets and relays the answers.
 
-mod adapter_standing;
+mod adapter_availability;
 mod admission;
 mod against_engines;
 mod answer_body;
