--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         adapter_availability::AdapterAvailability,
-        against_engines::AgainstEngines,
+        engine_exclusions::EngineExclusions,
         engine_outlook::EngineOutlook,
         engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
         exchange::{Destination, VersionSent},
@@ -258,8 +258,8 @@
                 }
             }
             EngineChoice::Nowhere => {
-                let against = AgainstEngines::of(&candidates, now);
-                tries.trace.add(TraceStep::Unplaced(against), now);
+                let exclusions = EngineExclusions::of(&candidates, now);
+                tries.trace.add(TraceStep::Unplaced(exclusions), now);
                 nowhere_yet(board, request, &targets, now)
             }
         }
--- a/src/connection/front/against_engines.rs
+++ b/src/connection/front/engine_exclusions.rs
@@ -8,7 +8,7 @@
 
 /// Counts of the engines that could not take a request, by the first reason that ruled each of them out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AgainstEngines {
+pub struct EngineExclusions {
     /// All candidates.
     pub weighed: usize,
     /// Engines that were tried for this request before.
@@ -23,7 +23,7 @@
     pub full: usize,
 }
 
-impl AgainstEngines {
+impl EngineExclusions {
     pub fn of(
         candidates: &[EngineCandidate],
         now: Instant,
--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -1,5 +1,5 @@
 use {
-    super::{against_engines::AgainstEngines, exchange::VersionSent},
+    super::{engine_exclusions::EngineExclusions, exchange::VersionSent},
     crate::{clock::Instant, note, timeline::Event},
     std::{sync::Arc, time::Duration},
 };
@@ -34,7 +34,7 @@
         expected: Option<Duration>,
     },
     /// No engine could take the request, for these reasons.
-    Unplaced(AgainstEngines),
+    Unplaced(EngineExclusions),
     /// The target's rate limit granted no permit.
     NoPermit {
         target: Arc<str>,
@@ -188,17 +188,17 @@
                 expected_ms = expected_ms
             );
         }
-        TraceStep::Unplaced(against) => {
+        TraceStep::Unplaced(exclusions) => {
             note!(
                 Event::RequestUnplaced,
                 id = id,
                 ago_ms = ago_ms,
-                weighed = against.weighed,
-                tried = against.tried,
-                closed = against.closed,
-                avoided = against.avoided,
-                without_holder = against.without_holder,
-                full = against.full,
+                weighed = exclusions.weighed,
+                tried = exclusions.tried,
+                closed = exclusions.closed,
+                avoided = exclusions.avoided,
+                without_holder = exclusions.without_holder,
+                full = exclusions.full,
             );
         }
         TraceStep::NoPermit { target } => {
