--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -2,7 +2,7 @@
     super::{
         adapter_availability::AdapterAvailability,
         engine_exclusions::EngineExclusions,
-        engine_outlook::EngineOutlook,
+        engine_estimator::EngineEstimator,
         engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
         exchange::{Destination, VersionSent},
         request_trace::TraceStep,
@@ -143,7 +143,7 @@
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
         };
-        let outlook = EngineOutlook::of(board, request, &targets, &self.hall, now);
+        let outlook = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let candidates: Vec<EngineCandidate> = targets
             .iter()
             .map(|target| outlook.candidate(board, request, target, CopyState::Ready, tries))
@@ -182,7 +182,7 @@
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
         };
-        let outlook = EngineOutlook::of(board, request, &targets, &self.hall, now);
+        let outlook = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let mut candidates = Vec::with_capacity(targets.len());
         for target in &targets {
             let mut candidate =
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_estimator.rs
@@ -15,7 +15,7 @@
 const MOST_URGENT: u8 = 0;
 
 /// Estimates wait and load of the candidates for one request.
-pub(super) struct EngineOutlook<'a> {
+pub(super) struct EngineEstimator<'a> {
     speed: ReadingSpeed,
     policy: Policy,
     /// Mean number of running tokens per engine of the service.
@@ -24,7 +24,7 @@
     now: Instant,
 }
 
-impl<'a> EngineOutlook<'a> {
+impl<'a> EngineEstimator<'a> {
     pub fn of(
         board: &mut TargetBoard,
         request: &CallRequest,
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -7,7 +7,7 @@
 mod chooser;
 mod crash_probe;
 mod dispatcher;
-mod engine_outlook;
+mod engine_estimator;
 mod engine_sample;
 mod event_splitter;
 mod exchange;
