--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -4,7 +4,7 @@
         engine_exclusions::EngineExclusions,
         engine_estimator::EngineEstimator,
         engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
-        exchange::{Destination, VersionSent},
+        exchange::{Destination, ExpectedVersion},
         request_trace::TraceStep,
         tries::Tries,
         waits::{ASK_WAIT, LOOK_AGAIN},
@@ -217,7 +217,7 @@
                 let ready = candidates.iter().filter(is_ready).count();
                 let wait = candidates[to].wait;
                 let version = standing.version_at(board, &targets[to], wait);
-                let version = version.map(|version| VersionSent {
+                let version = version.map(|version| ExpectedVersion {
                     version,
                     newest: standing.newest,
                     wait,
@@ -271,7 +271,7 @@
     board: &TargetBoard,
     tries: &mut Tries,
     target: &Arc<str>,
-    version: Option<VersionSent>,
+    version: Option<ExpectedVersion>,
     counts: (usize, usize),
     now: Instant,
 ) -> Choice {
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -32,7 +32,7 @@
 
 /// Version of the adapter that a request is sent for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct VersionSent {
+pub struct ExpectedVersion {
     pub version: u64,
     /// Newest known version.
     pub newest: u64,
@@ -45,7 +45,7 @@
 pub struct Destination {
     pub target: Arc<str>,
     /// Version of the adapter that the target must hold; `None` for requests without an adapter.
-    pub version: Option<VersionSent>,
+    pub version: Option<ExpectedVersion>,
     /// Id of the event after which the answer continues.
     pub resume_after: Option<u64>,
 }
--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -1,5 +1,5 @@
 use {
-    super::{engine_exclusions::EngineExclusions, exchange::VersionSent},
+    super::{engine_exclusions::EngineExclusions, exchange::ExpectedVersion},
     crate::{clock::Instant, note, timeline::Event},
     std::{sync::Arc, time::Duration},
 };
@@ -21,7 +21,7 @@
         /// Age of the report on other hosts' requests.
         load_age: Option<Duration>,
         /// Version of the adapter, and age of the table of versions.
-        version: Option<VersionSent>,
+        version: Option<ExpectedVersion>,
         declared_age: Option<Duration>,
     },
     /// The holder of an engine was asked for the adapter.
@@ -88,7 +88,7 @@
     }
 
     /// Returns the version of the adapter for the last send.
-    pub fn last_version(&self) -> Option<VersionSent> {
+    pub fn last_version(&self) -> Option<ExpectedVersion> {
         self.steps.iter().rev().find_map(|(_, step)| match step {
             TraceStep::Chosen { version, .. } => *version,
             _ => None,
