--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -62,7 +62,7 @@
 }
 
 /// A request that may run at a target; counted there until dropped.
-pub struct Flight {
+pub struct InFlightRequest {
     board: Rc<RefCell<TargetBoard>>,
     target: Arc<str>,
     /// Incarnation of the target that it runs at.
@@ -73,7 +73,7 @@
     unread: Cell<bool>,
 }
 
-impl Flight {
+impl InFlightRequest {
     fn start(
         board: &Rc<RefCell<TargetBoard>>,
         request: &CallRequest,
@@ -159,7 +159,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.on_prompt_read();
         self.with_link(|link| link.end(self.adapter.as_deref(), self.tokens));
@@ -189,7 +189,7 @@
     decoder: BodyDecoder,
     reusable: bool,
     idle_limit: Option<Duration>,
-    flight: Flight,
+    flight: InFlightRequest,
 }
 
 impl AnswerSource {
@@ -263,7 +263,7 @@
 ) -> Sent {
     let begun = Instant::now();
     let no_backlog = backlog(board, &destination.target) == 0;
-    let flight = Flight::start(board, request, &destination.target);
+    let flight = InFlightRequest::start(board, request, &destination.target);
     let Some(mut connection) = connect(&flight).await else {
         return Sent::Ended(AttemptEnd::NotSent);
     };
@@ -373,7 +373,7 @@
         .map_or(0, |link| link.backlog_tokens())
 }
 
-async fn connect(flight: &Flight) -> Option<HttpConnection> {
+async fn connect(flight: &InFlightRequest) -> Option<HttpConnection> {
     let address = {
         let mut board = flight.board.borrow_mut();
         let link = board.links.get_mut(&flight.target)?;
@@ -421,16 +421,16 @@
     }
 }
 
-fn lost(flight: &Flight) -> Sent {
+fn lost(flight: &InFlightRequest) -> Sent {
     distrust(flight);
     Sent::Ended(AttemptEnd::Lost)
 }
 
-fn trust(flight: &Flight) {
+fn trust(flight: &InFlightRequest) {
     flight.with_link(|link| link.health.on_success());
 }
 
-fn distrust(flight: &Flight) {
+fn distrust(flight: &InFlightRequest) {
     flight.with_link(|link| link.health.on_failure(Instant::now()));
 }
 
