--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -7,7 +7,7 @@
         },
         chooser::{Choice, Chooser},
         crash_probe::{accuse, acquit, answers_now},
-        exchange::{Destination, OpenAnswer, Sent, WholeAnswer, send},
+        exchange::{Destination, OpenAnswer, Sent, CompleteAnswer, send},
         request_trace::{TraceStep, millis},
         stream_relay::StreamRelay,
         tries::Tries,
@@ -782,7 +782,7 @@
     }
 }
 
-fn pass_on(answer: WholeAnswer) -> Response<AnswerBody> {
+fn pass_on(answer: CompleteAnswer) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -168,7 +168,7 @@
 
 /// A complete answer of a target.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
@@ -232,10 +232,10 @@
 
 /// Result of a send.
 pub enum Sent {
-    Whole(WholeAnswer),
+    Whole(CompleteAnswer),
     Open(Box<OpenAnswer>),
     /// The target ran the request and failed.
-    Failed(WholeAnswer),
+    Failed(CompleteAnswer),
     /// There is no answer that can be relayed.
     Ended(AttemptEnd),
     /// The target does not hold what the request needs, and has not run it.
@@ -412,9 +412,9 @@
     head: ResponseHead,
     body: Bytes,
     source: AnswerSource,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     source.finish();
-    WholeAnswer {
+    CompleteAnswer {
         status: head.status,
         headers: passed_headers(head.headers),
         body,
--- a/src/connection/front/tries.rs
+++ b/src/connection/front/tries.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        exchange::{Destination, WholeAnswer},
+        exchange::{Destination, CompleteAnswer},
         request_trace::{RequestTrace, TraceStep},
     },
     crate::{
@@ -20,7 +20,7 @@
     /// Targets that rejected it, were not reached, or lost the connection.
     pub tried: Vec<String>,
     /// Last answer with a server error.
-    pub failure: Option<WholeAnswer>,
+    pub failure: Option<CompleteAnswer>,
     pub trace: RequestTrace,
     /// Last query of engines' status.
     pub query: Option<QueryRound>,
