--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -6,7 +6,7 @@
         engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
         exchange::{Destination, ExpectedVersion},
         request_trace::TraceStep,
-        tries::Tries,
+        attempts::Attempts,
         waits::{ASK_WAIT, LOOK_AGAIN},
     },
     crate::{
@@ -70,34 +70,34 @@
     pub fn choose(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
         let mut board = self.board.borrow_mut();
         match &request.generation {
             Some(generation) => match generation.adapter() {
-                Some(adapter) => self.choose_for_adapter(&mut board, request, tries, adapter, now),
-                None => self.choose_base(&mut board, request, tries, now),
+                Some(adapter) => self.choose_for_adapter(&mut board, request, attempts, adapter, now),
+                None => self.choose_base(&mut board, request, attempts, now),
             },
-            None => self.choose_plain(&board, request, tries, now),
+            None => self.choose_plain(&board, request, attempts, now),
         }
     }
 
     /// Chooses the target at which a request holds a concurrency slot.
     pub fn choose_place(
         &self,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         target: &Arc<str>,
         now: Instant,
     ) -> Choice {
-        send_to(&self.board.borrow(), tries, target, None, (1, 1), now)
+        send_to(&self.board.borrow(), attempts, target, None, (1, 1), now)
     }
 
     fn choose_plain(
         &self,
         board: &TargetBoard,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
         let targets = board.targets_of(&request.service.name);
@@ -110,7 +110,7 @@
                     slots: link.view.record.slots,
                     near: link.view.record.hall == self.hall,
                     avoided_for: link.avoided_for(now),
-                    tried: tries.has_tried(&target.id),
+                    tried: attempts.has_tried(&target.id),
                     openness: board.openness(&target.id, now),
                 }
             })
@@ -122,7 +122,7 @@
         };
         send_to(
             board,
-            tries,
+            attempts,
             &targets[at].id,
             None,
             (targets.len(), targets.len()),
@@ -135,18 +135,18 @@
         &self,
         board: &mut TargetBoard,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
         let drawn = |board: &TargetBoard| sample_of_service(board, request, now);
-        let targets = match look_before_send(board, request, tries, drawn, now) {
+        let targets = match look_before_send(board, request, attempts, drawn, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
         };
         let outlook = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let candidates: Vec<EngineCandidate> = targets
             .iter()
-            .map(|target| outlook.candidate(board, request, target, CopyState::Ready, tries))
+            .map(|target| outlook.candidate(board, request, target, CopyState::Ready, attempts))
             .collect();
         let terms = ChoiceTerms {
             copy_price: Duration::ZERO,
@@ -158,7 +158,7 @@
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. } => send_to(
                 board,
-                tries,
+                attempts,
                 &targets[to],
                 None,
                 (targets.len(), targets.len()),
@@ -172,13 +172,13 @@
         &self,
         board: &mut TargetBoard,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         adapter: &str,
         now: Instant,
     ) -> Choice {
         let standing = AdapterAvailability::of(board, adapter, now);
         let drawn = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
-        let targets = match look_before_send(board, request, tries, drawn, now) {
+        let targets = match look_before_send(board, request, attempts, drawn, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
         };
@@ -186,7 +186,7 @@
         let mut candidates = Vec::with_capacity(targets.len());
         for target in &targets {
             let mut candidate =
-                outlook.candidate(board, request, target, CopyState::Unknown, tries);
+                outlook.candidate(board, request, target, CopyState::Unknown, attempts);
             candidate.copy = standing.copy_at(board, target, candidate.wait);
             candidates.push(candidate);
         }
@@ -205,13 +205,13 @@
             patience: terms.aim_left.saturating_sub(candidates[at].wait),
         };
         match choose_engine(&candidates, &terms) {
-            EngineChoice::Send { to, .. } if candidates[to].batch > 1.0 && tries.draws_again() => {
+            EngineChoice::Send { to, .. } if candidates[to].batch > 1.0 && attempts.draws_again() => {
                 // Every engine of the sample is busy: others may have room.
-                self.choose_for_adapter(board, request, tries, adapter, now)
+                self.choose_for_adapter(board, request, attempts, adapter, now)
             }
             EngineChoice::Send { to, ask } => {
                 if let Some(at) = ask {
-                    ask_for(board, tries, &ask_at(at, true), now);
+                    ask_for(board, attempts, &ask_at(at, true), now);
                 }
                 let is_ready = |candidate: &&EngineCandidate| candidate.copy == CopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
@@ -224,7 +224,7 @@
                 });
                 send_to(
                     board,
-                    tries,
+                    attempts,
                     &targets[to],
                     version,
                     (targets.len(), ready),
@@ -232,7 +232,7 @@
                 )
             }
             EngineChoice::Ask(at) => {
-                ask_for(board, tries, &ask_at(at, false), now);
+                ask_for(board, attempts, &ask_at(at, false), now);
                 Choice::Wait {
                     until: now + ASK_WAIT,
                     expected: None,
@@ -242,13 +242,13 @@
                 // Overdue holders are asked again; the board limits the rate of these requests.
                 for (at, target) in targets.iter().enumerate() {
                     if standing.is_late_at(board, target) {
-                        ask_for(board, tries, &ask_at(at, false), now);
+                        ask_for(board, attempts, &ask_at(at, false), now);
                     }
                 }
                 let refusable = expected.filter(|_| terms.policy.refuses_early);
                 match refusable.map(|expected| wait_or_refuse(&time_of(request, now), expected)) {
                     Some(Patience::Refuse { come_back }) => {
-                        tries.trace.add(TraceStep::Waits { expected }, now);
+                        attempts.trace.add(TraceStep::Waits { expected }, now);
                         Choice::Refuse(come_back)
                     }
                     _ => Choice::Wait {
@@ -259,7 +259,7 @@
             }
             EngineChoice::Nowhere => {
                 let exclusions = EngineExclusions::of(&candidates, now);
-                tries.trace.add(TraceStep::Unplaced(exclusions), now);
+                attempts.trace.add(TraceStep::Unplaced(exclusions), now);
                 nowhere_yet(board, request, &targets, now)
             }
         }
@@ -269,7 +269,7 @@
 /// Records a choice in the trace and returns it; `counts` is the number of candidates and of the ready ones among them.
 fn send_to(
     board: &TargetBoard,
-    tries: &mut Tries,
+    attempts: &mut Attempts,
     target: &Arc<str>,
     version: Option<ExpectedVersion>,
     counts: (usize, usize),
@@ -288,7 +288,7 @@
         version,
         declared_age: board.confirmation().declared.age(now),
     };
-    tries.trace.add(step, now);
+    attempts.trace.add(step, now);
     Choice::Send(Destination {
         target: target.clone(),
         version,
@@ -298,7 +298,7 @@
 
 fn ask_for(
     board: &mut TargetBoard,
-    tries: &mut Tries,
+    attempts: &mut Attempts,
     ask: &AdapterAsk,
     now: Instant,
 ) {
@@ -307,7 +307,7 @@
             target: ask.target.into(),
             spare: ask.spare,
         };
-        tries.trace.add(step, now);
+        attempts.trace.add(step, now);
     }
 }
 
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -10,7 +10,7 @@
         exchange::{Destination, OpenAnswer, Sent, CompleteAnswer, send},
         request_trace::{TraceStep, millis},
         stream_relay::StreamRelay,
-        tries::Tries,
+        attempts::Attempts,
         waiter::Waiter,
     },
     crate::{
@@ -87,7 +87,7 @@
         if self.is_refused(&request) {
             let cause = OwnCause::EndsTargets;
             let status = cause.status().as_u16();
-            tell(&request, &Tries::default(), status, Some(cause));
+            tell(&request, &Attempts::default(), status, Some(cause));
             return self.refuse_poison(&request);
         }
         let charged = match charge(&self.board, &request).await {
@@ -96,21 +96,21 @@
         };
         self.note_demand(&request);
         let mut unserved = Unserved::new(&request, charged);
-        let tried = self.try_targets(&request, &mut unserved.tries, None);
+        let tried = self.try_targets(&request, &mut unserved.attempts, None);
         let outcome = timeout_at(request.ends, tried).await;
-        let (mut tries, charged) = unserved.disarm();
+        let (mut attempts, charged) = unserved.disarm();
         let response = match outcome {
             Ok(Outcome::Final(response)) => response,
-            Err(_) => self.time_over(&request, &mut tries),
+            Err(_) => self.time_over(&request, &mut attempts),
             Ok(Outcome::Open(answer)) => {
-                tell(&request, &tries, answer.status.as_u16(), None);
+                tell(&request, &attempts, answer.status.as_u16(), None);
                 settle(charged, true);
-                return StreamRelay::start(self.clone(), *answer, request, tries);
+                return StreamRelay::start(self.clone(), *answer, request, attempts);
             }
         };
         let cause = response.extensions().get::<OwnCause>().copied();
         settle(charged, cause.is_none_or(OwnCause::may_have_run));
-        tell(&request, &tries, response.status().as_u16(), cause);
+        tell(&request, &attempts, response.status().as_u16(), cause);
         response
     }
 
@@ -118,24 +118,24 @@
     pub async fn resume(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         broken: &str,
         after: Option<u64>,
     ) -> Option<Box<OpenAnswer>> {
         let now = Instant::now();
         let destination = Destination::of(broken);
-        tries.note_end(&destination, AttemptEnd::Lost, now);
+        attempts.note_end(&destination, AttemptEnd::Lost, now);
         if let Some(link) = self.board.borrow_mut().links.get_mut(broken) {
             link.health.on_failure(now);
         }
         if self
-            .after(request, tries, &destination, AttemptEnd::Lost)
+            .after(request, attempts, &destination, AttemptEnd::Lost)
             .await
             .is_some()
         {
             return None;
         }
-        match self.try_targets(request, tries, after).await {
+        match self.try_targets(request, attempts, after).await {
             Outcome::Open(answer) if answer.status.is_success() => Some(answer),
             _ => None,
         }
@@ -241,23 +241,23 @@
     async fn try_targets(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         resume_after: Option<u64>,
     ) -> Outcome {
         loop {
             if !self.wait_until_fresh(request).await {
-                return self.unserved(request, tries, OwnCause::Unconfirmed, STALE_RETRY_AFTER);
+                return self.unserved(request, attempts, OwnCause::Unconfirmed, STALE_RETRY_AFTER);
             }
             if resume_after.is_none()
                 && let Some(cause) = self.lost_key(request)
             {
-                return self.unserved(request, tries, cause, STALE_RETRY_AFTER);
+                return self.unserved(request, attempts, cause, STALE_RETRY_AFTER);
             }
-            let (choice, mut slot) = self.choose(request, tries).await;
+            let (choice, mut slot) = self.choose(request, attempts).await;
             let mut destination = match choice {
                 Choice::Send(destination) => destination,
                 Choice::Wait { until, expected } => {
-                    tries
+                    attempts
                         .trace
                         .add(TraceStep::Waits { expected }, Instant::now());
                     self.wait(request, until).await;
@@ -267,33 +267,33 @@
                     self.wait_for_standings(until).await;
                     continue;
                 }
-                Choice::Refuse(retry_after) if tries.history.runs == 0 => {
+                Choice::Refuse(retry_after) if attempts.history.runs == 0 => {
                     return self.refuse(request, unplaced_cause(request), retry_after);
                 }
-                Choice::Refuse(_) | Choice::Nowhere => return self.nowhere(request, tries),
+                Choice::Refuse(_) | Choice::Nowhere => return self.nowhere(request, attempts),
             };
             if !acquire_permit(&self.board, &destination.target).await {
                 let target = destination.target.clone();
                 let step = TraceStep::NoPermit { target };
-                tries.trace.add(step, Instant::now());
+                attempts.trace.add(step, Instant::now());
                 continue;
             }
             destination.resume_after = resume_after;
             let names = self.formats.headers();
             let streams = request.route.kind == RouteKind::Stream;
             // Charged right before the send: the request may have waited seconds for its adapter.
-            let repeats = tries.history.arrivals > 0;
+            let repeats = attempts.history.arrivals > 0;
             let paid = match repeats {
                 true => self.pay_for_repeat(request),
                 false => None,
             };
             if repeats && paid.is_none() {
-                return self.unserved(request, tries, OwnCause::TurnedAway, COME_BACK);
+                return self.unserved(request, attempts, OwnCause::TurnedAway, COME_BACK);
             }
             let verified = self.is_suspected(request);
             if verified && !answers_now(&self.board, names, request, &destination.target).await {
-                tries.note_end(&destination, AttemptEnd::NotSent, Instant::now());
-                tries.tried.push(destination.target.to_string());
+                attempts.note_end(&destination, AttemptEnd::NotSent, Instant::now());
+                attempts.tried.push(destination.target.to_string());
                 continue;
             }
             // The request may have become known as poison while it waited seconds for its adapter.
@@ -303,9 +303,9 @@
             let run = self.run_at(&destination.target);
             let sent_at = Instant::now();
             // A send counts as run until its end is known.
-            tries.history.runs += 1;
+            attempts.history.runs += 1;
             let sent = send(&self.board, names, request, &destination, streams).await;
-            tries.history.runs -= 1;
+            attempts.history.runs -= 1;
             if let Some(slot) = &mut slot {
                 slot.end = place_end(&sent, sent_at.elapsed());
             }
@@ -322,7 +322,7 @@
                 Sent::Open(answer) => return Outcome::Open(answer),
                 Sent::Failed(answer) => {
                     let status = answer.status.as_u16();
-                    tries.failure = Some(answer);
+                    attempts.failure = Some(answer);
                     acquit(&self.board, request);
                     AttemptEnd::Failed { status }
                 }
@@ -338,8 +338,8 @@
                 }
                 Sent::Ended(end) => end,
             };
-            tries.note_end(&destination, end, Instant::now());
-            if let Some(response) = self.after(request, tries, &destination, end).await {
+            attempts.note_end(&destination, end, Instant::now());
+            if let Some(response) = self.after(request, attempts, &destination, end).await {
                 return Outcome::Final(response);
             }
         }
@@ -349,20 +349,20 @@
     async fn choose(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
     ) -> (Choice, Option<HeldSlot>) {
         if request.generation.is_some() {
-            return (self.chooser.choose(request, tries, Instant::now()), None);
+            return (self.chooser.choose(request, attempts, Instant::now()), None);
         }
-        let found = acquire_slot(&self.board, request, &tries.tried).await;
+        let found = acquire_slot(&self.board, request, &attempts.tried).await;
         let now = Instant::now();
         match found {
             SlotOutcome::Acquired(slot) => {
-                let choice = self.chooser.choose_place(tries, &slot.target, now);
+                let choice = self.chooser.choose_place(attempts, &slot.target, now);
                 (choice, Some(slot))
             }
             SlotOutcome::Full { retry_after } => (Choice::Refuse(retry_after), None),
-            SlotOutcome::Unavailable => (self.chooser.choose(request, tries, now), None),
+            SlotOutcome::Unavailable => (self.chooser.choose(request, attempts, now), None),
         }
     }
 
@@ -438,30 +438,30 @@
     async fn after(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         destination: &Destination,
         end: AttemptEnd,
     ) -> Option<Response<AnswerBody>> {
         let now = Instant::now();
         let service = &request.service.name;
-        let mut step = next_step(&request.route, &tries.history, end, true);
+        let mut step = next_step(&request.route, &attempts.history, end, true);
         if end == AttemptEnd::Lost && self.has_ended_targets(request) {
-            step = next_step(&request.route, &tries.history, end, false);
+            step = next_step(&request.route, &attempts.history, end, false);
         }
         let repeats = step == NextStep::Resend { repeats: true };
         if repeats && !self.wait_for_allowance(request).await {
             self.board.borrow_mut().budget(service).on_refused(now);
-            step = next_step(&request.route, &tries.history, end, false);
+            step = next_step(&request.route, &attempts.history, end, false);
         }
         match step {
             NextStep::Resend { repeats } => {
-                tries.trace.add(TraceStep::Resent { repeats }, now);
+                attempts.trace.add(TraceStep::Resent { repeats }, now);
                 let labels = WaitLabels { cause: end.word() };
                 metrics().resends.get_or_create(&labels).inc();
                 if self.is_coming(request, destination, end) {
                     tokio::time::sleep(LOAD_PAUSE).await;
                 } else {
-                    tries.tried.push(destination.target.to_string());
+                    attempts.tried.push(destination.target.to_string());
                 }
                 None
             }
@@ -469,8 +469,8 @@
                 let answer = OwnAnswer::after(OwnCause::TurnedAway, COME_BACK);
                 Some(self.answer(request, answer))
             }
-            NextStep::PassOn => tries.failure.take().map(pass_on),
-            NextStep::Fail => Some(match tries.failure.take() {
+            NextStep::PassOn => attempts.failure.take().map(pass_on),
+            NextStep::Fail => Some(match attempts.failure.take() {
                 Some(failure) => pass_on(failure),
                 None => self.answer(request, OwnAnswer::new(OwnCause::AnswerLost)),
             }),
@@ -585,23 +585,23 @@
     fn nowhere(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
     ) -> Outcome {
-        self.unserved(request, tries, unplaced_cause(request), COME_BACK)
+        self.unserved(request, attempts, unplaced_cause(request), COME_BACK)
     }
 
     /// Returns the final answer to a request that is not sent, or not again.
     fn unserved(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         cause: OwnCause,
         retry_after: Duration,
     ) -> Outcome {
-        if let Some(failure) = tries.failure.take() {
+        if let Some(failure) = attempts.failure.take() {
             return Outcome::Final(pass_on(failure));
         }
-        if tries.history.runs > 0 {
+        if attempts.history.runs > 0 {
             let answer = OwnAnswer::new(OwnCause::AnswerLost);
             return Outcome::Final(self.answer(request, answer));
         }
@@ -611,12 +611,12 @@
     fn time_over(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
     ) -> Response<AnswerBody> {
-        if let Some(failure) = tries.failure.take() {
+        if let Some(failure) = attempts.failure.take() {
             return pass_on(failure);
         }
-        let cause = match tries.history.runs {
+        let cause = match attempts.history.runs {
             0 => OwnCause::TimeOverUnsent,
             _ => OwnCause::TimeOver,
         };
@@ -647,7 +647,7 @@
     id: String,
     arrived: Instant,
     served: bool,
-    tries: Tries,
+    attempts: Attempts,
     charged: Option<QuotaCharge>,
 }
 
@@ -660,24 +660,24 @@
             id: request.id_text().to_string(),
             arrived: request.arrived,
             served: false,
-            tries: Tries::default(),
+            attempts: Attempts::default(),
             charged,
         }
     }
 
-    fn disarm(mut self) -> (Tries, Option<QuotaCharge>) {
+    fn disarm(mut self) -> (Attempts, Option<QuotaCharge>) {
         self.served = true;
-        (std::mem::take(&mut self.tries), self.charged.take())
+        (std::mem::take(&mut self.attempts), self.charged.take())
     }
 }
 
 impl Drop for Unserved {
     fn drop(&mut self) {
         if !self.served {
-            let history = &self.tries.history;
+            let history = &self.attempts.history;
             let may_have_run = history.arrivals > 0 || history.runs > 0;
             settle(self.charged.take(), may_have_run);
-            self.tries.trace.tell(&self.id, Instant::now());
+            self.attempts.trace.tell(&self.id, Instant::now());
             note!(
                 Event::RequestCallerGone,
                 id = self.id,
@@ -719,7 +719,7 @@
 /// Logs a served request: one line, preceded by its trace if it failed or was late.
 fn tell(
     request: &CallRequest,
-    tries: &Tries,
+    attempts: &Attempts,
     status: u16,
     cause: Option<OwnCause>,
 ) {
@@ -728,33 +728,33 @@
     let passed = now.saturating_duration_since(request.arrived);
     let late = passed > request.route.aim;
     if status >= 400 || late {
-        tries.trace.tell(id, now);
+        attempts.trace.tell(id, now);
     }
-    count(request, tries, status, cause, passed);
+    count(request, attempts, status, cause, passed);
     let adapter = request.generation.as_ref().and_then(|g| g.adapter());
-    let sent = tries.trace.last_version();
+    let sent = attempts.trace.last_version();
     note!(
         Event::RequestServed,
         id = id,
         route = request.route.name,
         status = status,
         cause = cause.map_or("-", |cause| cause.word()),
-        target = tries.trace.last_target(),
+        target = attempts.trace.last_target(),
         adapter = adapter.unwrap_or("-"),
         version = sent.map_or(0, |sent| sent.version),
         newest = sent.map_or(0, |sent| sent.newest),
-        waited_ms = millis(tries.trace.before_last_send(request.arrived)),
+        waited_ms = millis(attempts.trace.before_last_send(request.arrived)),
         expected_ms = sent.map_or(-1.0, |sent| millis(sent.wait)),
         first_ms = millis(passed),
         aim_ms = millis(request.route.aim),
-        arrivals = tries.history.arrivals,
+        arrivals = attempts.history.arrivals,
         late = late,
     );
 }
 
 fn count(
     request: &CallRequest,
-    tries: &Tries,
+    attempts: &Attempts,
     status: u16,
     cause: Option<OwnCause>,
     passed: Duration,
@@ -775,7 +775,7 @@
         let histogram = metrics.first_event.get_or_create(&labels);
         histogram.observe(passed.as_secs_f64());
     }
-    if let Some(waited) = tries.trace.waited(request.arrived) {
+    if let Some(waited) = attempts.trace.waited(request.arrived) {
         let labels = WaitLabels { cause: "adapter" };
         let histogram = metrics.waits.get_or_create(&labels);
         histogram.observe(waited.as_secs_f64());
--- a/src/connection/front/engine_estimator.rs
+++ b/src/connection/front/engine_estimator.rs
@@ -1,5 +1,5 @@
 use {
-    super::tries::Tries,
+    super::attempts::Attempts,
     crate::{
         clock::Instant,
         connection::targets::{ReadingSpeed, TargetBoard, TargetLink},
@@ -54,7 +54,7 @@
         request: &CallRequest,
         target: &str,
         copy: CopyState,
-        tries: &Tries,
+        attempts: &Attempts,
     ) -> EngineCandidate {
         let link = &board.links[target];
         let generation = request.generation.as_ref();
@@ -76,7 +76,7 @@
             unknown: self.is_unknown(board, link),
             avoided: !link.avoided_for(self.now).is_zero(),
             has_holder: link.view.holder.is_some(),
-            tried: tries.has_tried(target),
+            tried: attempts.has_tried(target),
             openness: board.openness(target, self.now),
         }
     }
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -1,7 +1,7 @@
 //! Samples the engines that a request may go to, and queries their holders right before it is sent.
 
 use {
-    super::tries::{QueryRound, Tries},
+    super::attempts::{QueryRound, Attempts},
     crate::{
         clock::Instant,
         connection::{datagram::EngineQuery, targets::TargetBoard},
@@ -87,14 +87,14 @@
 pub(super) fn look_before_send(
     board: &TargetBoard,
     request: &CallRequest,
-    tries: &mut Tries,
+    attempts: &mut Attempts,
     draw: impl Fn(&TargetBoard) -> Vec<Arc<str>>,
     now: Instant,
 ) -> Result<Vec<Arc<str>>, Instant> {
     if !board.asks_before_sends() {
         return Ok(draw(board));
     }
-    if let Some(round) = &tries.query
+    if let Some(round) = &attempts.query
         && now.saturating_duration_since(round.since) < QUERY_FRESH
     {
         let present = |target: &&Arc<str>| board.links.contains_key(*target);
@@ -110,7 +110,7 @@
     if !query_all(board, request, &targets) {
         return Ok(targets);
     }
-    tries.query = Some(QueryRound {
+    attempts.query = Some(QueryRound {
         targets,
         since: now,
     });
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -16,7 +16,7 @@
 mod request_reader;
 mod request_trace;
 mod stream_relay;
-mod tries;
+mod attempts;
 mod waiter;
 mod waits;
 
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -4,7 +4,7 @@
         event_splitter::EventSplitter,
         exchange::{AnswerSource, OpenAnswer},
         request_trace::millis,
-        tries::Tries,
+        attempts::Attempts,
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
@@ -52,7 +52,7 @@
 pub struct StreamRelay {
     dispatcher: Rc<Dispatcher>,
     request: CallRequest,
-    tries: Tries,
+    attempts: Attempts,
     caller: mpsc::Sender<Result<Bytes, BrokenAnswer>>,
     events: EventSplitter,
 }
@@ -63,7 +63,7 @@
         dispatcher: Rc<Dispatcher>,
         answer: OpenAnswer,
         request: CallRequest,
-        tries: Tries,
+        attempts: Attempts,
     ) -> Response<AnswerBody> {
         let (caller, pieces) = mpsc::channel(PIECES);
         let mut response = Response::new(AnswerBody::Stream(pieces));
@@ -72,7 +72,7 @@
         let relay = Self {
             dispatcher,
             request,
-            tries,
+            attempts,
             caller,
             events: EventSplitter::default(),
         };
@@ -185,7 +185,7 @@
         let caller = self.caller.clone();
         let resumed = self
             .dispatcher
-            .resume(&self.request, &mut self.tries, broken, after);
+            .resume(&self.request, &mut self.attempts, broken, after);
         tokio::select! {
             resumed = timeout_at(self.request.ends, resumed) => resumed.ok().flatten(),
             _ = caller.closed() => None,
@@ -214,7 +214,7 @@
         end: RelayEnd,
         target: &str,
     ) {
-        self.tries
+        self.attempts
             .trace
             .tell(self.request.id_text(), Instant::now());
         note!(
--- a/src/connection/front/tries.rs
+++ b/src/connection/front/tries.rs
@@ -15,7 +15,7 @@
 
 /// Attempts to serve one request.
 #[derive(Default)]
-pub struct Tries {
+pub struct Attempts {
     pub history: RequestHistory,
     /// Targets that rejected it, were not reached, or lost the connection.
     pub tried: Vec<String>,
@@ -34,7 +34,7 @@
     pub since: Instant,
 }
 
-impl Tries {
+impl Attempts {
     /// Records a send without an answer that can be relayed.
     pub fn note_end(
         &mut self,
