--- a/src/connection/front/tries.rs
+++ b/src/connection/front/attempts.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        exchange::{Destination, CompleteAnswer},
+        exchange::{CompleteAnswer, Destination},
         request_trace::{RequestTrace, TraceStep},
     },
     crate::{
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -1,12 +1,12 @@
 use {
     super::{
         adapter_availability::AdapterAvailability,
-        engine_exclusions::EngineExclusions,
+        attempts::Attempts,
         engine_estimator::EngineEstimator,
+        engine_exclusions::EngineExclusions,
         engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
         exchange::{Destination, ExpectedVersion},
         request_trace::TraceStep,
-        attempts::Attempts,
         waits::{ASK_WAIT, LOOK_AGAIN},
     },
     crate::{
@@ -76,7 +76,9 @@
         let mut board = self.board.borrow_mut();
         match &request.generation {
             Some(generation) => match generation.adapter() {
-                Some(adapter) => self.choose_for_adapter(&mut board, request, attempts, adapter, now),
+                Some(adapter) => {
+                    self.choose_for_adapter(&mut board, request, attempts, adapter, now)
+                }
                 None => self.choose_base(&mut board, request, attempts, now),
             },
             None => self.choose_plain(&board, request, attempts, now),
@@ -205,7 +207,9 @@
             patience: terms.aim_left.saturating_sub(candidates[at].wait),
         };
         match choose_engine(&candidates, &terms) {
-            EngineChoice::Send { to, .. } if candidates[to].batch > 1.0 && attempts.draws_again() => {
+            EngineChoice::Send { to, .. }
+                if candidates[to].batch > 1.0 && attempts.draws_again() =>
+            {
                 // Every engine of the sample is busy: others may have room.
                 self.choose_for_adapter(board, request, attempts, adapter, now)
             }
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -1,7 +1,7 @@
 //! Samples the engines that a request may go to, and queries their holders right before it is sent.
 
 use {
-    super::attempts::{QueryRound, Attempts},
+    super::attempts::{Attempts, QueryRound},
     crate::{
         clock::Instant,
         connection::{datagram::EngineQuery, targets::TargetBoard},
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -2,12 +2,13 @@
 
 mod adapter_availability;
 mod admission;
-mod against_engines;
 mod answer_body;
+mod attempts;
 mod chooser;
 mod crash_probe;
 mod dispatcher;
 mod engine_estimator;
+mod engine_exclusions;
 mod engine_sample;
 mod event_splitter;
 mod exchange;
@@ -16,7 +17,6 @@
 mod request_reader;
 mod request_trace;
 mod stream_relay;
-mod attempts;
 mod waiter;
 mod waits;
 
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -1,10 +1,10 @@
 use {
     super::{
         AnswerBody, BrokenAnswer, Dispatcher,
+        attempts::Attempts,
         event_splitter::EventSplitter,
         exchange::{AnswerSource, OpenAnswer},
         request_trace::millis,
-        attempts::Attempts,
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
