--- a/src/connection/front/answer_body.rs
+++ b/src/connection/front/answer_body.rs
@@ -17,14 +17,14 @@
 /// Body of an answer to a caller.
 #[derive(Debug)]
 pub enum AnswerBody {
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     Stream(mpsc::Receiver<Result<Bytes, BrokenAnswer>>),
 }
 
 impl AnswerBody {
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub fn complete(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+        Self::Complete((!bytes.is_empty()).then_some(bytes))
     }
 }
 
@@ -37,7 +37,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Stream(pieces) => pieces
                 .poll_recv(context)
                 .map(|piece| piece.map(|piece| piece.map(Frame::data))),
@@ -45,12 +45,14 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Complete(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
+            }
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -315,7 +315,7 @@
                 board.budget(&request.service.name).give_back(&paid);
             }
             let end = match sent {
-                Sent::Whole(answer) => {
+                Sent::Complete(answer) => {
                     acquit(&self.board, request);
                     return Outcome::Final(pass_on(answer));
                 }
@@ -389,7 +389,7 @@
     }
 
     /// Handles the end of a complete stream.
-    pub fn on_whole(
+    pub fn on_complete(
         &self,
         request: &CallRequest,
     ) {
@@ -700,7 +700,7 @@
     took: Duration,
 ) -> PlaceEnd {
     match sent {
-        Sent::Whole(_) => PlaceEnd::Answered { took },
+        Sent::Complete(_) => PlaceEnd::Answered { took },
         Sent::Ended(AttemptEnd::NotRun { .. }) => PlaceEnd::TurnedAway,
         _ => PlaceEnd::Other,
     }
@@ -783,7 +783,7 @@
 }
 
 fn pass_on(answer: CompleteAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(answer.body));
+    let mut response = Response::new(AnswerBody::complete(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
     response
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -232,7 +232,7 @@
 
 /// Result of a send.
 pub enum Sent {
-    Whole(CompleteAnswer),
+    Complete(CompleteAnswer),
     Open(Box<OpenAnswer>),
     /// The target ran the request and failed.
     Failed(CompleteAnswer),
@@ -280,7 +280,7 @@
     let bytes = request_bytes(names, request, destination, now);
     let is_ours = |head: &ResponseHead| head.headers.get(&names.request_id) == request.id.as_ref();
     let exchange = connection.exchange(&bytes, &request.method, is_ours);
-    let (head, sent_whole) = match exchange.await {
+    let (head, sent_completely) = match exchange.await {
         Ok(answer) => answer,
         Err(_) => return lost(&flight),
     };
@@ -288,7 +288,7 @@
     let mut source = AnswerSource {
         connection,
         decoder: BodyDecoder::new(head.framing),
-        reusable: head.keeps_alive && sent_whole,
+        reusable: head.keeps_alive && sent_completely,
         idle_limit: head.idle_limit,
         flight,
     };
@@ -307,10 +307,10 @@
             Ok(None) => {
                 trust(&source.flight);
                 let failed = head.status.is_server_error();
-                let answer = whole(head, body.freeze(), source);
+                let answer = complete(head, body.freeze(), source);
                 return match failed {
                     true => Sent::Failed(answer),
-                    false => Sent::Whole(answer),
+                    false => Sent::Complete(answer),
                 };
             }
             Err(_) => return lost(&source.flight),
@@ -408,7 +408,7 @@
     })
 }
 
-fn whole(
+fn complete(
     head: ResponseHead,
     body: Bytes,
     source: AnswerSource,
--- a/src/connection/front/own_answer.rs
+++ b/src/connection/front/own_answer.rs
@@ -122,7 +122,7 @@
         id_name: &HeaderName,
         id: Option<&HeaderValue>,
     ) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(self.cause.word()));
+        let mut response = Response::new(AnswerBody::complete(self.cause.word()));
         *response.status_mut() = self.cause.status();
         response.extensions_mut().insert(self.cause);
         let headers = response.headers_mut();
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -27,7 +27,7 @@
 /// How the relay of an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RelayEnd {
-    Whole,
+    Complete,
     CallerGone,
     TimeOver,
     /// The target closed the connection within the answer, or the stream was invalid.
@@ -39,7 +39,7 @@
 impl RelayEnd {
     fn word(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::CallerGone => "caller_gone",
             Self::TimeOver => "time_over",
             Self::Broken => "target_broke_off",
@@ -93,8 +93,8 @@
                 self.dispatcher.on_broken(&self.request, run, first_event);
             }
             match end {
-                RelayEnd::Whole => {
-                    self.dispatcher.on_whole(&self.request);
+                RelayEnd::Complete => {
+                    self.dispatcher.on_complete(&self.request);
                     return source.finish();
                 }
                 RelayEnd::CallerGone => return self.tell(Event::RequestCallerGone, end, &source),
@@ -148,7 +148,7 @@
                         return end;
                     }
                 }
-                Ok(None) if self.events.is_between_events() => return RelayEnd::Whole,
+                Ok(None) if self.events.is_between_events() => return RelayEnd::Complete,
                 Ok(None) | Err(_) => return RelayEnd::Broken,
             }
         }
