--- a/src/connection/front/adapter_availability.rs
+++ b/src/connection/front/adapter_availability.rs
@@ -43,7 +43,9 @@
             return CopyState::Ready;
         }
         let copy = board.adapters.get(self.adapter, target);
-        let copy = copy.map_or(CopyState::Unknown, |copy| self.otherwise(board, copy, wait));
+        let copy = copy.map_or(CopyState::Unknown, |copy| {
+            self.unavailable_state(board, copy, wait)
+        });
         match board.links[target].view.holder {
             // Without a holder no host would report that the copy is ready.
             None if is_coming(copy) => CopyState::Unknown,
@@ -64,7 +66,7 @@
     }
 
     /// Returns the state of a copy that can't serve now.
-    fn otherwise(
+    fn unavailable_state(
         &self,
         board: &TargetBoard,
         copy: &AdapterCopy,
@@ -86,17 +88,17 @@
     }
 
     /// Returns true if the report of an engine's holder on the adapter is overdue.
-    pub fn is_late_at(
+    pub fn is_overdue_at(
         &self,
         board: &TargetBoard,
         target: &str,
     ) -> bool {
         let copy = board.adapters.get(self.adapter, target);
-        copy.is_some_and(|copy| is_late(copy.state, self.now))
+        copy.is_some_and(|copy| is_overdue(copy.state, self.now))
     }
 }
 
-fn is_late(
+fn is_overdue(
     state: CopyState,
     now: Instant,
 ) -> bool {
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -178,7 +178,7 @@
         adapter: &str,
         now: Instant,
     ) -> Choice {
-        let standing = AdapterAvailability::of(board, adapter, now);
+        let availability = AdapterAvailability::of(board, adapter, now);
         let drawn = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
         let targets = match look_before_send(board, request, attempts, drawn, now) {
             Ok(targets) => targets,
@@ -189,7 +189,7 @@
         for target in &targets {
             let mut candidate =
                 outlook.candidate(board, request, target, CopyState::Unknown, attempts);
-            candidate.copy = standing.copy_at(board, target, candidate.wait);
+            candidate.copy = availability.copy_at(board, target, candidate.wait);
             candidates.push(candidate);
         }
         let terms = ChoiceTerms {
@@ -202,7 +202,7 @@
         let ask_at = |at: usize, spare: bool| AdapterAsk {
             adapter,
             target: &targets[at],
-            version: standing.newest,
+            version: availability.newest,
             spare,
             patience: terms.aim_left.saturating_sub(candidates[at].wait),
         };
@@ -220,10 +220,10 @@
                 let is_ready = |candidate: &&EngineCandidate| candidate.copy == CopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
                 let wait = candidates[to].wait;
-                let version = standing.version_at(board, &targets[to], wait);
+                let version = availability.version_at(board, &targets[to], wait);
                 let version = version.map(|version| ExpectedVersion {
                     version,
-                    newest: standing.newest,
+                    newest: availability.newest,
                     wait,
                 });
                 send_to(
@@ -245,7 +245,7 @@
             EngineChoice::Wait { until, expected } => {
                 // Overdue holders are asked again; the board limits the rate of these requests.
                 for (at, target) in targets.iter().enumerate() {
-                    if standing.is_late_at(board, target) {
+                    if availability.is_overdue_at(board, target) {
                         ask_for(board, attempts, &ask_at(at, false), now);
                     }
                 }
