--- a/src/connection/front/engine_exclusions.rs
+++ b/src/connection/front/engine_exclusions.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineExclusions {
     /// All candidates.
-    pub weighed: usize,
+    pub candidates: usize,
     /// Engines that were tried for this request before.
     pub tried: usize,
     /// Engines that have announced that they accept no requests now.
@@ -28,24 +28,24 @@
         candidates: &[EngineCandidate],
         now: Instant,
     ) -> Self {
-        let mut counts = Self {
-            weighed: candidates.len(),
+        let mut exclusions = Self {
+            candidates: candidates.len(),
             ..Self::default()
         };
         for candidate in candidates {
             let is_full = matches!(candidate.copy, CopyState::Full { until } if until > now);
             if candidate.tried {
-                counts.tried += 1;
+                exclusions.tried += 1;
             } else if candidate.openness == Openness::Closed {
-                counts.closed += 1;
+                exclusions.closed += 1;
             } else if candidate.avoided {
-                counts.avoided += 1;
+                exclusions.avoided += 1;
             } else if !candidate.has_holder {
-                counts.without_holder += 1;
+                exclusions.without_holder += 1;
             } else if is_full {
-                counts.full += 1;
+                exclusions.full += 1;
             }
         }
-        counts
+        exclusions
     }
 }
