--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -193,7 +193,7 @@
                 Event::RequestUnplaced,
                 id = id,
                 ago_ms = ago_ms,
-                weighed = exclusions.weighed,
+                weighed = exclusions.candidates,
                 tried = exclusions.tried,
                 closed = exclusions.closed,
                 avoided = exclusions.avoided,
