--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -22,16 +22,16 @@
 };
 
 /// Cost of loading a copy of an adapter that is requested once in a few seconds over all hosts.
-const COPY_PRICE: Duration = Duration::from_millis(300);
+const COPY_COST: Duration = Duration::from_millis(300);
 
 /// Minimum wait of a request before it tries to choose an engine again.
-const LEAST_WAIT: Duration = Duration::from_millis(2);
+const MIN_WAIT: Duration = Duration::from_millis(2);
 
 /// Share of the route's latency objective after which a request that no target can take is rejected.
-const LOOK_SHARE: f64 = 0.17;
+const PROMPT_REJECT_SHARE: f64 = 0.17;
 
 /// Retries of callers that are rejected while all targets are closed are spread over this time after the first one opens.
-const OPENING_SPREAD: Duration = Duration::from_millis(500);
+const RETRY_SPREAD: Duration = Duration::from_millis(500);
 
 /// Decision on the next send of a request.
 pub enum Choice {
@@ -86,7 +86,7 @@
     }
 
     /// Chooses the target at which a request holds a concurrency slot.
-    pub fn choose_place(
+    pub fn choose_slot(
         &self,
         attempts: &mut Attempts,
         target: &Arc<str>,
@@ -140,8 +140,8 @@
         attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
-        let drawn = |board: &TargetBoard| sample_of_service(board, request, now);
-        let targets = match look_before_send(board, request, attempts, drawn, now) {
+        let draw = |board: &TargetBoard| sample_of_service(board, request, now);
+        let targets = match look_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
         };
@@ -166,7 +166,7 @@
                 (targets.len(), targets.len()),
                 now,
             ),
-            _ => nowhere_yet(board, request, &targets, now),
+            _ => wait_or_give_up(board, request, &targets, now),
         }
     }
 
@@ -179,8 +179,8 @@
         now: Instant,
     ) -> Choice {
         let availability = AdapterAvailability::of(board, adapter, now);
-        let drawn = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
-        let targets = match look_before_send(board, request, attempts, drawn, now) {
+        let draw = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
+        let targets = match look_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
         };
@@ -199,7 +199,7 @@
             policy: board.policy(),
             now,
         };
-        let ask_at = |at: usize, spare: bool| AdapterAsk {
+        let load_request = |at: usize, spare: bool| AdapterAsk {
             adapter,
             target: &targets[at],
             version: availability.newest,
@@ -215,7 +215,7 @@
             }
             EngineChoice::Send { to, ask } => {
                 if let Some(at) = ask {
-                    ask_for(board, attempts, &ask_at(at, true), now);
+                    request_adapter(board, attempts, &load_request(at, true), now);
                 }
                 let is_ready = |candidate: &&EngineCandidate| candidate.copy == CopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
@@ -236,7 +236,7 @@
                 )
             }
             EngineChoice::Ask(at) => {
-                ask_for(board, attempts, &ask_at(at, false), now);
+                request_adapter(board, attempts, &load_request(at, false), now);
                 Choice::Wait {
                     until: now + ASK_WAIT,
                     expected: None,
@@ -246,17 +246,19 @@
                 // Overdue holders are asked again; the board limits the rate of these requests.
                 for (at, target) in targets.iter().enumerate() {
                     if availability.is_overdue_at(board, target) {
-                        ask_for(board, attempts, &ask_at(at, false), now);
+                        request_adapter(board, attempts, &load_request(at, false), now);
                     }
                 }
-                let refusable = expected.filter(|_| terms.policy.refuses_early);
-                match refusable.map(|expected| wait_or_refuse(&time_of(request, now), expected)) {
+                let rejectable = expected.filter(|_| terms.policy.refuses_early);
+                match rejectable
+                    .map(|expected| wait_or_refuse(&request_time(request, now), expected))
+                {
                     Some(Patience::Refuse { come_back }) => {
                         attempts.trace.add(TraceStep::Waits { expected }, now);
                         Choice::Refuse(come_back)
                     }
                     _ => Choice::Wait {
-                        until: until.max(now + LEAST_WAIT),
+                        until: until.max(now + MIN_WAIT),
                         expected,
                     },
                 }
@@ -264,7 +266,7 @@
             EngineChoice::Nowhere => {
                 let exclusions = EngineExclusions::of(&candidates, now);
                 attempts.trace.add(TraceStep::Unplaced(exclusions), now);
-                nowhere_yet(board, request, &targets, now)
+                wait_or_give_up(board, request, &targets, now)
             }
         }
     }
@@ -288,7 +290,7 @@
         unread_tokens: link.backlog_tokens(),
         load_age: link
             .others_told
-            .map(|told| now.saturating_duration_since(told)),
+            .map(|reported| now.saturating_duration_since(reported)),
         version,
         declared_age: board.confirmation().declared.age(now),
     };
@@ -300,7 +302,7 @@
     })
 }
 
-fn ask_for(
+fn request_adapter(
     board: &mut TargetBoard,
     attempts: &mut Attempts,
     ask: &AdapterAsk,
@@ -316,7 +318,7 @@
 }
 
 /// No engine can take a request: retries the choice while there is time for a prompt rejection.
-fn nowhere_yet(
+fn wait_or_give_up(
     board: &TargetBoard,
     request: &CallRequest,
     targets: &[Arc<str>],
@@ -325,10 +327,10 @@
     if let Some(choice) = wait_for_opening(board, request, targets, now) {
         return choice;
     }
-    let again = now + LOOK_AGAIN;
-    match is_prompt(request, again) {
+    let retry_at = now + LOOK_AGAIN;
+    match is_prompt(request, retry_at) {
         true => Choice::Wait {
-            until: again,
+            until: retry_at,
             expected: None,
         },
         false => Choice::Nowhere,
@@ -353,8 +355,8 @@
         });
     }
     // Callers that are rejected together must not retry together.
-    let spread = rand::rng().random_range(Duration::ZERO..OPENING_SPREAD);
-    let come_back = opens.saturating_duration_since(now) + spread;
+    let jitter = rand::rng().random_range(Duration::ZERO..RETRY_SPREAD);
+    let come_back = opens.saturating_duration_since(now) + jitter;
     Some(Choice::Refuse(come_back))
 }
 
@@ -363,10 +365,10 @@
     request: &CallRequest,
     at: Instant,
 ) -> bool {
-    at.saturating_duration_since(request.arrived) < request.route.aim.mul_f64(LOOK_SHARE)
+    at.saturating_duration_since(request.arrived) < request.route.aim.mul_f64(PROMPT_REJECT_SHARE)
 }
 
-fn time_of(
+fn request_time(
     request: &CallRequest,
     now: Instant,
 ) -> RequestTime {
@@ -384,10 +386,10 @@
     now: Instant,
 ) -> Duration {
     // Several requests on this host suggest as many on the others; a single one does not.
-    let here = (board.demand.recent(adapter, now) - 1.0).max(0.0);
-    let told = f64::from(board.adapters.uses(adapter));
+    let local = (board.demand.recent(adapter, now) - 1.0).max(0.0);
+    let reported = f64::from(board.adapters.uses(adapter));
     if !board.policy().shares_copy_price {
-        return COPY_PRICE;
+        return COPY_COST;
     }
-    COPY_PRICE.div_f64(1.0 + told.max(here * board.view.hosts as f64))
+    COPY_COST.div_f64(1.0 + reported.max(local * board.view.hosts as f64))
 }
