--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -358,7 +358,7 @@
         let now = Instant::now();
         match found {
             SlotOutcome::Acquired(slot) => {
-                let choice = self.chooser.choose_place(attempts, &slot.target, now);
+                let choice = self.chooser.choose_slot(attempts, &slot.target, now);
                 (choice, Some(slot))
             }
             SlotOutcome::Full { retry_after } => (Choice::Refuse(retry_after), None),
