--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -161,7 +161,7 @@
     status: StatusCode,
     body: Vec<u8>,
 ) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+    let mut response = Response::new(AnswerBody::complete(body));
     *response.status_mut() = status;
     response
 }
