--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -214,23 +214,23 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(RequestProblem::Answer(OwnCause::BodyTooLarge));
     }
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     loop {
         let frame = timeout_at(ends, body.frame()).await;
         let frame = frame.map_err(|_| RequestProblem::Answer(OwnCause::BodyTooSlow))?;
         let Some(frame) = frame else {
-            return Ok(whole.freeze());
+            return Ok(buffer.freeze());
         };
         let frame = frame.map_err(|_| RequestProblem::Gone)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limit {
+        if buffer.len() + data.len() > limit {
             return Err(RequestProblem::Answer(OwnCause::BodyTooLarge));
         }
-        if whole.is_empty() && body.is_end_stream() {
+        if buffer.is_empty() && body.is_end_stream() {
             return Ok(data);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
 }
