--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -41,10 +41,10 @@
         expected: Option<Duration>,
     },
     /// Reject the request; the caller should retry after this time.
-    Refuse(Duration),
-    Nowhere,
+    Reject(Duration),
+    NoTarget,
     /// Wait until the queried holders have reported the status of their engines, at most until this time.
-    Look {
+    AwaitReports {
         until: Instant,
     },
 }
@@ -120,7 +120,7 @@
         let draw = rand::rng().random::<f64>();
         let Some(at) = choose_plain(&candidates, draw) else {
             let ids: Vec<Arc<str>> = targets.iter().map(|target| target.id.clone()).collect();
-            return wait_for_opening(board, request, &ids, now).unwrap_or(Choice::Nowhere);
+            return wait_for_opening(board, request, &ids, now).unwrap_or(Choice::NoTarget);
         };
         send_to(
             board,
@@ -143,7 +143,7 @@
         let draw = |board: &TargetBoard| sample_of_service(board, request, now);
         let targets = match look_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
-            Err(until) => return Choice::Look { until },
+            Err(until) => return Choice::AwaitReports { until },
         };
         let outlook = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let candidates: Vec<EngineCandidate> = targets
@@ -182,7 +182,7 @@
         let draw = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
         let targets = match look_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
-            Err(until) => return Choice::Look { until },
+            Err(until) => return Choice::AwaitReports { until },
         };
         let outlook = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let mut candidates = Vec::with_capacity(targets.len());
@@ -255,7 +255,7 @@
                 {
                     Some(Patience::Refuse { come_back }) => {
                         attempts.trace.add(TraceStep::Waits { expected }, now);
-                        Choice::Refuse(come_back)
+                        Choice::Reject(come_back)
                     }
                     _ => Choice::Wait {
                         until: until.max(now + MIN_WAIT),
@@ -333,7 +333,7 @@
             until: retry_at,
             expected: None,
         },
-        false => Choice::Nowhere,
+        false => Choice::NoTarget,
     }
 }
 
@@ -357,7 +357,7 @@
     // Callers that are rejected together must not retry together.
     let jitter = rand::rng().random_range(Duration::ZERO..RETRY_SPREAD);
     let come_back = opens.saturating_duration_since(now) + jitter;
-    Some(Choice::Refuse(come_back))
+    Some(Choice::Reject(come_back))
 }
 
 /// Returns true if a rejection at this time is still prompt.
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -263,14 +263,14 @@
                     self.wait(request, until).await;
                     continue;
                 }
-                Choice::Look { until } => {
+                Choice::AwaitReports { until } => {
                     self.wait_for_standings(until).await;
                     continue;
                 }
-                Choice::Refuse(retry_after) if attempts.history.runs == 0 => {
+                Choice::Reject(retry_after) if attempts.history.runs == 0 => {
                     return self.refuse(request, unplaced_cause(request), retry_after);
                 }
-                Choice::Refuse(_) | Choice::Nowhere => return self.nowhere(request, attempts),
+                Choice::Reject(_) | Choice::NoTarget => return self.nowhere(request, attempts),
             };
             if !acquire_permit(&self.board, &destination.target).await {
                 let target = destination.target.clone();
@@ -361,7 +361,7 @@
                 let choice = self.chooser.choose_slot(attempts, &slot.target, now);
                 (choice, Some(slot))
             }
-            SlotOutcome::Full { retry_after } => (Choice::Refuse(retry_after), None),
+            SlotOutcome::Full { retry_after } => (Choice::Reject(retry_after), None),
             SlotOutcome::Unavailable => (self.chooser.choose(request, attempts, now), None),
         }
     }
