--- a/src/connection/front/adapter_availability.rs
+++ b/src/connection/front/adapter_availability.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         engine_sample::is_coming,
-        waits::{ASK_WAIT, LOOK_AGAIN},
+        waits::{CHOICE_RETRY_INTERVAL, HOLDER_TIMEOUT},
     },
     crate::{
         clock::Instant,
@@ -77,7 +77,7 @@
         match copy.state {
             // The request would wait longer than a version may serve if it were replaced meanwhile.
             CopyState::Ready if !is_old => CopyState::Full {
-                until: self.now + LOOK_AGAIN,
+                until: self.now + CHOICE_RETRY_INTERVAL,
             },
             CopyState::Coming { due } if is_old && !serves.allows(wait, due.max(self.now)) => {
                 CopyState::Unknown
@@ -104,7 +104,7 @@
 ) -> bool {
     match state {
         CopyState::Asked => true,
-        CopyState::Coming { due } => due + ASK_WAIT <= now,
+        CopyState::Coming { due } => due + HOLDER_TIMEOUT <= now,
         _ => false,
     }
 }
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -7,7 +7,7 @@
         engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
         exchange::{Destination, ExpectedVersion},
         request_trace::TraceStep,
-        waits::{ASK_WAIT, LOOK_AGAIN},
+        waits::{CHOICE_RETRY_INTERVAL, HOLDER_TIMEOUT},
     },
     crate::{
         clock::Instant,
@@ -238,7 +238,7 @@
             EngineChoice::Ask(at) => {
                 request_adapter(board, attempts, &load_request(at, false), now);
                 Choice::Wait {
-                    until: now + ASK_WAIT,
+                    until: now + HOLDER_TIMEOUT,
                     expected: None,
                 }
             }
@@ -327,7 +327,7 @@
     if let Some(choice) = wait_for_opening(board, request, targets, now) {
         return choice;
     }
-    let retry_at = now + LOOK_AGAIN;
+    let retry_at = now + CHOICE_RETRY_INTERVAL;
     match is_prompt(request, retry_at) {
         true => Choice::Wait {
             until: retry_at,
