--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -145,10 +145,10 @@
             Ok(targets) => targets,
             Err(until) => return Choice::AwaitReports { until },
         };
-        let outlook = EngineEstimator::of(board, request, &targets, &self.hall, now);
+        let estimator = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let candidates: Vec<EngineCandidate> = targets
             .iter()
-            .map(|target| outlook.candidate(board, request, target, CopyState::Ready, attempts))
+            .map(|target| estimator.candidate(board, request, target, CopyState::Ready, attempts))
             .collect();
         let terms = ChoiceTerms {
             copy_price: Duration::ZERO,
@@ -184,11 +184,11 @@
             Ok(targets) => targets,
             Err(until) => return Choice::AwaitReports { until },
         };
-        let outlook = EngineEstimator::of(board, request, &targets, &self.hall, now);
+        let estimator = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let mut candidates = Vec::with_capacity(targets.len());
         for target in &targets {
             let mut candidate =
-                outlook.candidate(board, request, target, CopyState::Unknown, attempts);
+                estimator.candidate(board, request, target, CopyState::Unknown, attempts);
             candidate.copy = availability.copy_at(board, target, candidate.wait);
             candidates.push(candidate);
         }
--- a/src/connection/front/engine_estimator.rs
+++ b/src/connection/front/engine_estimator.rs
@@ -9,10 +9,10 @@
 };
 
 /// Maximum age of a report of other hosts' load at an engine; past it that load counts as unknown.
-const LOAD_KNOWN: Duration = Duration::from_millis(400);
+const MAX_LOAD_AGE: Duration = Duration::from_millis(400);
 
 /// Priority of the requests that engines admit before all others.
-const MOST_URGENT: u8 = 0;
+const HIGHEST_PRIORITY: u8 = 0;
 
 /// Estimates wait and load of the candidates for one request.
 pub(super) struct EngineEstimator<'a> {
@@ -73,7 +73,7 @@
             batch: f64::from(link.running() + 1) / f64::from(link.view.record.slots.max(1)),
             crowd: tokens as f64 / (self.mean_tokens + (prompt + answer) as f64).max(1.0),
             near: link.view.record.hall == self.hall,
-            unknown: self.is_unknown(board, link),
+            unknown: self.is_load_unknown(board, link),
             avoided: !link.avoided_for(self.now).is_zero(),
             has_holder: link.view.holder.is_some(),
             tried: attempts.has_tried(target),
@@ -82,12 +82,12 @@
     }
 
     /// Returns true if the report of other hosts' load at an engine is stale.
-    fn is_unknown(
+    fn is_load_unknown(
         &self,
         board: &TargetBoard,
         link: &TargetLink,
     ) -> bool {
-        let since = self.now.checked_sub(LOAD_KNOWN);
+        let since = self.now.checked_sub(MAX_LOAD_AGE);
         board.asks_before_sends() && since.is_some_and(|since| !link.told_since(since))
     }
 
@@ -100,7 +100,7 @@
         request: &CallRequest,
     ) -> u64 {
         let backlog = link.backlog_tokens();
-        match self.policy.ranks_backlog && request.urgency == MOST_URGENT {
+        match self.policy.ranks_backlog && request.urgency == HIGHEST_PRIORITY {
             true => backlog.min(self.speed.prompt_in_reading()),
             false => backlog,
         }
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -22,13 +22,13 @@
     tokio::time::timeout,
 };
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Bodies up to this size in bytes are read completely before they are relayed.
-const WHOLE_LIMIT: usize = 256 * 1024;
+const MAX_BUFFERED_BODY: usize = 256 * 1024;
 
 /// Lowest priority that engines know.
-const LEAST_URGENT: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// Version of the adapter that a request is sent for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -298,7 +298,7 @@
     let wanted = if streams && head.status.is_success() {
         1
     } else {
-        WHOLE_LIMIT
+        MAX_BUFFERED_BODY
     };
     let mut body = BytesMut::new();
     while body.len() < wanted {
@@ -382,7 +382,7 @@
         }
         link.view.record.address
     };
-    let opened = timeout(CONNECT_LIMIT, HttpConnection::open(address)).await;
+    let opened = timeout(CONNECT_TIMEOUT, HttpConnection::open(address)).await;
     match opened {
         Ok(Ok(connection)) => Some(connection),
         _ => {
@@ -505,7 +505,7 @@
         ]);
     }
     if request.generation.is_some() {
-        let priority = request.urgency.min(LEAST_URGENT).to_string();
+        let priority = request.urgency.min(LOWEST_PRIORITY).to_string();
         line(&[
             names.priority.as_str().as_bytes(),
             b": ",
