--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -4,7 +4,7 @@
         attempts::Attempts,
         engine_estimator::EngineEstimator,
         engine_exclusions::EngineExclusions,
-        engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
+        engine_sample::{query_before_send, sample_for_adapter, sample_of_service},
         exchange::{Destination, ExpectedVersion},
         request_trace::TraceStep,
         waits::{CHOICE_RETRY_INTERVAL, HOLDER_TIMEOUT},
@@ -141,7 +141,7 @@
         now: Instant,
     ) -> Choice {
         let draw = |board: &TargetBoard| sample_of_service(board, request, now);
-        let targets = match look_before_send(board, request, attempts, draw, now) {
+        let targets = match query_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::AwaitReports { until },
         };
@@ -180,7 +180,7 @@
     ) -> Choice {
         let availability = AdapterAvailability::of(board, adapter, now);
         let draw = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
-        let targets = match look_before_send(board, request, attempts, draw, now) {
+        let targets = match query_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::AwaitReports { until },
         };
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -14,19 +14,19 @@
     std::{sync::Arc, time::Duration},
 };
 
-const QUERY_WAIT: Duration = Duration::from_millis(20);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Validity of a holder's report on its engine.
-const QUERY_FRESH: Duration = Duration::from_millis(60);
+const QUERY_TTL: Duration = Duration::from_millis(60);
 
 /// Maximum number of engines in a sample that are ready for the request.
-const QUERIED_READY: usize = 6;
+const MAX_READY: usize = 6;
 
 /// Maximum number of engines in a sample that neither hold nor load the adapter.
-const QUERIED_OTHERS: usize = 4;
+const MAX_OTHERS: usize = 4;
 
 /// Number of engines that an adapter may be loaded at, besides those that hold it.
-const SETTLING_PLACES: usize = 8;
+const PLACEMENT_CANDIDATES: usize = 8;
 
 /// Returns the engines that a request without an adapter may go to; a sample of them on a large site.
 pub(super) fn sample_of_service(
@@ -41,7 +41,7 @@
     let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
     let engines = without_closed(engines, is_closed);
     engines
-        .sample(&mut rand::rng(), QUERIED_READY)
+        .sample(&mut rand::rng(), MAX_READY)
         .cloned()
         .collect()
 }
@@ -57,25 +57,25 @@
 ) -> Vec<Arc<str>> {
     let service = &request.service.name;
     if !board.asks_before_sends() {
-        return board.settle_order(service, adapter, SETTLING_PLACES, now);
+        return board.settle_order(service, adapter, PLACEMENT_CANDIDATES, now);
     }
-    let places = SETTLING_PLACES + board.adapters.known(adapter);
-    let order = board.settle_order(service, adapter, places, now);
+    let count = PLACEMENT_CANDIDATES + board.adapters.known(adapter);
+    let order = board.settle_order(service, adapter, count, now);
     let copy = |at: &usize| board.adapters.get(adapter, &order[*at]);
     let state = |at: &usize| copy(at).map(|copy| copy.state);
     let is_held = |at: &usize| copy(at).is_some_and(|copy| copy.held().is_some());
     let (ready, others): (Vec<usize>, Vec<usize>) = (0..order.len()).partition(is_held);
-    let (coming, mut open): (Vec<usize>, Vec<usize>) = others
+    let (pending, mut unloaded): (Vec<usize>, Vec<usize>) = others
         .into_iter()
-        .partition(|at| state(at).is_some_and(is_coming));
-    open.retain(|at| !state(at).is_some_and(|state| is_full(state, now)));
+        .partition(|at| state(at).is_some_and(is_pending));
+    unloaded.retain(|at| !state(at).is_some_and(|state| is_full(state, now)));
     // An engine that held the adapter lately loads it much faster.
-    open.sort_by_key(|at| state(at) != Some(CopyState::Remembered));
-    open.truncate(QUERIED_OTHERS);
+    unloaded.sort_by_key(|at| state(at) != Some(CopyState::Remembered));
+    unloaded.truncate(MAX_OTHERS);
     let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
     let ready = without_closed(ready, |at| is_closed(&order[*at]));
-    let ready = ready.sample(&mut rand::rng(), QUERIED_READY).copied();
-    let mut chosen: Vec<usize> = ready.chain(coming).chain(open).collect();
+    let ready = ready.sample(&mut rand::rng(), MAX_READY).copied();
+    let mut chosen: Vec<usize> = ready.chain(pending).chain(unloaded).collect();
     chosen.sort_unstable();
     chosen.into_iter().map(|at| order[at].clone()).collect()
 }
@@ -84,7 +84,7 @@
 ///
 /// On a large site their holders are queried first, since earlier reports are too stale; `Err` holds the time until which
 /// to wait for their reports.
-pub(super) fn look_before_send(
+pub(super) fn query_before_send(
     board: &TargetBoard,
     request: &CallRequest,
     attempts: &mut Attempts,
@@ -95,13 +95,13 @@
         return Ok(draw(board));
     }
     if let Some(round) = &attempts.query
-        && now.saturating_duration_since(round.since) < QUERY_FRESH
+        && now.saturating_duration_since(round.since) < QUERY_TTL
     {
         let present = |target: &&Arc<str>| board.links.contains_key(*target);
         let targets: Vec<Arc<str>> = round.targets.iter().filter(present).cloned().collect();
-        let told = |target: &Arc<str>| board.links[target].told_since(round.since);
-        let until = round.since + QUERY_WAIT;
-        return match now >= until || targets.iter().all(told) {
+        let has_reported = |target: &Arc<str>| board.links[target].told_since(round.since);
+        let until = round.since + QUERY_TIMEOUT;
+        return match now >= until || targets.iter().all(has_reported) {
             true => Ok(targets),
             false => Err(until),
         };
@@ -114,7 +114,7 @@
         targets,
         since: now,
     });
-    Err(now + QUERY_WAIT)
+    Err(now + QUERY_TIMEOUT)
 }
 
 /// Queries the holders of engines for their status; returns false if none of the engines has a holder.
@@ -136,13 +136,13 @@
     let tokens = generation.map_or((0, 0), |generation| {
         (generation.tokens_in, generation.tokens_out)
     });
-    let mut asked = 0;
+    let mut queried = 0;
     for target in targets {
         let chance = match is_ready(target) {
             true => 100 / ready.max(1) as u32,
             false => 0,
         };
-        asked += u32::from(board.query(EngineQuery {
+        queried += u32::from(board.query(EngineQuery {
             target: target.to_string(),
             adapter: adapter.unwrap_or_default().to_string(),
             chance,
@@ -150,7 +150,7 @@
             prompt_tokens: tokens.0,
         }));
     }
-    asked > 0
+    queried > 0
 }
 
 /// Removes closed engines unless all are closed: a sample of closed engines would get a request rejected that others
@@ -172,6 +172,6 @@
     matches!(copy, CopyState::Full { until } if until > now)
 }
 
-pub(super) fn is_coming(copy: CopyState) -> bool {
+pub(super) fn is_pending(copy: CopyState) -> bool {
     matches!(copy, CopyState::Coming { .. } | CopyState::Asked)
 }
