--- a/src/connection/front/adapter_availability.rs
+++ b/src/connection/front/adapter_availability.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        engine_sample::is_coming,
+        engine_sample::is_pending,
         waits::{CHOICE_RETRY_INTERVAL, HOLDER_TIMEOUT},
     },
     crate::{
@@ -48,7 +48,7 @@
         });
         match board.links[target].view.holder {
             // Without a holder no host would report that the copy is ready.
-            None if is_coming(copy) => CopyState::Unknown,
+            None if is_pending(copy) => CopyState::Unknown,
             _ => copy,
         }
     }
