--- a/src/connection/front/event_splitter.rs
+++ b/src/connection/front/event_splitter.rs
@@ -4,7 +4,7 @@
 const EVENT_END: &[u8] = b"\n\n";
 
 /// Maximum size of an event, in bytes; a stream with a longer one is broken.
-const MAX_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// Joins the answers of several targets, one after another, to one stream of server-sent events.
 ///
@@ -31,7 +31,7 @@
     }
 
     /// Discards an incomplete event, before another target continues the stream and sends it again.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
@@ -41,28 +41,28 @@
         piece: &[u8],
     ) -> Result<Bytes, BrokenStream> {
         self.partial.extend_from_slice(piece);
-        let Some(end) = last_event_end(&self.partial) else {
-            return match self.partial.len() > MAX_EVENT {
+        let Some(end) = end_of_last_event(&self.partial) else {
+            return match self.partial.len() > MAX_EVENT_BYTES {
                 true => Err(BrokenStream),
                 false => Ok(Bytes::new()),
             };
         };
         let mut events = self.partial.split_to(end).freeze();
-        let mut fresh = 0;
+        let mut new_from = 0;
         let mut at = 0;
         while at < events.len() {
-            let size = first_event_end(&events[at..]).unwrap_or(events.len() - at);
+            let size = end_of_first_event(&events[at..]).unwrap_or(events.len() - at);
             let id = event_id(&events[at..at + size]);
             at += size;
-            if self.is_repeated(id)? {
-                fresh = at;
+            if self.is_duplicate(id)? {
+                new_from = at;
             }
         }
-        Ok(events.split_off(fresh))
+        Ok(events.split_off(new_from))
     }
 
     /// Returns true if an event was returned before; otherwise its id becomes the last one.
-    fn is_repeated(
+    fn is_duplicate(
         &mut self,
         id: Option<u64>,
     ) -> Result<bool, BrokenStream> {
@@ -79,14 +79,14 @@
     }
 }
 
-fn first_event_end(bytes: &[u8]) -> Option<usize> {
+fn end_of_first_event(bytes: &[u8]) -> Option<usize> {
     let found = bytes
         .windows(EVENT_END.len())
         .position(|window| window == EVENT_END)?;
     Some(found + EVENT_END.len())
 }
 
-fn last_event_end(bytes: &[u8]) -> Option<usize> {
+fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
     let found = bytes
         .windows(EVENT_END.len())
         .rposition(|window| window == EVENT_END)?;
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -180,7 +180,7 @@
         &mut self,
         broken: &str,
     ) -> Option<Box<OpenAnswer>> {
-        self.events.restart();
+        self.events.discard_partial();
         let after = self.events.last_id();
         let caller = self.caller.clone();
         let resumed = self
