--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -330,7 +330,7 @@
                     self.on_misdirected(request, &destination);
                     AttemptEnd::NotRun { status: 421 }
                 }
-                Sent::Unconfirmed => continue,
+                Sent::Withheld => continue,
                 Sent::Ended(AttemptEnd::Lost) => {
                     let begun = verified || sent_at.elapsed() >= LEAST_RUN;
                     accuse(&self.board, names, request, run, begun);
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -242,13 +242,13 @@
     Misdirected,
     /// Nothing was sent: a table has become too stale, the target has announced that it accepts no requests, its version of
     /// the adapter may no longer serve, or the key was revoked.
-    Unconfirmed,
+    Withheld,
 }
 
 impl Sent {
     /// Returns true if the request certainly never reached a target.
     pub fn never_arrived(&self) -> bool {
-        matches!(self, Self::Unconfirmed | Self::Ended(AttemptEnd::NotSent))
+        matches!(self, Self::Withheld | Self::Ended(AttemptEnd::NotSent))
     }
 }
 
@@ -274,7 +274,7 @@
     }
     if !may_send(board, request, destination, now) {
         flight.keep(connection, None);
-        return Sent::Unconfirmed;
+        return Sent::Withheld;
     }
     board.borrow_mut().note_sent(now);
     let bytes = request_bytes(names, request, destination, now);
