--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -8,7 +8,7 @@
         attempts::Attempts,
         chooser::{Choice, Chooser},
         crash_probe::{accuse, acquit, answers_now},
-        exchange::{CompleteAnswer, Destination, OpenAnswer, Sent, send},
+        exchange::{CompleteAnswer, Destination, OpenAnswer, SendOutcome, send},
         request_trace::{TraceStep, millis},
         stream_relay::StreamRelay,
         waiter::Waiter,
@@ -315,28 +315,28 @@
                 board.budget(&request.service.name).give_back(&paid);
             }
             let end = match sent {
-                Sent::Complete(answer) => {
+                SendOutcome::Complete(answer) => {
                     acquit(&self.board, request);
                     return Outcome::Final(pass_on(answer));
                 }
-                Sent::Open(answer) => return Outcome::Open(answer),
-                Sent::Failed(answer) => {
+                SendOutcome::Open(answer) => return Outcome::Open(answer),
+                SendOutcome::Failed(answer) => {
                     let status = answer.status.as_u16();
                     attempts.failure = Some(answer);
                     acquit(&self.board, request);
                     AttemptEnd::Failed { status }
                 }
-                Sent::Misdirected => {
+                SendOutcome::Misdirected => {
                     self.on_misdirected(request, &destination);
                     AttemptEnd::NotRun { status: 421 }
                 }
-                Sent::Withheld => continue,
-                Sent::Ended(AttemptEnd::Lost) => {
+                SendOutcome::Withheld => continue,
+                SendOutcome::Ended(AttemptEnd::Lost) => {
                     let begun = verified || sent_at.elapsed() >= LEAST_RUN;
                     accuse(&self.board, names, request, run, begun);
                     AttemptEnd::Lost
                 }
-                Sent::Ended(end) => end,
+                SendOutcome::Ended(end) => end,
             };
             attempts.note_end(&destination, end, Instant::now());
             if let Some(response) = self.after(request, attempts, &destination, end).await {
@@ -696,12 +696,12 @@
 
 /// Returns what a send shows of the load of its target.
 fn place_end(
-    sent: &Sent,
+    sent: &SendOutcome,
     took: Duration,
 ) -> PlaceEnd {
     match sent {
-        Sent::Complete(_) => PlaceEnd::Answered { took },
-        Sent::Ended(AttemptEnd::NotRun { .. }) => PlaceEnd::TurnedAway,
+        SendOutcome::Complete(_) => PlaceEnd::Answered { took },
+        SendOutcome::Ended(AttemptEnd::NotRun { .. }) => PlaceEnd::TurnedAway,
         _ => PlaceEnd::Other,
     }
 }
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -231,7 +231,7 @@
 }
 
 /// Result of a send.
-pub enum Sent {
+pub enum SendOutcome {
     Complete(CompleteAnswer),
     Open(Box<OpenAnswer>),
     /// The target ran the request and failed.
@@ -245,7 +245,7 @@
     Withheld,
 }
 
-impl Sent {
+impl SendOutcome {
     /// Returns true if the request certainly never reached a target.
     pub fn never_arrived(&self) -> bool {
         matches!(self, Self::Withheld | Self::Ended(AttemptEnd::NotSent))
@@ -260,21 +260,21 @@
     request: &CallRequest,
     destination: &Destination,
     streams: bool,
-) -> Sent {
+) -> SendOutcome {
     let begun = Instant::now();
     let no_backlog = backlog(board, &destination.target) == 0;
     let flight = InFlightRequest::start(board, request, &destination.target);
     let Some(mut connection) = connect(&flight).await else {
-        return Sent::Ended(AttemptEnd::NotSent);
+        return SendOutcome::Ended(AttemptEnd::NotSent);
     };
     let now = Instant::now();
     // Connecting may have taken long, and the connection may lead to an earlier incarnation.
     if !board.borrow().is_usable(&destination.target, now) || !flight.is_at_known_start() {
-        return Sent::Ended(AttemptEnd::NotSent);
+        return SendOutcome::Ended(AttemptEnd::NotSent);
     }
     if !may_send(board, request, destination, now) {
         flight.keep(connection, None);
-        return Sent::Withheld;
+        return SendOutcome::Withheld;
     }
     board.borrow_mut().note_sent(now);
     let bytes = request_bytes(names, request, destination, now);
@@ -309,8 +309,8 @@
                 let failed = head.status.is_server_error();
                 let answer = complete(head, body.freeze(), source);
                 return match failed {
-                    true => Sent::Failed(answer),
-                    false => Sent::Complete(answer),
+                    true => SendOutcome::Failed(answer),
+                    false => SendOutcome::Complete(answer),
                 };
             }
             Err(_) => return lost(&source.flight),
@@ -326,7 +326,7 @@
             .speed(&request.service.name)
             .on_first_event(tokens, time);
     }
-    Sent::Open(Box::new(OpenAnswer {
+    SendOutcome::Open(Box::new(OpenAnswer {
         status: head.status,
         headers: passed_headers(head.headers),
         first: body.freeze(),
@@ -396,14 +396,14 @@
 async fn not_run(
     head: ResponseHead,
     mut source: AnswerSource,
-) -> Sent {
+) -> SendOutcome {
     let status = head.status;
     while let Ok(Some(_)) = source.next().await {}
     source.finish();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Sent::Misdirected;
+        return SendOutcome::Misdirected;
     }
-    Sent::Ended(AttemptEnd::NotRun {
+    SendOutcome::Ended(AttemptEnd::NotRun {
         status: status.as_u16(),
     })
 }
@@ -421,9 +421,9 @@
     }
 }
 
-fn lost(flight: &InFlightRequest) -> Sent {
+fn lost(flight: &InFlightRequest) -> SendOutcome {
     distrust(flight);
-    Sent::Ended(AttemptEnd::Lost)
+    SendOutcome::Ended(AttemptEnd::Lost)
 }
 
 fn trust(flight: &InFlightRequest) {
