--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -70,7 +70,7 @@
     adapter: Option<String>,
     tokens: RequestTokens,
     /// True until the first byte of the answer arrives.
-    unread: Cell<bool>,
+    is_prompt_unread: Cell<bool>,
 }
 
 impl InFlightRequest {
@@ -93,7 +93,7 @@
             started,
             adapter: adapter.map(str::to_string),
             tokens,
-            unread: Cell::new(true),
+            is_prompt_unread: Cell::new(true),
         }
     }
 
@@ -111,14 +111,14 @@
     }
 
     /// Returns true if the target still has the incarnation that the request was sent to.
-    fn is_at_known_start(&self) -> bool {
+    fn has_same_incarnation(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.target);
         link.is_some_and(|link| link.view.record.started == self.started)
     }
 
     /// Records that bytes have arrived from the target.
-    fn on_heard(&self) {
+    fn on_received(&self) {
         self.with_link(|link| link.heard = Some(Instant::now()));
     }
 
@@ -129,7 +129,7 @@
         head: &ResponseHead,
         sent: Instant,
     ) {
-        let said = NoticeHeaders {
+        let notice = NoticeHeaders {
             names,
             status: head.status,
             headers: &head.headers,
@@ -138,19 +138,19 @@
         let (target, start) = (&self.target, self.started);
         board
             .notices
-            .on_answer(target, start, &said, sent, Instant::now());
+            .on_answer(target, start, &notice, sent, Instant::now());
     }
 
     /// Records that the target has read the prompt: the answer has started, or none will come.
     fn on_prompt_read(&self) {
-        if !self.unread.replace(false) {
+        if !self.is_prompt_unread.replace(false) {
             return;
         }
         self.with_link(|link| link.on_prompt_read(self.tokens));
     }
 
     /// Returns the connection of a finished exchange to the pool of idle ones.
-    pub fn keep(
+    pub fn release(
         &self,
         connection: HttpConnection,
         idle_limit: Option<Duration>,
@@ -189,7 +189,7 @@
     decoder: BodyDecoder,
     reusable: bool,
     idle_limit: Option<Duration>,
-    flight: InFlightRequest,
+    in_flight: InFlightRequest,
 }
 
 impl AnswerSource {
@@ -197,7 +197,7 @@
     pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let piece = self.connection.body_piece(&mut self.decoder).await;
         if matches!(piece, Ok(Some(_))) {
-            self.flight.on_heard();
+            self.in_flight.on_received();
         }
         piece
     }
@@ -207,25 +207,25 @@
         &self,
         time: Duration,
     ) -> bool {
-        let board = self.flight.board.borrow();
-        let link = board.links.get(&self.flight.target);
-        let link = link.filter(|link| link.view.record.started == self.flight.started);
+        let board = self.in_flight.board.borrow();
+        let link = board.links.get(&self.in_flight.target);
+        let link = link.filter(|link| link.view.record.started == self.in_flight.started);
         link.is_none_or(|link| link.is_silent(time, Instant::now()))
     }
 
     pub fn target(&self) -> &str {
-        &self.flight.target
+        &self.in_flight.target
     }
 
     /// Returns the incarnation of the target that answers.
     pub fn run(&self) -> TargetRun {
-        (self.flight.target.clone(), self.flight.started)
+        (self.in_flight.target.clone(), self.in_flight.started)
     }
 
     /// Ends a completely read body, and returns the connection to the pool if it can be reused.
     pub fn finish(self) {
         if self.reusable {
-            self.flight.keep(self.connection, self.idle_limit);
+            self.in_flight.release(self.connection, self.idle_limit);
         }
     }
 }
@@ -261,51 +261,52 @@
     destination: &Destination,
     streams: bool,
 ) -> SendOutcome {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let no_backlog = backlog(board, &destination.target) == 0;
-    let flight = InFlightRequest::start(board, request, &destination.target);
-    let Some(mut connection) = connect(&flight).await else {
+    let in_flight = InFlightRequest::start(board, request, &destination.target);
+    let Some(mut connection) = connect(&in_flight).await else {
         return SendOutcome::Ended(AttemptEnd::NotSent);
     };
     let now = Instant::now();
     // Connecting may have taken long, and the connection may lead to an earlier incarnation.
-    if !board.borrow().is_usable(&destination.target, now) || !flight.is_at_known_start() {
+    if !board.borrow().is_usable(&destination.target, now) || !in_flight.has_same_incarnation() {
         return SendOutcome::Ended(AttemptEnd::NotSent);
     }
     if !may_send(board, request, destination, now) {
-        flight.keep(connection, None);
+        in_flight.release(connection, None);
         return SendOutcome::Withheld;
     }
     board.borrow_mut().note_sent(now);
     let bytes = request_bytes(names, request, destination, now);
-    let is_ours = |head: &ResponseHead| head.headers.get(&names.request_id) == request.id.as_ref();
-    let exchange = connection.exchange(&bytes, &request.method, is_ours);
+    let is_own_answer =
+        |head: &ResponseHead| head.headers.get(&names.request_id) == request.id.as_ref();
+    let exchange = connection.exchange(&bytes, &request.method, is_own_answer);
     let (head, sent_completely) = match exchange.await {
         Ok(answer) => answer,
-        Err(_) => return lost(&flight),
+        Err(_) => return lost_answer(&in_flight),
     };
-    flight.on_head(names, &head, now);
+    in_flight.on_head(names, &head, now);
     let mut source = AnswerSource {
         connection,
         decoder: BodyDecoder::new(head.framing),
         reusable: head.keeps_alive && sent_completely,
         idle_limit: head.idle_limit,
-        flight,
+        in_flight,
     };
     if head.headers.contains_key(&names.not_run) || head.status == StatusCode::MISDIRECTED_REQUEST {
         return not_run(head, source).await;
     }
-    let wanted = if streams && head.status.is_success() {
+    let min_bytes = if streams && head.status.is_success() {
         1
     } else {
         MAX_BUFFERED_BODY
     };
     let mut body = BytesMut::new();
-    while body.len() < wanted {
+    while body.len() < min_bytes {
         match source.next().await {
             Ok(Some(piece)) => body.extend_from_slice(&piece),
             Ok(None) => {
-                trust(&source.flight);
+                record_success(&source.in_flight);
                 let failed = head.status.is_server_error();
                 let answer = complete(head, body.freeze(), source);
                 return match failed {
@@ -313,14 +314,14 @@
                     false => SendOutcome::Complete(answer),
                 };
             }
-            Err(_) => return lost(&source.flight),
+            Err(_) => return lost_answer(&source.in_flight),
         }
     }
-    trust(&source.flight);
-    source.flight.on_prompt_read();
+    record_success(&source.in_flight);
+    source.in_flight.on_prompt_read();
     if no_backlog {
-        let time = begun.elapsed();
-        let tokens = source.flight.tokens.prompt;
+        let time = started_at.elapsed();
+        let tokens = source.in_flight.tokens.prompt;
         let mut board = board.borrow_mut();
         board
             .speed(&request.service.name)
@@ -328,7 +329,7 @@
     }
     SendOutcome::Open(Box::new(OpenAnswer {
         status: head.status,
-        headers: passed_headers(head.headers),
+        headers: relayed_headers(head.headers),
         first: body.freeze(),
         source,
     }))
@@ -345,7 +346,7 @@
     let board = board.borrow();
     let generation = request.generation.as_ref();
     let adapter = generation.and_then(|generation| generation.adapter());
-    let serves = adapter
+    let version_serves = adapter
         .zip(destination.version)
         .is_none_or(|(adapter, sent)| {
             let until = board.serves_until(adapter, sent.version);
@@ -353,13 +354,13 @@
         });
     // A resumed stream was started while its key was valid.
     let resumes = destination.resume_after.is_some();
-    let key_stands = resumes
+    let key_is_valid = resumes
         || request
             .credential
             .as_ref()
             .is_none_or(|credential| board.key_standing(credential, now) == KeyStanding::Valid);
-    let forbidden = board.forbids(&destination.target, now);
-    serves && key_stands && !forbidden && board.allows_sends(now)
+    let is_closed = board.forbids(&destination.target, now);
+    version_serves && key_is_valid && !is_closed && board.allows_sends(now)
 }
 
 fn backlog(
@@ -373,10 +374,10 @@
         .map_or(0, |link| link.backlog_tokens())
 }
 
-async fn connect(flight: &InFlightRequest) -> Option<HttpConnection> {
+async fn connect(in_flight: &InFlightRequest) -> Option<HttpConnection> {
     let address = {
-        let mut board = flight.board.borrow_mut();
-        let link = board.links.get_mut(&flight.target)?;
+        let mut board = in_flight.board.borrow_mut();
+        let link = board.links.get_mut(&in_flight.target)?;
         if let Some(connection) = link.take_idle(Instant::now()) {
             return Some(connection);
         }
@@ -386,7 +387,7 @@
     match opened {
         Ok(Ok(connection)) => Some(connection),
         _ => {
-            distrust(flight);
+            record_failure(in_flight);
             None
         }
     }
@@ -416,26 +417,26 @@
     source.finish();
     CompleteAnswer {
         status: head.status,
-        headers: passed_headers(head.headers),
+        headers: relayed_headers(head.headers),
         body,
     }
 }
 
-fn lost(flight: &InFlightRequest) -> SendOutcome {
-    distrust(flight);
+fn lost_answer(in_flight: &InFlightRequest) -> SendOutcome {
+    record_failure(in_flight);
     SendOutcome::Ended(AttemptEnd::Lost)
 }
 
-fn trust(flight: &InFlightRequest) {
-    flight.with_link(|link| link.health.on_success());
+fn record_success(in_flight: &InFlightRequest) {
+    in_flight.with_link(|link| link.health.on_success());
 }
 
-fn distrust(flight: &InFlightRequest) {
-    flight.with_link(|link| link.health.on_failure(Instant::now()));
+fn record_failure(in_flight: &InFlightRequest) {
+    in_flight.with_link(|link| link.health.on_failure(Instant::now()));
 }
 
 /// Returns the headers of an answer that are relayed to the caller.
-fn passed_headers(mut headers: HeaderMap) -> HeaderMap {
+fn relayed_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in [
         header::CONNECTION,
         header::CONTENT_LENGTH,
