--- a/src/connection/front/attempts.rs
+++ b/src/connection/front/attempts.rs
@@ -11,7 +11,7 @@
 };
 
 /// Maximum number of samples of engines that a request discards because all of them are busy.
-const MAX_TAKEN_SAMPLES: u32 = 2;
+const MAX_DISCARDED_SAMPLES: u32 = 2;
 
 /// Attempts to serve one request.
 #[derive(Default)]
@@ -25,7 +25,7 @@
     /// Last query of engines' status.
     pub query: Option<QueryRound>,
     /// Discarded samples of engines.
-    taken_samples: u32,
+    discarded_samples: u32,
 }
 
 /// Engines whose holders were queried, and the time of the query.
@@ -36,7 +36,7 @@
 
 impl Attempts {
     /// Records a send without an answer that can be relayed.
-    pub fn note_end(
+    pub fn record_end(
         &mut self,
         destination: &Destination,
         end: AttemptEnd,
@@ -55,12 +55,12 @@
     }
 
     /// Discards the sample of engines; returns false if that was done too often, or if there is no sample.
-    pub fn draws_again(&mut self) -> bool {
-        if self.query.is_none() || self.taken_samples >= MAX_TAKEN_SAMPLES {
+    pub fn discard_sample(&mut self) -> bool {
+        if self.query.is_none() || self.discarded_samples >= MAX_DISCARDED_SAMPLES {
             return false;
         }
         self.query = None;
-        self.taken_samples += 1;
+        self.discarded_samples += 1;
         true
     }
 
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -208,7 +208,7 @@
         };
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. }
-                if candidates[to].batch > 1.0 && attempts.draws_again() =>
+                if candidates[to].batch > 1.0 && attempts.discard_sample() =>
             {
                 // Every engine of the sample is busy: others may have room.
                 self.choose_for_adapter(board, request, attempts, adapter, now)
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -124,7 +124,7 @@
     ) -> Option<Box<OpenAnswer>> {
         let now = Instant::now();
         let destination = Destination::of(broken);
-        attempts.note_end(&destination, AttemptEnd::Lost, now);
+        attempts.record_end(&destination, AttemptEnd::Lost, now);
         if let Some(link) = self.board.borrow_mut().links.get_mut(broken) {
             link.health.on_failure(now);
         }
@@ -292,7 +292,7 @@
             }
             let verified = self.is_suspected(request);
             if verified && !answers_now(&self.board, names, request, &destination.target).await {
-                attempts.note_end(&destination, AttemptEnd::NotSent, Instant::now());
+                attempts.record_end(&destination, AttemptEnd::NotSent, Instant::now());
                 attempts.tried.push(destination.target.to_string());
                 continue;
             }
@@ -338,7 +338,7 @@
                 }
                 SendOutcome::Ended(end) => end,
             };
-            attempts.note_end(&destination, end, Instant::now());
+            attempts.record_end(&destination, end, Instant::now());
             if let Some(response) = self.after(request, attempts, &destination, end).await {
                 return Outcome::Final(response);
             }
