--- a/src/connection/front/attempts.rs
+++ b/src/connection/front/attempts.rs
@@ -46,10 +46,10 @@
         self.query = None;
         let target = destination.target.clone();
         let step = match end {
-            AttemptEnd::NotSent => TraceStep::NotReached { target },
-            AttemptEnd::NotRun { status, .. } => TraceStep::TurnedAway { target, status },
-            AttemptEnd::Failed { status } => TraceStep::FailedThere { target, status },
-            AttemptEnd::Lost => TraceStep::Lost { target },
+            AttemptEnd::NotSent => TraceStep::Unreachable { target },
+            AttemptEnd::NotRun { status, .. } => TraceStep::Rejected { target, status },
+            AttemptEnd::Failed { status } => TraceStep::Failed { target, status },
+            AttemptEnd::Lost => TraceStep::ConnectionLost { target },
         };
         self.trace.add(step, now);
     }
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -254,7 +254,7 @@
                     .map(|expected| wait_or_refuse(&request_time(request, now), expected))
                 {
                     Some(Patience::Refuse { come_back }) => {
-                        attempts.trace.add(TraceStep::Waits { expected }, now);
+                        attempts.trace.add(TraceStep::Waiting { expected }, now);
                         Choice::Reject(come_back)
                     }
                     _ => Choice::Wait {
@@ -309,7 +309,7 @@
     now: Instant,
 ) {
     if board.ask(ask, now) {
-        let step = TraceStep::Asks {
+        let step = TraceStep::AdapterRequested {
             target: ask.target.into(),
             spare: ask.spare,
         };
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -259,7 +259,7 @@
                 Choice::Wait { until, expected } => {
                     attempts
                         .trace
-                        .add(TraceStep::Waits { expected }, Instant::now());
+                        .add(TraceStep::Waiting { expected }, Instant::now());
                     self.wait(request, until).await;
                     continue;
                 }
--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -25,12 +25,12 @@
         declared_age: Option<Duration>,
     },
     /// The holder of an engine was asked for the adapter.
-    Asks {
+    AdapterRequested {
         target: Arc<str>,
         spare: bool,
     },
     /// The request waits for an adapter that should be loaded after `expected`.
-    Waits {
+    Waiting {
         expected: Option<Duration>,
     },
     /// No engine could take the request, for these reasons.
@@ -39,18 +39,18 @@
     NoPermit {
         target: Arc<str>,
     },
-    NotReached {
+    Unreachable {
         target: Arc<str>,
     },
-    TurnedAway {
+    Rejected {
         target: Arc<str>,
         status: u16,
     },
-    FailedThere {
+    Failed {
         target: Arc<str>,
         status: u16,
     },
-    Lost {
+    ConnectionLost {
         target: Arc<str>,
     },
     /// The request is sent again; `repeats` if that is charged to the shared repeat budget.
@@ -112,7 +112,7 @@
         &self,
         arrived: Instant,
     ) -> Option<Duration> {
-        let waits = |(_, step): &(Instant, TraceStep)| matches!(step, TraceStep::Waits { .. });
+        let waits = |(_, step): &(Instant, TraceStep)| matches!(step, TraceStep::Waiting { .. });
         if !self.steps.iter().any(waits) {
             return None;
         }
@@ -170,7 +170,7 @@
                 declared_age_ms = declared_age_ms,
             );
         }
-        TraceStep::Asks { target, spare } => {
+        TraceStep::AdapterRequested { target, spare } => {
             note!(
                 Event::RequestAsks,
                 id = id,
@@ -179,7 +179,7 @@
                 spare = spare
             );
         }
-        TraceStep::Waits { expected } => {
+        TraceStep::Waiting { expected } => {
             let expected_ms = expected.map_or(-1.0, millis);
             note!(
                 Event::RequestWaits,
@@ -209,7 +209,7 @@
                 target = target
             );
         }
-        TraceStep::NotReached { target } => {
+        TraceStep::Unreachable { target } => {
             note!(
                 Event::RequestNotReached,
                 id = id,
@@ -217,7 +217,7 @@
                 target = target
             );
         }
-        TraceStep::TurnedAway { target, status } => {
+        TraceStep::Rejected { target, status } => {
             note!(
                 Event::RequestTurnedAway,
                 id = id,
@@ -226,7 +226,7 @@
                 status = status
             );
         }
-        TraceStep::FailedThere { target, status } => {
+        TraceStep::Failed { target, status } => {
             note!(
                 Event::RequestFailedThere,
                 id = id,
@@ -235,7 +235,7 @@
                 status = status
             );
         }
-        TraceStep::Lost { target } => {
+        TraceStep::ConnectionLost { target } => {
             note!(
                 Event::RequestLost,
                 id = id,
