--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -63,7 +63,7 @@
 #[derive(Debug, Default)]
 pub struct RequestTrace {
     steps: Vec<(Instant, TraceStep)>,
-    left_out: usize,
+    dropped_steps: usize,
 }
 
 impl RequestTrace {
@@ -74,7 +74,7 @@
     ) {
         match self.steps.len() < MAX_STEPS {
             true => self.steps.push((now, step)),
-            false => self.left_out += 1,
+            false => self.dropped_steps += 1,
         }
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Returns the time from the arrival to the last send; zero if there was none.
-    pub fn before_last_send(
+    pub fn time_to_last_send(
         &self,
         arrived: Instant,
     ) -> Duration {
@@ -108,12 +108,12 @@
     }
 
     /// Returns the time from the arrival to the last send, or `None` if the request did not wait or was not sent.
-    pub fn waited(
+    pub fn time_waited(
         &self,
         arrived: Instant,
     ) -> Option<Duration> {
-        let waits = |(_, step): &(Instant, TraceStep)| matches!(step, TraceStep::Waiting { .. });
-        if !self.steps.iter().any(waits) {
+        let is_wait = |(_, step): &(Instant, TraceStep)| matches!(step, TraceStep::Waiting { .. });
+        if !self.steps.iter().any(is_wait) {
             return None;
         }
         let chosen = self.steps.iter().rev().find_map(|(at, step)| match step {
@@ -124,18 +124,18 @@
     }
 
     /// Logs one line for each step.
-    pub fn tell(
+    pub fn log(
         &self,
         id: &str,
         now: Instant,
     ) {
         for (at, step) in &self.steps {
-            tell_step(id, now.saturating_duration_since(*at), step);
+            log_step(id, now.saturating_duration_since(*at), step);
         }
     }
 }
 
-fn tell_step(
+fn log_step(
     id: &str,
     ago: Duration,
     step: &TraceStep,
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -97,7 +97,7 @@
                     self.dispatcher.on_complete(&self.request);
                     return source.finish();
                 }
-                RelayEnd::CallerGone => return self.tell(Event::RequestCallerGone, end, &source),
+                RelayEnd::CallerGone => return self.log(Event::RequestCallerGone, end, &source),
                 RelayEnd::Broken | RelayEnd::Silent if self.request.route.resumable => {
                     let target = source.target().to_string();
                     // Closes the connection, so that the broken target cancels the request.
@@ -106,7 +106,7 @@
                         Some(answer) => {
                             first = answer.first;
                             source = answer.source;
-                            self.tell(Event::RequestResumed, end, &source);
+                            self.log(Event::RequestResumed, end, &source);
                         }
                         None => return self.cut(end, &target).await,
                     }
@@ -192,7 +192,7 @@
         }
     }
 
-    fn tell(
+    fn log(
         &self,
         event: Event,
         end: RelayEnd,
@@ -216,7 +216,7 @@
     ) {
         self.attempts
             .trace
-            .tell(self.request.id_text(), Instant::now());
+            .log(self.request.id_text(), Instant::now());
         note!(
             Event::RequestCut,
             id = self.request.id_text(),
