--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -87,7 +87,7 @@
         if self.is_refused(&request) {
             let cause = OwnCause::EndsTargets;
             let status = cause.status().as_u16();
-            tell(&request, &Attempts::default(), status, Some(cause));
+            log_served(&request, &Attempts::default(), status, Some(cause));
             return self.refuse_poison(&request);
         }
         let charged = match charge(&self.board, &request).await {
@@ -95,22 +95,22 @@
             Err(answer) => return self.refuse_uncharged(&request, answer),
         };
         self.note_demand(&request);
-        let mut unserved = Unserved::new(&request, charged);
-        let tried = self.try_targets(&request, &mut unserved.attempts, None);
+        let mut pending = PendingRequest::new(&request, charged);
+        let tried = self.try_targets(&request, &mut pending.attempts, None);
         let outcome = timeout_at(request.ends, tried).await;
-        let (mut attempts, charged) = unserved.disarm();
+        let (mut attempts, charged) = pending.disarm();
         let response = match outcome {
             Ok(Outcome::Final(response)) => response,
             Err(_) => self.time_over(&request, &mut attempts),
             Ok(Outcome::Open(answer)) => {
-                tell(&request, &attempts, answer.status.as_u16(), None);
+                log_served(&request, &attempts, answer.status.as_u16(), None);
                 settle(charged, true);
                 return StreamRelay::start(self.clone(), *answer, request, attempts);
             }
         };
         let cause = response.extensions().get::<OwnCause>().copied();
         settle(charged, cause.is_none_or(OwnCause::may_have_run));
-        tell(&request, &attempts, response.status().as_u16(), cause);
+        log_served(&request, &attempts, response.status().as_u16(), cause);
         response
     }
 
@@ -129,7 +129,7 @@
             link.health.on_failure(now);
         }
         if self
-            .after(request, attempts, &destination, AttemptEnd::Lost)
+            .handle_failed_send(request, attempts, &destination, AttemptEnd::Lost)
             .await
             .is_some()
         {
@@ -182,7 +182,7 @@
     }
 
     /// Returns the verdict on a request that targets have crashed under, or `None` if there were no such crashes.
-    fn standing(
+    fn verdict(
         &self,
         request: &CallRequest,
     ) -> Option<Standing> {
@@ -198,7 +198,7 @@
         &self,
         request: &CallRequest,
     ) -> bool {
-        self.standing(request) == Some(Standing::Refused)
+        self.verdict(request) == Some(Standing::Refused)
     }
 
     /// Returns true if targets have crashed under the request: only its caller may send it again.
@@ -206,7 +206,7 @@
         &self,
         request: &CallRequest,
     ) -> bool {
-        self.standing(request).is_some()
+        self.verdict(request).is_some()
     }
 
     /// Returns true if targets have crashed under the request, or one may just have: it is sent only to targets that answer
@@ -246,12 +246,17 @@
     ) -> Outcome {
         loop {
             if !self.wait_until_fresh(request).await {
-                return self.unserved(request, attempts, OwnCause::Unconfirmed, STALE_RETRY_AFTER);
+                return self.answer_unserved(
+                    request,
+                    attempts,
+                    OwnCause::Unconfirmed,
+                    STALE_RETRY_AFTER,
+                );
             }
             if resume_after.is_none()
                 && let Some(cause) = self.lost_key(request)
             {
-                return self.unserved(request, attempts, cause, STALE_RETRY_AFTER);
+                return self.answer_unserved(request, attempts, cause, STALE_RETRY_AFTER);
             }
             let (choice, mut slot) = self.choose(request, attempts).await;
             let mut destination = match choice {
@@ -288,7 +293,7 @@
                 false => None,
             };
             if repeats && paid.is_none() {
-                return self.unserved(request, attempts, OwnCause::TurnedAway, COME_BACK);
+                return self.answer_unserved(request, attempts, OwnCause::TurnedAway, COME_BACK);
             }
             let verified = self.is_suspected(request);
             if verified && !answers_now(&self.board, names, request, &destination.target).await {
@@ -339,7 +344,10 @@
                 SendOutcome::Ended(end) => end,
             };
             attempts.record_end(&destination, end, Instant::now());
-            if let Some(response) = self.after(request, attempts, &destination, end).await {
+            if let Some(response) = self
+                .handle_failed_send(request, attempts, &destination, end)
+                .await
+            {
                 return Outcome::Final(response);
             }
         }
@@ -435,7 +443,7 @@
     }
 
     /// Decides what follows a failed send; returns the final answer, or `None` if the request is to be sent again.
-    async fn after(
+    async fn handle_failed_send(
         &self,
         request: &CallRequest,
         attempts: &mut Attempts,
@@ -587,11 +595,11 @@
         request: &CallRequest,
         attempts: &mut Attempts,
     ) -> Outcome {
-        self.unserved(request, attempts, unplaced_cause(request), COME_BACK)
+        self.answer_unserved(request, attempts, unplaced_cause(request), COME_BACK)
     }
 
     /// Returns the final answer to a request that is not sent, or not again.
-    fn unserved(
+    fn answer_unserved(
         &self,
         request: &CallRequest,
         attempts: &mut Attempts,
@@ -643,7 +651,7 @@
 }
 
 /// Logs that the caller has gone, if dropped before the final answer.
-struct Unserved {
+struct PendingRequest {
     id: String,
     arrived: Instant,
     served: bool,
@@ -651,7 +659,7 @@
     charged: Option<QuotaCharge>,
 }
 
-impl Unserved {
+impl PendingRequest {
     fn new(
         request: &CallRequest,
         charged: Option<QuotaCharge>,
@@ -671,13 +679,13 @@
     }
 }
 
-impl Drop for Unserved {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if !self.served {
             let history = &self.attempts.history;
             let may_have_run = history.arrivals > 0 || history.runs > 0;
             settle(self.charged.take(), may_have_run);
-            self.attempts.trace.tell(&self.id, Instant::now());
+            self.attempts.trace.log(&self.id, Instant::now());
             note!(
                 Event::RequestCallerGone,
                 id = self.id,
@@ -717,7 +725,7 @@
 }
 
 /// Logs a served request: one line, preceded by its trace if it failed or was late.
-fn tell(
+fn log_served(
     request: &CallRequest,
     attempts: &Attempts,
     status: u16,
@@ -728,7 +736,7 @@
     let passed = now.saturating_duration_since(request.arrived);
     let late = passed > request.route.aim;
     if status >= 400 || late {
-        attempts.trace.tell(id, now);
+        attempts.trace.log(id, now);
     }
     count(request, attempts, status, cause, passed);
     let adapter = request.generation.as_ref().and_then(|g| g.adapter());
@@ -743,7 +751,7 @@
         adapter = adapter.unwrap_or("-"),
         version = sent.map_or(0, |sent| sent.version),
         newest = sent.map_or(0, |sent| sent.newest),
-        waited_ms = millis(attempts.trace.before_last_send(request.arrived)),
+        waited_ms = millis(attempts.trace.time_to_last_send(request.arrived)),
         expected_ms = sent.map_or(-1.0, |sent| millis(sent.wait)),
         first_ms = millis(passed),
         aim_ms = millis(request.route.aim),
@@ -775,7 +783,7 @@
         let histogram = metrics.first_event.get_or_create(&labels);
         histogram.observe(passed.as_secs_f64());
     }
-    if let Some(waited) = attempts.trace.waited(request.arrived) {
+    if let Some(waited) = attempts.trace.time_waited(request.arrived) {
         let labels = WaitLabels { cause: "adapter" };
         let histogram = metrics.waits.get_or_create(&labels);
         histogram.observe(waited.as_secs_f64());
