--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -33,23 +33,23 @@
 };
 
 /// Default retry delay for callers that were rejected.
-const COME_BACK: Duration = Duration::from_millis(400);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// Backoff before a request is sent again to an engine that is still loading its adapter.
-const LOAD_PAUSE: Duration = Duration::from_millis(25);
+const LOAD_BACKOFF: Duration = Duration::from_millis(25);
 
 /// Timeout of a repeat that waits for repeat budget borrowed from other hosts.
-const LOAN_WAIT: Duration = Duration::from_millis(150);
+const BORROW_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Interval at which a waiting repeat checks whether budget was borrowed.
-const LOAN_LOOK: Duration = Duration::from_millis(10);
+const BORROW_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A stream that breaks off within this time of its first event is suspected of having crashed its target; later on, any
 /// other request at the target is as likely the cause.
-const JUST_BEGUN: Duration = Duration::from_secs(1);
+const STREAM_START_WINDOW: Duration = Duration::from_secs(1);
 
 /// A connection that is lost sooner than this was closed before the target started the request.
-const LEAST_RUN: Duration = Duration::from_millis(3);
+const MIN_RUN_TIME: Duration = Duration::from_millis(3);
 
 /// Result of all sends of a request.
 enum Outcome {
@@ -293,7 +293,12 @@
                 false => None,
             };
             if repeats && paid.is_none() {
-                return self.answer_unserved(request, attempts, OwnCause::TurnedAway, COME_BACK);
+                return self.answer_unserved(
+                    request,
+                    attempts,
+                    OwnCause::TurnedAway,
+                    DEFAULT_RETRY_AFTER,
+                );
             }
             let verified = self.is_suspected(request);
             if verified && !answers_now(&self.board, names, request, &destination.target).await {
@@ -337,7 +342,7 @@
                 }
                 SendOutcome::Withheld => continue,
                 SendOutcome::Ended(AttemptEnd::Lost) => {
-                    let begun = verified || sent_at.elapsed() >= LEAST_RUN;
+                    let begun = verified || sent_at.elapsed() >= MIN_RUN_TIME;
                     accuse(&self.board, names, request, run, begun);
                     AttemptEnd::Lost
                 }
@@ -390,7 +395,7 @@
         first_event: Instant,
     ) {
         let now = Instant::now();
-        match now.saturating_duration_since(first_event) < JUST_BEGUN {
+        match now.saturating_duration_since(first_event) < STREAM_START_WINDOW {
             true => accuse(&self.board, self.formats.headers(), request, run, true),
             false => self.board.borrow_mut().crashes.on_loss(&run.0, now),
         }
@@ -467,14 +472,14 @@
                 let labels = WaitLabels { cause: end.word() };
                 metrics().resends.get_or_create(&labels).inc();
                 if self.is_coming(request, destination, end) {
-                    tokio::time::sleep(LOAD_PAUSE).await;
+                    tokio::time::sleep(LOAD_BACKOFF).await;
                 } else {
                     attempts.tried.push(destination.target.to_string());
                 }
                 None
             }
             NextStep::Refuse => {
-                let answer = OwnAnswer::after(OwnCause::TurnedAway, COME_BACK);
+                let answer = OwnAnswer::after(OwnCause::TurnedAway, DEFAULT_RETRY_AFTER);
                 Some(self.answer(request, answer))
             }
             NextStep::PassOn => attempts.failure.take().map(pass_on),
@@ -492,7 +497,7 @@
     ) -> bool {
         let service = &request.service.name;
         let begun = Instant::now();
-        let until = request.ends.min(begun + LOAN_WAIT);
+        let until = request.ends.min(begun + BORROW_TIMEOUT);
         loop {
             let now = Instant::now();
             {
@@ -508,7 +513,7 @@
                     return false;
                 }
             }
-            tokio::time::sleep(LOAN_LOOK).await;
+            tokio::time::sleep(BORROW_POLL_INTERVAL).await;
         }
     }
 
@@ -595,7 +600,12 @@
         request: &CallRequest,
         attempts: &mut Attempts,
     ) -> Outcome {
-        self.answer_unserved(request, attempts, unplaced_cause(request), COME_BACK)
+        self.answer_unserved(
+            request,
+            attempts,
+            unplaced_cause(request),
+            DEFAULT_RETRY_AFTER,
+        )
     }
 
     /// Returns the final answer to a request that is not sent, or not again.
