--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -84,32 +84,32 @@
         self: &Rc<Self>,
         request: CallRequest,
     ) -> Response<AnswerBody> {
-        if self.is_refused(&request) {
+        if self.is_poison(&request) {
             let cause = OwnCause::EndsTargets;
             let status = cause.status().as_u16();
             log_served(&request, &Attempts::default(), status, Some(cause));
-            return self.refuse_poison(&request);
+            return self.reject_poison(&request);
         }
         let charged = match charge(&self.board, &request).await {
             Ok(charged) => charged,
-            Err(answer) => return self.refuse_uncharged(&request, answer),
+            Err(answer) => return self.reject_uncharged(&request, answer),
         };
-        self.note_demand(&request);
+        self.record_demand(&request);
         let mut pending = PendingRequest::new(&request, charged);
         let tried = self.try_targets(&request, &mut pending.attempts, None);
         let outcome = timeout_at(request.ends, tried).await;
         let (mut attempts, charged) = pending.disarm();
         let response = match outcome {
             Ok(Outcome::Final(response)) => response,
-            Err(_) => self.time_over(&request, &mut attempts),
+            Err(_) => self.answer_timeout(&request, &mut attempts),
             Ok(Outcome::Open(answer)) => {
                 log_served(&request, &attempts, answer.status.as_u16(), None);
-                settle(charged, true);
+                settle_charge(charged, true);
                 return StreamRelay::start(self.clone(), *answer, request, attempts);
             }
         };
         let cause = response.extensions().get::<OwnCause>().copied();
-        settle(charged, cause.is_none_or(OwnCause::may_have_run));
+        settle_charge(charged, cause.is_none_or(OwnCause::may_have_run));
         log_served(&request, &attempts, response.status().as_u16(), cause);
         response
     }
@@ -142,7 +142,7 @@
     }
 
     /// Rejects a request that is known to crash targets, with an error that callers do not retry.
-    fn refuse_poison(
+    fn reject_poison(
         &self,
         request: &CallRequest,
     ) -> Response<AnswerBody> {
@@ -156,7 +156,7 @@
     }
 
     /// Rejects a request that could not be charged to its customer's quota.
-    fn refuse_uncharged(
+    fn reject_uncharged(
         &self,
         request: &CallRequest,
         answer: OwnAnswer,
@@ -189,12 +189,12 @@
         let board = self.board.borrow();
         match board.crashes.is_quiet() {
             true => None,
-            false => board.crashes.standing(&request.fingerprint()),
+            false => board.crashes.key_standing(&request.fingerprint()),
         }
     }
 
     /// Returns true if the request is known to crash targets.
-    fn is_refused(
+    fn is_poison(
         &self,
         request: &CallRequest,
     ) -> bool {
@@ -202,7 +202,7 @@
     }
 
     /// Returns true if targets have crashed under the request: only its caller may send it again.
-    fn has_ended_targets(
+    fn has_crashed_targets(
         &self,
         request: &CallRequest,
     ) -> bool {
@@ -219,7 +219,7 @@
         !board.crashes.is_quiet() && board.crashes.is_suspected(&request.fingerprint())
     }
 
-    fn note_demand(
+    fn record_demand(
         &self,
         request: &CallRequest,
     ) {
@@ -254,7 +254,7 @@
                 );
             }
             if resume_after.is_none()
-                && let Some(cause) = self.lost_key(request)
+                && let Some(cause) = self.key_error(request)
             {
                 return self.answer_unserved(request, attempts, cause, STALE_RETRY_AFTER);
             }
@@ -269,13 +269,15 @@
                     continue;
                 }
                 Choice::AwaitReports { until } => {
-                    self.wait_for_standings(until).await;
+                    self.wait_for_engine_reports(until).await;
                     continue;
                 }
                 Choice::Reject(retry_after) if attempts.history.runs == 0 => {
-                    return self.refuse(request, unplaced_cause(request), retry_after);
+                    return self.reject(request, unplaced_cause(request), retry_after);
+                }
+                Choice::Reject(_) | Choice::NoTarget => {
+                    return self.reject_unplaced(request, attempts);
                 }
-                Choice::Reject(_) | Choice::NoTarget => return self.nowhere(request, attempts),
             };
             if !acquire_permit(&self.board, &destination.target).await {
                 let target = destination.target.clone();
@@ -288,11 +290,11 @@
             let streams = request.route.kind == RouteKind::Stream;
             // Charged right before the send: the request may have waited seconds for its adapter.
             let repeats = attempts.history.arrivals > 0;
-            let paid = match repeats {
-                true => self.pay_for_repeat(request),
+            let repeat_charge = match repeats {
+                true => self.charge_repeat(request),
                 false => None,
             };
-            if repeats && paid.is_none() {
+            if repeats && repeat_charge.is_none() {
                 return self.answer_unserved(
                     request,
                     attempts,
@@ -307,27 +309,29 @@
                 continue;
             }
             // The request may have become known as poison while it waited seconds for its adapter.
-            if self.is_refused(request) {
-                return Outcome::Final(self.refuse_poison(request));
+            if self.is_poison(request) {
+                return Outcome::Final(self.reject_poison(request));
             }
-            let run = self.run_at(&destination.target);
+            let incarnation = self.incarnation_of(&destination.target);
             let sent_at = Instant::now();
             // A send counts as run until its end is known.
             attempts.history.runs += 1;
             let sent = send(&self.board, names, request, &destination, streams).await;
             attempts.history.runs -= 1;
             if let Some(slot) = &mut slot {
-                slot.end = place_end(&sent, sent_at.elapsed());
+                slot.end = slot_end(&sent, sent_at.elapsed());
             }
             drop(slot);
-            if let Some(paid) = paid.filter(|_| sent.never_arrived()) {
+            if let Some(repeat_charge) = repeat_charge.filter(|_| sent.never_arrived()) {
                 let mut board = self.board.borrow_mut();
-                board.budget(&request.service.name).give_back(&paid);
+                board
+                    .budget(&request.service.name)
+                    .give_back(&repeat_charge);
             }
             let end = match sent {
                 SendOutcome::Complete(answer) => {
                     acquit(&self.board, request);
-                    return Outcome::Final(pass_on(answer));
+                    return Outcome::Final(relay(answer));
                 }
                 SendOutcome::Open(answer) => return Outcome::Open(answer),
                 SendOutcome::Failed(answer) => {
@@ -342,8 +346,8 @@
                 }
                 SendOutcome::Withheld => continue,
                 SendOutcome::Ended(AttemptEnd::Lost) => {
-                    let begun = verified || sent_at.elapsed() >= MIN_RUN_TIME;
-                    accuse(&self.board, names, request, run, begun);
+                    let started = verified || sent_at.elapsed() >= MIN_RUN_TIME;
+                    accuse(&self.board, names, request, incarnation, started);
                     AttemptEnd::Lost
                 }
                 SendOutcome::Ended(end) => end,
@@ -367,9 +371,9 @@
         if request.generation.is_some() {
             return (self.chooser.choose(request, attempts, Instant::now()), None);
         }
-        let found = acquire_slot(&self.board, request, &attempts.tried).await;
+        let outcome = acquire_slot(&self.board, request, &attempts.tried).await;
         let now = Instant::now();
-        match found {
+        match outcome {
             SlotOutcome::Acquired(slot) => {
                 let choice = self.chooser.choose_slot(attempts, &slot.target, now);
                 (choice, Some(slot))
@@ -380,7 +384,7 @@
     }
 
     /// Returns the current incarnation of a target.
-    fn run_at(
+    fn incarnation_of(
         &self,
         target: &Arc<str>,
     ) -> TargetRun {
@@ -391,13 +395,19 @@
     pub fn on_broken(
         &self,
         request: &CallRequest,
-        run: TargetRun,
+        incarnation: TargetRun,
         first_event: Instant,
     ) {
         let now = Instant::now();
         match now.saturating_duration_since(first_event) < STREAM_START_WINDOW {
-            true => accuse(&self.board, self.formats.headers(), request, run, true),
-            false => self.board.borrow_mut().crashes.on_loss(&run.0, now),
+            true => accuse(
+                &self.board,
+                self.formats.headers(),
+                request,
+                incarnation,
+                true,
+            ),
+            false => self.board.borrow_mut().crashes.on_loss(&incarnation.0, now),
         }
     }
 
@@ -434,13 +444,13 @@
 
     /// Returns why a request must not be sent with its key any more: the key may have been revoked while the request waited
     /// seconds for its adapter.
-    fn lost_key(
+    fn key_error(
         &self,
         request: &CallRequest,
     ) -> Option<OwnCause> {
         let credential = request.credential.as_ref()?;
-        let standing = self.board.borrow().key_standing(credential, Instant::now());
-        match standing {
+        let key_standing = self.board.borrow().key_standing(credential, Instant::now());
+        match key_standing {
             KeyStanding::Valid => None,
             KeyStanding::Gone => Some(OwnCause::UnknownKey),
             KeyStanding::Moved | KeyStanding::Unconfirmed => Some(OwnCause::Unconfirmed),
@@ -458,11 +468,11 @@
         let now = Instant::now();
         let service = &request.service.name;
         let mut step = next_step(&request.route, &attempts.history, end, true);
-        if end == AttemptEnd::Lost && self.has_ended_targets(request) {
+        if end == AttemptEnd::Lost && self.has_crashed_targets(request) {
             step = next_step(&request.route, &attempts.history, end, false);
         }
         let repeats = step == NextStep::Resend { repeats: true };
-        if repeats && !self.wait_for_allowance(request).await {
+        if repeats && !self.wait_for_budget(request).await {
             self.board.borrow_mut().budget(service).on_refused(now);
             step = next_step(&request.route, &attempts.history, end, false);
         }
@@ -471,7 +481,7 @@
                 attempts.trace.add(TraceStep::Resent { repeats }, now);
                 let labels = WaitLabels { cause: end.word() };
                 metrics().resends.get_or_create(&labels).inc();
-                if self.is_coming(request, destination, end) {
+                if self.is_loading(request, destination, end) {
                     tokio::time::sleep(LOAD_BACKOFF).await;
                 } else {
                     attempts.tried.push(destination.target.to_string());
@@ -482,22 +492,22 @@
                 let answer = OwnAnswer::after(OwnCause::TurnedAway, DEFAULT_RETRY_AFTER);
                 Some(self.answer(request, answer))
             }
-            NextStep::PassOn => attempts.failure.take().map(pass_on),
+            NextStep::PassOn => attempts.failure.take().map(relay),
             NextStep::Fail => Some(match attempts.failure.take() {
-                Some(failure) => pass_on(failure),
+                Some(failure) => relay(failure),
                 None => self.answer(request, OwnAnswer::new(OwnCause::AnswerLost)),
             }),
         }
     }
 
     /// Returns true if the budget allows a repeat, after waiting for budget borrowed from other hosts if needed.
-    async fn wait_for_allowance(
+    async fn wait_for_budget(
         &self,
         request: &CallRequest,
     ) -> bool {
         let service = &request.service.name;
-        let begun = Instant::now();
-        let until = request.ends.min(begun + BORROW_TIMEOUT);
+        let started = Instant::now();
+        let until = request.ends.min(started + BORROW_TIMEOUT);
         loop {
             let now = Instant::now();
             {
@@ -505,7 +515,7 @@
                 if board.budget(service).allows(now) {
                     return true;
                 }
-                if now == begun {
+                if now == started {
                     board.budget(service).on_wanted(now);
                 }
                 board.ask_for_loans(service, now);
@@ -517,22 +527,22 @@
         }
     }
 
-    fn pay_for_repeat(
+    fn charge_repeat(
         &self,
         request: &CallRequest,
     ) -> Option<Paid> {
         let now = Instant::now();
         let mut board = self.board.borrow_mut();
         let budget = board.budget(&request.service.name);
-        let paid = budget.pay(now);
-        if paid.is_none() {
+        let repeat_charge = budget.pay(now);
+        if repeat_charge.is_none() {
             budget.on_refused(now);
         }
-        paid
+        repeat_charge
     }
 
     /// Returns true if the engine rejected the request because it was still loading the adapter.
-    fn is_coming(
+    fn is_loading(
         &self,
         request: &CallRequest,
         destination: &Destination,
@@ -560,20 +570,20 @@
         };
         let mut board = self.board.borrow_mut();
         let copy = board.adapters.get(adapter, &destination.target);
-        let coming = copy.is_some_and(|copy| matches!(copy.state, CopyState::Coming { .. }));
-        if !coming {
+        let loading = copy.is_some_and(|copy| matches!(copy.state, CopyState::Coming { .. }));
+        if !loading {
             board.on_missing(adapter, &destination.target);
         }
     }
 
     /// Waits until a holder has reported the status of its engine, or until a time.
-    async fn wait_for_standings(
+    async fn wait_for_engine_reports(
         &self,
         until: Instant,
     ) {
-        let news = self.board.borrow().standing_news();
+        let update = self.board.borrow().standing_news();
         tokio::select! {
-            _ = news.notified() => {}
+            _ = update.notified() => {}
             _ = sleep_until(until) => {}
         }
     }
@@ -590,12 +600,12 @@
         };
         let waiter = Waiter::start(&self.board, adapter, request.urgency);
         tokio::select! {
-            _ = waiter.news() => {}
+            _ = waiter.update() => {}
             _ = sleep_until(until) => {}
         }
     }
 
-    fn nowhere(
+    fn reject_unplaced(
         &self,
         request: &CallRequest,
         attempts: &mut Attempts,
@@ -617,22 +627,22 @@
         retry_after: Duration,
     ) -> Outcome {
         if let Some(failure) = attempts.failure.take() {
-            return Outcome::Final(pass_on(failure));
+            return Outcome::Final(relay(failure));
         }
         if attempts.history.runs > 0 {
             let answer = OwnAnswer::new(OwnCause::AnswerLost);
             return Outcome::Final(self.answer(request, answer));
         }
-        self.refuse(request, cause, retry_after)
+        self.reject(request, cause, retry_after)
     }
 
-    fn time_over(
+    fn answer_timeout(
         &self,
         request: &CallRequest,
         attempts: &mut Attempts,
     ) -> Response<AnswerBody> {
         if let Some(failure) = attempts.failure.take() {
-            return pass_on(failure);
+            return relay(failure);
         }
         let cause = match attempts.history.runs {
             0 => OwnCause::TimeOverUnsent,
@@ -641,7 +651,7 @@
         self.answer(request, OwnAnswer::new(cause))
     }
 
-    fn refuse(
+    fn reject(
         &self,
         request: &CallRequest,
         cause: OwnCause,
@@ -694,7 +704,7 @@
         if !self.served {
             let history = &self.attempts.history;
             let may_have_run = history.arrivals > 0 || history.runs > 0;
-            settle(self.charged.take(), may_have_run);
+            settle_charge(self.charged.take(), may_have_run);
             self.attempts.trace.log(&self.id, Instant::now());
             note!(
                 Event::RequestCallerGone,
@@ -713,7 +723,7 @@
 }
 
 /// Returns what a send shows of the load of its target.
-fn place_end(
+fn slot_end(
     sent: &SendOutcome,
     took: Duration,
 ) -> PlaceEnd {
@@ -725,7 +735,7 @@
 }
 
 /// Makes the charge for a request final if the request may have run, and refunds it otherwise.
-fn settle(
+fn settle_charge(
     charged: Option<QuotaCharge>,
     may_have_run: bool,
 ) {
@@ -743,12 +753,12 @@
 ) {
     let now = Instant::now();
     let id = request.id_text();
-    let passed = now.saturating_duration_since(request.arrived);
-    let late = passed > request.route.aim;
+    let elapsed = now.saturating_duration_since(request.arrived);
+    let late = elapsed > request.route.aim;
     if status >= 400 || late {
         attempts.trace.log(id, now);
     }
-    count(request, attempts, status, cause, passed);
+    record_metrics(request, attempts, status, cause, elapsed);
     let adapter = request.generation.as_ref().and_then(|g| g.adapter());
     let sent = attempts.trace.last_version();
     note!(
@@ -763,23 +773,23 @@
         newest = sent.map_or(0, |sent| sent.newest),
         waited_ms = millis(attempts.trace.time_to_last_send(request.arrived)),
         expected_ms = sent.map_or(-1.0, |sent| millis(sent.wait)),
-        first_ms = millis(passed),
+        first_ms = millis(elapsed),
         aim_ms = millis(request.route.aim),
         arrivals = attempts.history.arrivals,
         late = late,
     );
 }
 
-fn count(
+fn record_metrics(
     request: &CallRequest,
     attempts: &Attempts,
     status: u16,
     cause: Option<OwnCause>,
-    passed: Duration,
+    elapsed: Duration,
 ) {
     let kind = request.route.kind.word();
     let outcome = match (status, cause) {
-        (0..400, _) if passed > request.route.aim => "late",
+        (0..400, _) if elapsed > request.route.aim => "late",
         (0..400, _) => "answered",
         (_, None) => "failed_there",
         (503, Some(_)) => "refused",
@@ -791,7 +801,7 @@
     if status < 400 {
         let labels = KindLabels { kind };
         let histogram = metrics.first_event.get_or_create(&labels);
-        histogram.observe(passed.as_secs_f64());
+        histogram.observe(elapsed.as_secs_f64());
     }
     if let Some(waited) = attempts.trace.time_waited(request.arrived) {
         let labels = WaitLabels { cause: "adapter" };
@@ -800,7 +810,7 @@
     }
 }
 
-fn pass_on(answer: CompleteAnswer) -> Response<AnswerBody> {
+fn relay(answer: CompleteAnswer) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::complete(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
