--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -189,7 +189,7 @@
         let board = self.board.borrow();
         match board.crashes.is_quiet() {
             true => None,
-            false => board.crashes.key_standing(&request.fingerprint()),
+            false => board.crashes.standing(&request.fingerprint()),
         }
     }
 
@@ -600,7 +600,7 @@
         };
         let waiter = Waiter::start(&self.board, adapter, request.urgency);
         tokio::select! {
-            _ = waiter.update() => {}
+            _ = waiter.updated() => {}
             _ = sleep_until(until) => {}
         }
     }
--- a/src/connection/front/waiter.rs
+++ b/src/connection/front/waiter.rs
@@ -8,7 +8,7 @@
 pub struct Waiter {
     board: Rc<RefCell<TargetBoard>>,
     adapter: String,
-    news: Rc<Notify>,
+    update: Rc<Notify>,
 }
 
 impl Waiter {
@@ -18,15 +18,15 @@
         priority: u8,
     ) -> Self {
         Self {
-            news: board.borrow_mut().start_waiting(adapter, priority),
+            update: board.borrow_mut().start_waiting(adapter, priority),
             board: board.clone(),
             adapter: adapter.to_string(),
         }
     }
 
     /// Waits for an update on the adapter.
-    pub async fn news(&self) {
-        self.news.notified().await;
+    pub async fn updated(&self) {
+        self.update.notified().await;
     }
 }
 
