--- a/src/connection/front/waiter.rs
+++ b/src/connection/front/adapter_waiter.rs
@@ -5,13 +5,13 @@
 };
 
 /// Counts a request as waiting for an adapter until dropped.
-pub struct Waiter {
+pub struct AdapterWaiter {
     board: Rc<RefCell<TargetBoard>>,
     adapter: String,
     update: Rc<Notify>,
 }
 
-impl Waiter {
+impl AdapterWaiter {
     pub fn start(
         board: &Rc<RefCell<TargetBoard>>,
         adapter: &str,
@@ -30,7 +30,7 @@
     }
 }
 
-impl Drop for Waiter {
+impl Drop for AdapterWaiter {
     fn drop(&mut self) {
         self.board.borrow_mut().stop_waiting(&self.adapter);
     }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -1,6 +1,7 @@
 use {
     super::{
         AnswerBody, OwnAnswer, OwnCause,
+        adapter_waiter::AdapterWaiter,
         admission::{
             FreshnessCheck, HeldSlot, QuotaCharge, STALE_RETRY_AFTER, SlotOutcome, acquire_permit,
             acquire_slot, charge, wait_until_fresh,
@@ -11,7 +12,6 @@
         exchange::{CompleteAnswer, Destination, OpenAnswer, SendOutcome, send},
         request_trace::{TraceStep, millis},
         stream_relay::StreamRelay,
-        waiter::Waiter,
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
@@ -598,7 +598,7 @@
             sleep_until(until).await;
             return;
         };
-        let waiter = Waiter::start(&self.board, adapter, request.urgency);
+        let waiter = AdapterWaiter::start(&self.board, adapter, request.urgency);
         tokio::select! {
             _ = waiter.updated() => {}
             _ = sleep_until(until) => {}
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -1,6 +1,7 @@
 //! The front end: accepts callers' connections, reads their requests, sends these to targets and relays the answers.
 
 mod adapter_availability;
+mod adapter_waiter;
 mod admission;
 mod answer_body;
 mod attempts;
@@ -17,7 +18,6 @@
 mod request_reader;
 mod request_trace;
 mod stream_relay;
-mod waiter;
 mod waits;
 
 pub use {
