--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -34,16 +34,16 @@
 };
 
 /// Backoff after a failed accept, such as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Retry delay for callers while this host stops; they should use another one.
-const STOP_COME_BACK: Duration = Duration::from_millis(20);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Retry delay for callers while no configuration is known.
-const NOT_READY_COME_BACK: Duration = Duration::from_millis(300);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Metric label of callers' connections.
-const CALLERS: StateLabels = StateLabels { state: "callers" };
+const CALLER_CONNECTIONS: StateLabels = StateLabels { state: "callers" };
 
 /// Stage of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -93,7 +93,7 @@
                 Ok((stream, _)) => {
                     spawn_local(self.clone().serve_connection(stream));
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
             }
         }
     }
@@ -128,15 +128,18 @@
     ) -> Result<Response<AnswerBody>, io::Error> {
         let arrived = Instant::now();
         let id = self.reader.id(request.headers());
-        let own = |answer: OwnAnswer| {
+        let error_response = |answer: OwnAnswer| {
             answer.into_response(&self.formats.headers().request_id, id.as_ref())
         };
         if *self.stop.borrow() >= FrontStop::Refusing {
-            return Ok(own(OwnAnswer::after(OwnCause::Stopping, STOP_COME_BACK)));
+            return Ok(error_response(OwnAnswer::after(
+                OwnCause::Stopping,
+                STOPPING_RETRY_AFTER,
+            )));
         }
         let id_text = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
         if !wait_until_fresh(&self.board, FreshnessCheck::Declared, id_text).await {
-            return Ok(own(OwnAnswer::after(
+            return Ok(error_response(OwnAnswer::after(
                 OwnCause::Unconfirmed,
                 STALE_RETRY_AFTER,
             )));
@@ -146,11 +149,10 @@
         let draw = rand::rng().random::<f64>();
         match self.reader.read(request, &routing, arrived, draw).await {
             Ok(request) => Ok(self.dispatcher.serve(request).await),
-            Err(RequestProblem::Answer(OwnCause::NotReady)) => Ok(own(OwnAnswer::after(
-                OwnCause::NotReady,
-                NOT_READY_COME_BACK,
-            ))),
-            Err(RequestProblem::Answer(cause)) => Ok(own(self.reject(cause, id_text))),
+            Err(RequestProblem::Answer(OwnCause::NotReady)) => Ok(error_response(
+                OwnAnswer::after(OwnCause::NotReady, NOT_READY_RETRY_AFTER),
+            )),
+            Err(RequestProblem::Answer(cause)) => Ok(error_response(self.reject(cause, id_text))),
             Err(RequestProblem::Gone) => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
@@ -194,7 +196,10 @@
 impl OpenConnection {
     fn start(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
-        metrics().connections.get_or_create(&CALLERS).inc();
+        metrics()
+            .connections
+            .get_or_create(&CALLER_CONNECTIONS)
+            .inc();
         Self {
             count: count.clone(),
         }
@@ -204,6 +209,9 @@
 impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::Relaxed);
-        metrics().connections.get_or_create(&CALLERS).dec();
+        metrics()
+            .connections
+            .get_or_create(&CALLER_CONNECTIONS)
+            .dec();
     }
 }
