--- a/src/connection/front/admission/key_check.rs
+++ b/src/connection/front/admission/key_check.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        connection::front::OwnCause,
+        connection::front::ErrorCause,
         request::direct::Credential,
         version::routing::{Customers, KeyDigest, Route},
     },
@@ -19,17 +19,17 @@
     headers: &HeaderMap,
     route: &Route,
     customers: &Customers,
-) -> Result<Option<Credential>, OwnCause> {
+) -> Result<Option<Credential>, ErrorCause> {
     if route.public || customers.is_empty() {
         return Ok(None);
     }
     let mut shown = headers.get_all(header::AUTHORIZATION).iter();
     let (Some(value), None) = (shown.next(), shown.next()) else {
-        return Err(OwnCause::UnknownKey);
+        return Err(ErrorCause::UnknownKey);
     };
-    let key = key_of(value.as_bytes()).ok_or(OwnCause::UnknownKey)?;
+    let key = key_of(value.as_bytes()).ok_or(ErrorCause::UnknownKey)?;
     let key = KeyDigest::of(key);
-    let customer = customers.of_key(&key).ok_or(OwnCause::UnknownKey)?;
+    let customer = customers.of_key(&key).ok_or(ErrorCause::UnknownKey)?;
     Ok(Some(Credential {
         customer: customer.clone(),
         key,
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -5,7 +5,7 @@
         clock::{Instant, sleep_until, timeout_at},
         connection::{
             datagram::{ChargeAnswer, ChargeAsk, ChargeRefund},
-            front::{OwnAnswer, OwnCause},
+            front::{ErrorCause, LocalAnswer},
             targets::{TargetBoard, count_ask},
         },
         request::{
@@ -59,7 +59,7 @@
 pub async fn charge(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
-) -> Result<Option<QuotaCharge>, OwnAnswer> {
+) -> Result<Option<QuotaCharge>, LocalAnswer> {
     let Some(credential) = &request.credential else {
         return Ok(None);
     };
@@ -102,12 +102,12 @@
 }
 
 impl ChargeError {
-    fn answer(self) -> OwnAnswer {
+    fn answer(self) -> LocalAnswer {
         match self {
             Self::Over { come_back } => {
-                OwnAnswer::after(OwnCause::OverLimit, come_back.max(MIN_RETRY_AFTER))
+                LocalAnswer::after(ErrorCause::OverLimit, come_back.max(MIN_RETRY_AFTER))
             }
-            Self::Uncounted => OwnAnswer::after(OwnCause::Uncounted, UNCOUNTED_RETRY_AFTER),
+            Self::Uncounted => LocalAnswer::after(ErrorCause::Uncounted, UNCOUNTED_RETRY_AFTER),
         }
     }
 }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AnswerBody, OwnAnswer, OwnCause,
+        AnswerBody, ErrorCause, LocalAnswer,
         adapter_waiter::AdapterWaiter,
         admission::{
             FreshnessCheck, HeldSlot, QuotaCharge, STALE_RETRY_AFTER, SlotOutcome, acquire_permit,
@@ -85,7 +85,7 @@
         request: CallRequest,
     ) -> Response<AnswerBody> {
         if self.is_poison(&request) {
-            let cause = OwnCause::EndsTargets;
+            let cause = ErrorCause::EndsTargets;
             let status = cause.status().as_u16();
             log_served(&request, &Attempts::default(), status, Some(cause));
             return self.reject_poison(&request);
@@ -108,8 +108,8 @@
                 return StreamRelay::start(self.clone(), *answer, request, attempts);
             }
         };
-        let cause = response.extensions().get::<OwnCause>().copied();
-        settle_charge(charged, cause.is_none_or(OwnCause::may_have_run));
+        let cause = response.extensions().get::<ErrorCause>().copied();
+        settle_charge(charged, cause.is_none_or(ErrorCause::may_have_run));
         log_served(&request, &attempts, response.status().as_u16(), cause);
         response
     }
@@ -152,14 +152,14 @@
             fingerprint = request.fingerprint(),
             route = request.route.name,
         );
-        self.answer(request, OwnAnswer::new(OwnCause::EndsTargets))
+        self.answer(request, LocalAnswer::new(ErrorCause::EndsTargets))
     }
 
     /// Rejects a request that could not be charged to its customer's quota.
     fn reject_uncharged(
         &self,
         request: &CallRequest,
-        answer: OwnAnswer,
+        answer: LocalAnswer,
     ) -> Response<AnswerBody> {
         let credential = request.credential.as_ref();
         let limit = credential.and_then(|credential| credential.customer.limit);
@@ -249,7 +249,7 @@
                 return self.answer_unserved(
                     request,
                     attempts,
-                    OwnCause::Unconfirmed,
+                    ErrorCause::Unconfirmed,
                     STALE_RETRY_AFTER,
                 );
             }
@@ -298,7 +298,7 @@
                 return self.answer_unserved(
                     request,
                     attempts,
-                    OwnCause::TurnedAway,
+                    ErrorCause::TurnedAway,
                     DEFAULT_RETRY_AFTER,
                 );
             }
@@ -447,13 +447,13 @@
     fn key_error(
         &self,
         request: &CallRequest,
-    ) -> Option<OwnCause> {
+    ) -> Option<ErrorCause> {
         let credential = request.credential.as_ref()?;
         let key_standing = self.board.borrow().key_standing(credential, Instant::now());
         match key_standing {
             KeyStanding::Valid => None,
-            KeyStanding::Gone => Some(OwnCause::UnknownKey),
-            KeyStanding::Moved | KeyStanding::Unconfirmed => Some(OwnCause::Unconfirmed),
+            KeyStanding::Gone => Some(ErrorCause::UnknownKey),
+            KeyStanding::Moved | KeyStanding::Unconfirmed => Some(ErrorCause::Unconfirmed),
         }
     }
 
@@ -489,13 +489,13 @@
                 None
             }
             NextStep::Refuse => {
-                let answer = OwnAnswer::after(OwnCause::TurnedAway, DEFAULT_RETRY_AFTER);
+                let answer = LocalAnswer::after(ErrorCause::TurnedAway, DEFAULT_RETRY_AFTER);
                 Some(self.answer(request, answer))
             }
             NextStep::PassOn => attempts.failure.take().map(relay),
             NextStep::Fail => Some(match attempts.failure.take() {
                 Some(failure) => relay(failure),
-                None => self.answer(request, OwnAnswer::new(OwnCause::AnswerLost)),
+                None => self.answer(request, LocalAnswer::new(ErrorCause::AnswerLost)),
             }),
         }
     }
@@ -623,14 +623,14 @@
         &self,
         request: &CallRequest,
         attempts: &mut Attempts,
-        cause: OwnCause,
+        cause: ErrorCause,
         retry_after: Duration,
     ) -> Outcome {
         if let Some(failure) = attempts.failure.take() {
             return Outcome::Final(relay(failure));
         }
         if attempts.history.runs > 0 {
-            let answer = OwnAnswer::new(OwnCause::AnswerLost);
+            let answer = LocalAnswer::new(ErrorCause::AnswerLost);
             return Outcome::Final(self.answer(request, answer));
         }
         self.reject(request, cause, retry_after)
@@ -645,25 +645,25 @@
             return relay(failure);
         }
         let cause = match attempts.history.runs {
-            0 => OwnCause::TimeOverUnsent,
-            _ => OwnCause::TimeOver,
+            0 => ErrorCause::TimeOverUnsent,
+            _ => ErrorCause::TimeOver,
         };
-        self.answer(request, OwnAnswer::new(cause))
+        self.answer(request, LocalAnswer::new(cause))
     }
 
     fn reject(
         &self,
         request: &CallRequest,
-        cause: OwnCause,
+        cause: ErrorCause,
         retry_after: Duration,
     ) -> Outcome {
-        Outcome::Final(self.answer(request, OwnAnswer::after(cause, retry_after)))
+        Outcome::Final(self.answer(request, LocalAnswer::after(cause, retry_after)))
     }
 
     fn answer(
         &self,
         request: &CallRequest,
-        answer: OwnAnswer,
+        answer: LocalAnswer,
     ) -> Response<AnswerBody> {
         let names = self.formats.headers();
         answer.into_response(&names.request_id, request.id.as_ref())
@@ -715,10 +715,10 @@
     }
 }
 
-fn unplaced_cause(request: &CallRequest) -> OwnCause {
+fn unplaced_cause(request: &CallRequest) -> ErrorCause {
     match request.generation {
-        Some(_) => OwnCause::NoAdapter,
-        None => OwnCause::NoTarget,
+        Some(_) => ErrorCause::NoAdapter,
+        None => ErrorCause::NoTarget,
     }
 }
 
@@ -749,7 +749,7 @@
     request: &CallRequest,
     attempts: &Attempts,
     status: u16,
-    cause: Option<OwnCause>,
+    cause: Option<ErrorCause>,
 ) {
     let now = Instant::now();
     let id = request.id_text();
@@ -784,7 +784,7 @@
     request: &CallRequest,
     attempts: &Attempts,
     status: u16,
-    cause: Option<OwnCause>,
+    cause: Option<ErrorCause>,
     elapsed: Duration,
 ) {
     let kind = request.route.kind.word();
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AnswerBody, Dispatcher, OwnAnswer, OwnCause, RequestProblem, RequestReader,
+        AnswerBody, Dispatcher, ErrorCause, LocalAnswer, RequestProblem, RequestReader,
         admission::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
         request_trace::millis,
     },
@@ -128,19 +128,19 @@
     ) -> Result<Response<AnswerBody>, io::Error> {
         let arrived = Instant::now();
         let id = self.reader.id(request.headers());
-        let error_response = |answer: OwnAnswer| {
+        let error_response = |answer: LocalAnswer| {
             answer.into_response(&self.formats.headers().request_id, id.as_ref())
         };
         if *self.stop.borrow() >= FrontStop::Refusing {
-            return Ok(error_response(OwnAnswer::after(
-                OwnCause::Stopping,
+            return Ok(error_response(LocalAnswer::after(
+                ErrorCause::Stopping,
                 STOPPING_RETRY_AFTER,
             )));
         }
         let id_text = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
         if !wait_until_fresh(&self.board, FreshnessCheck::Declared, id_text).await {
-            return Ok(error_response(OwnAnswer::after(
-                OwnCause::Unconfirmed,
+            return Ok(error_response(LocalAnswer::after(
+                ErrorCause::Unconfirmed,
                 STALE_RETRY_AFTER,
             )));
         }
@@ -149,8 +149,8 @@
         let draw = rand::rng().random::<f64>();
         match self.reader.read(request, &routing, arrived, draw).await {
             Ok(request) => Ok(self.dispatcher.serve(request).await),
-            Err(RequestProblem::Answer(OwnCause::NotReady)) => Ok(error_response(
-                OwnAnswer::after(OwnCause::NotReady, NOT_READY_RETRY_AFTER),
+            Err(RequestProblem::Answer(ErrorCause::NotReady)) => Ok(error_response(
+                LocalAnswer::after(ErrorCause::NotReady, NOT_READY_RETRY_AFTER),
             )),
             Err(RequestProblem::Answer(cause)) => Ok(error_response(self.reject(cause, id_text))),
             Err(RequestProblem::Gone) => Err(io::ErrorKind::ConnectionAborted.into()),
@@ -164,16 +164,16 @@
     /// While the configuration is stale, an unknown key gets a retryable answer, since it may have been added meanwhile.
     fn reject(
         &self,
-        cause: OwnCause,
+        cause: ErrorCause,
         id: &str,
-    ) -> OwnAnswer {
+    ) -> LocalAnswer {
         let now = Instant::now();
         let board = self.board.borrow();
         let answer = match cause {
-            OwnCause::UnknownKey if !board.allows_unknown_keys(now) => {
-                OwnAnswer::after(OwnCause::Unconfirmed, STALE_RETRY_AFTER)
+            ErrorCause::UnknownKey if !board.allows_unknown_keys(now) => {
+                LocalAnswer::after(ErrorCause::Unconfirmed, STALE_RETRY_AFTER)
             }
-            cause => OwnAnswer::new(cause),
+            cause => LocalAnswer::new(cause),
         };
         let age = board.confirmation().declared.age(now);
         note!(
--- a/src/connection/front/own_answer.rs
+++ b/src/connection/front/local_answer.rs
@@ -6,7 +6,7 @@
 
 /// Reason for which this host answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnCause {
+pub enum ErrorCause {
     /// No configuration is known yet.
     NotReady,
     NoRoute,
@@ -38,7 +38,7 @@
     EndsTargets,
 }
 
-impl OwnCause {
+impl ErrorCause {
     /// Returns the code of the cause in logs and in the body.
     pub fn word(self) -> &'static str {
         match self {
@@ -92,14 +92,14 @@
 
 /// An answer that this host gives itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnAnswer {
-    pub cause: OwnCause,
+pub struct LocalAnswer {
+    pub cause: ErrorCause,
     /// Delay before a retry, for requests that have not run.
     pub retry_after: Option<Duration>,
 }
 
-impl OwnAnswer {
-    pub fn new(cause: OwnCause) -> Self {
+impl LocalAnswer {
+    pub fn new(cause: ErrorCause) -> Self {
         Self {
             cause,
             retry_after: None,
@@ -107,7 +107,7 @@
     }
 
     pub fn after(
-        cause: OwnCause,
+        cause: ErrorCause,
         retry_after: Duration,
     ) -> Self {
         Self {
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -14,7 +14,7 @@
 mod event_splitter;
 mod exchange;
 mod front_listener;
-mod own_answer;
+mod local_answer;
 mod request_reader;
 mod request_trace;
 mod stream_relay;
@@ -25,6 +25,6 @@
     dispatcher::Dispatcher,
     event_splitter::{BrokenStream, EventSplitter},
     front_listener::{FrontListener, FrontStop},
-    own_answer::{OwnAnswer, OwnCause},
+    local_answer::{ErrorCause, LocalAnswer},
     request_reader::{RequestProblem, RequestReader},
 };
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -1,5 +1,5 @@
 use {
-    super::{OwnCause, admission::identify},
+    super::{ErrorCause, admission::identify},
     crate::{
         clock::{Instant, timeout_at},
         formats::{Formats, HeaderNames},
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestProblem {
     /// The caller gets an answer with this cause.
-    Answer(OwnCause),
+    Answer(ErrorCause),
     /// The caller is gone.
     Gone,
 }
@@ -65,10 +65,11 @@
         draw: f64,
     ) -> Result<CallRequest, RequestProblem> {
         if routing.version == 0 {
-            return Err(RequestProblem::Answer(OwnCause::NotReady));
+            return Err(RequestProblem::Answer(ErrorCause::NotReady));
         }
         let (parts, body) = request.into_parts();
-        let route = find_route(&parts, routing).ok_or(RequestProblem::Answer(OwnCause::NoRoute))?;
+        let route =
+            find_route(&parts, routing).ok_or(RequestProblem::Answer(ErrorCause::NoRoute))?;
         let credential =
             identify(&parts.headers, &route, &routing.customers).map_err(RequestProblem::Answer)?;
         let service = find_service(&route, routing, draw)?;
@@ -116,7 +117,7 @@
     // A route without a service is a configuration error, and may be fixed soon.
     service
         .cloned()
-        .ok_or(RequestProblem::Answer(OwnCause::NoTarget))
+        .ok_or(RequestProblem::Answer(ErrorCause::NoTarget))
 }
 
 /// Returns the caller's deadline, or the route's timeout if that is shorter.
@@ -212,12 +213,12 @@
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > limit as u64 {
-        return Err(RequestProblem::Answer(OwnCause::BodyTooLarge));
+        return Err(RequestProblem::Answer(ErrorCause::BodyTooLarge));
     }
     let mut buffer = BytesMut::new();
     loop {
         let frame = timeout_at(ends, body.frame()).await;
-        let frame = frame.map_err(|_| RequestProblem::Answer(OwnCause::BodyTooSlow))?;
+        let frame = frame.map_err(|_| RequestProblem::Answer(ErrorCause::BodyTooSlow))?;
         let Some(frame) = frame else {
             return Ok(buffer.freeze());
         };
@@ -226,7 +227,7 @@
             continue;
         };
         if buffer.len() + data.len() > limit {
-            return Err(RequestProblem::Answer(OwnCause::BodyTooLarge));
+            return Err(RequestProblem::Answer(ErrorCause::BodyTooLarge));
         }
         if buffer.is_empty() && body.is_end_stream() {
             return Ok(data);
