--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -107,7 +107,9 @@
             Self::Over { come_back } => {
                 LocalAnswer::after(ErrorCause::OverLimit, come_back.max(MIN_RETRY_AFTER))
             }
-            Self::Uncounted => LocalAnswer::after(ErrorCause::Uncounted, UNCOUNTED_RETRY_AFTER),
+            Self::Uncounted => {
+                LocalAnswer::after(ErrorCause::QuotaUnavailable, UNCOUNTED_RETRY_AFTER)
+            }
         }
     }
 }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -85,7 +85,7 @@
         request: CallRequest,
     ) -> Response<AnswerBody> {
         if self.is_poison(&request) {
-            let cause = ErrorCause::EndsTargets;
+            let cause = ErrorCause::CrashesTargets;
             let status = cause.status().as_u16();
             log_served(&request, &Attempts::default(), status, Some(cause));
             return self.reject_poison(&request);
@@ -152,7 +152,7 @@
             fingerprint = request.fingerprint(),
             route = request.route.name,
         );
-        self.answer(request, LocalAnswer::new(ErrorCause::EndsTargets))
+        self.answer(request, LocalAnswer::new(ErrorCause::CrashesTargets))
     }
 
     /// Rejects a request that could not be charged to its customer's quota.
@@ -249,7 +249,7 @@
                 return self.answer_unserved(
                     request,
                     attempts,
-                    ErrorCause::Unconfirmed,
+                    ErrorCause::StaleTables,
                     STALE_RETRY_AFTER,
                 );
             }
@@ -298,7 +298,7 @@
                 return self.answer_unserved(
                     request,
                     attempts,
-                    ErrorCause::TurnedAway,
+                    ErrorCause::RejectedByTargets,
                     DEFAULT_RETRY_AFTER,
                 );
             }
@@ -453,7 +453,7 @@
         match key_standing {
             KeyStanding::Valid => None,
             KeyStanding::Gone => Some(ErrorCause::UnknownKey),
-            KeyStanding::Moved | KeyStanding::Unconfirmed => Some(ErrorCause::Unconfirmed),
+            KeyStanding::Moved | KeyStanding::Unconfirmed => Some(ErrorCause::StaleTables),
         }
     }
 
@@ -489,7 +489,7 @@
                 None
             }
             NextStep::Refuse => {
-                let answer = LocalAnswer::after(ErrorCause::TurnedAway, DEFAULT_RETRY_AFTER);
+                let answer = LocalAnswer::after(ErrorCause::RejectedByTargets, DEFAULT_RETRY_AFTER);
                 Some(self.answer(request, answer))
             }
             NextStep::PassOn => attempts.failure.take().map(relay),
@@ -645,8 +645,8 @@
             return relay(failure);
         }
         let cause = match attempts.history.runs {
-            0 => ErrorCause::TimeOverUnsent,
-            _ => ErrorCause::TimeOver,
+            0 => ErrorCause::DeadlineExceededUnsent,
+            _ => ErrorCause::DeadlineExceeded,
         };
         self.answer(request, LocalAnswer::new(cause))
     }
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -140,7 +140,7 @@
         let id_text = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
         if !wait_until_fresh(&self.board, FreshnessCheck::Declared, id_text).await {
             return Ok(error_response(LocalAnswer::after(
-                ErrorCause::Unconfirmed,
+                ErrorCause::StaleTables,
                 STALE_RETRY_AFTER,
             )));
         }
@@ -171,7 +171,7 @@
         let board = self.board.borrow();
         let answer = match cause {
             ErrorCause::UnknownKey if !board.allows_unknown_keys(now) => {
-                LocalAnswer::after(ErrorCause::Unconfirmed, STALE_RETRY_AFTER)
+                LocalAnswer::after(ErrorCause::StaleTables, STALE_RETRY_AFTER)
             }
             cause => LocalAnswer::new(cause),
         };
--- a/src/connection/front/local_answer.rs
+++ b/src/connection/front/local_answer.rs
@@ -15,27 +15,27 @@
     /// The customer's quota, which is shared by all hosts, is used up.
     OverLimit,
     /// No host that counts the customer's quota answers; other hosts may reach one.
-    Uncounted,
+    QuotaUnavailable,
     BodyTooLarge,
     BodyTooSlow,
     /// The host is shutting down.
     Stopping,
     /// A table that is needed to serve the request is too stale on this host.
-    Unconfirmed,
+    StaleTables,
     /// All targets are full or closed, or there is none.
     NoTarget,
     /// The adapter can't be loaded in time.
     NoAdapter,
     /// Targets rejected the request, and it may not be sent again.
-    TurnedAway,
+    RejectedByTargets,
     /// The deadline passed before the request ran.
-    TimeOverUnsent,
+    DeadlineExceededUnsent,
     /// The deadline passed, and the request may have run.
-    TimeOver,
+    DeadlineExceeded,
     /// The request may have run, and its answer is lost.
     AnswerLost,
     /// The request crashes targets, and is no longer sent to any.
-    EndsTargets,
+    CrashesTargets,
 }
 
 impl ErrorCause {
@@ -46,24 +46,24 @@
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
             Self::OverLimit => "over_limit",
-            Self::Uncounted => "uncounted",
+            Self::QuotaUnavailable => "uncounted",
             Self::BodyTooLarge => "body_too_large",
             Self::BodyTooSlow => "body_too_slow",
             Self::Stopping => "host_stopping",
-            Self::Unconfirmed => "unconfirmed",
+            Self::StaleTables => "unconfirmed",
             Self::NoTarget => "no_target",
             Self::NoAdapter => "no_adapter",
-            Self::TurnedAway => "turned_away",
-            Self::TimeOverUnsent => "time_over_unsent",
-            Self::TimeOver => "time_over",
+            Self::RejectedByTargets => "turned_away",
+            Self::DeadlineExceededUnsent => "time_over_unsent",
+            Self::DeadlineExceeded => "time_over",
             Self::AnswerLost => "answer_lost",
-            Self::EndsTargets => "ends_targets",
+            Self::CrashesTargets => "ends_targets",
         }
     }
 
     /// Returns true if a request that gets this answer may have run.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Self::TimeOver | Self::AnswerLost)
+        matches!(self, Self::DeadlineExceeded | Self::AnswerLost)
     }
 
     /// Returns the HTTP status; 408, 429 and 503 guarantee that the request has not run and never will.
@@ -76,16 +76,16 @@
             Self::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
             Self::NotReady
             | Self::Stopping
-            | Self::Unconfirmed
-            | Self::Uncounted
+            | Self::StaleTables
+            | Self::QuotaUnavailable
             | Self::NoTarget
             | Self::NoAdapter
-            | Self::TurnedAway
-            | Self::TimeOverUnsent => StatusCode::SERVICE_UNAVAILABLE,
-            Self::TimeOver => StatusCode::GATEWAY_TIMEOUT,
+            | Self::RejectedByTargets
+            | Self::DeadlineExceededUnsent => StatusCode::SERVICE_UNAVAILABLE,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
             Self::AnswerLost => StatusCode::BAD_GATEWAY,
             // The request has not run, but client libraries retry 502 to 504 by themselves.
-            Self::EndsTargets => StatusCode::INTERNAL_SERVER_ERROR,
+            Self::CrashesTargets => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 }
