--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -29,7 +29,7 @@
 enum RelayEnd {
     Complete,
     CallerGone,
-    TimeOver,
+    DeadlineExceeded,
     /// The target closed the connection within the answer, or the stream was invalid.
     Broken,
     /// The target sends nothing, neither for this stream nor for any other of this host.
@@ -41,7 +41,7 @@
         match self {
             Self::Complete => "whole",
             Self::CallerGone => "caller_gone",
-            Self::TimeOver => "time_over",
+            Self::DeadlineExceeded => "time_over",
             Self::Broken => "target_broke_off",
             Self::Silent => "target_silent",
         }
@@ -134,7 +134,7 @@
             let piece = tokio::select! {
                 piece = source.next() => piece,
                 _ = self.caller.closed() => return RelayEnd::CallerGone,
-                _ = sleep_until(self.request.ends) => return RelayEnd::TimeOver,
+                _ = sleep_until(self.request.ends) => return RelayEnd::DeadlineExceeded,
                 _ = sleep_until(silent_at), if self.request.route.resumable => {
                     match source.target_is_silent(silence) {
                         true => return RelayEnd::Silent,
