--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -19,10 +19,10 @@
 };
 
 /// Pieces that are buffered for a slow caller before backpressure reaches the target.
-const PIECES: usize = 16;
+const MAX_BUFFERED_PIECES: usize = 16;
 
 /// Silence after which a resumable stream is abandoned, as a multiple of the route's gap objective.
-const SILENT_PAUSES: u32 = 4;
+const SILENCE_GAP_FACTOR: u32 = 4;
 
 /// How the relay of an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,7 +65,7 @@
         request: CallRequest,
         attempts: Attempts,
     ) -> Response<AnswerBody> {
-        let (caller, pieces) = mpsc::channel(PIECES);
+        let (caller, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
         let mut response = Response::new(AnswerBody::Stream(pieces));
         *response.status_mut() = answer.status;
         *response.headers_mut() = answer.headers;
@@ -87,7 +87,7 @@
     ) {
         loop {
             let first_event = Instant::now();
-            let end = self.pass_on(first, &mut source).await;
+            let end = self.relay(first, &mut source).await;
             if end == RelayEnd::Broken {
                 let run = source.run();
                 self.dispatcher.on_broken(&self.request, run, first_event);
@@ -108,35 +108,35 @@
                             source = answer.source;
                             self.log(Event::RequestResumed, end, &source);
                         }
-                        None => return self.cut(end, &target).await,
+                        None => return self.truncate(end, &target).await,
                     }
                 }
                 _ => {
                     let target = source.target().to_string();
-                    return self.cut(end, &target).await;
+                    return self.truncate(end, &target).await;
                 }
             }
         }
     }
 
     /// Relays the answer of one target.
-    async fn pass_on(
+    async fn relay(
         &mut self,
         first: Bytes,
         source: &mut AnswerSource,
     ) -> RelayEnd {
-        if let Some(end) = self.give(first).await {
+        if let Some(end) = self.send_to_caller(first).await {
             return end;
         }
-        let silence = self.request.route.gap_aim * SILENT_PAUSES;
+        let max_silence = self.request.route.gap_aim * SILENCE_GAP_FACTOR;
         loop {
-            let silent_at = Instant::now() + silence;
+            let silence_deadline = Instant::now() + max_silence;
             let piece = tokio::select! {
                 piece = source.next() => piece,
                 _ = self.caller.closed() => return RelayEnd::CallerGone,
                 _ = sleep_until(self.request.ends) => return RelayEnd::DeadlineExceeded,
-                _ = sleep_until(silent_at), if self.request.route.resumable => {
-                    match source.target_is_silent(silence) {
+                _ = sleep_until(silence_deadline), if self.request.route.resumable => {
+                    match source.target_is_silent(max_silence) {
                         true => return RelayEnd::Silent,
                         false => continue,
                     }
@@ -144,7 +144,7 @@
             };
             match piece {
                 Ok(Some(piece)) => {
-                    if let Some(end) = self.give(piece).await {
+                    if let Some(end) = self.send_to_caller(piece).await {
                         return end;
                     }
                 }
@@ -155,7 +155,7 @@
     }
 
     /// Sends a piece to the caller; on resumable routes, only complete events.
-    async fn give(
+    async fn send_to_caller(
         &mut self,
         piece: Bytes,
     ) -> Option<RelayEnd> {
@@ -209,7 +209,7 @@
     }
 
     /// Closes the connection early, so that the caller sees a truncated answer.
-    async fn cut(
+    async fn truncate(
         &self,
         end: RelayEnd,
         target: &str,
