--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -218,7 +218,7 @@
     }
 
     /// Returns the incarnation of the target that answers.
-    pub fn run(&self) -> TargetRun {
+    pub fn incarnation(&self) -> TargetRun {
         (self.in_flight.target.clone(), self.in_flight.started)
     }
 
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -89,8 +89,9 @@
             let first_event = Instant::now();
             let end = self.relay(first, &mut source).await;
             if end == RelayEnd::Broken {
-                let run = source.run();
-                self.dispatcher.on_broken(&self.request, run, first_event);
+                let incarnation = source.incarnation();
+                self.dispatcher
+                    .on_broken(&self.request, incarnation, first_event);
             }
             match end {
                 RelayEnd::Complete => {
