--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -19,19 +19,19 @@
     tokio::task::spawn_local,
 };
 
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Interval between the two health checks: a target that rejected the first one because it was full has answered other
 /// requests by the second. It delays the report of a crash by as much.
-const SECOND_CHECK: Duration = Duration::from_millis(200);
+const RECHECK_DELAY: Duration = Duration::from_millis(200);
 
 /// Result of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Health {
     /// The target answered, with any status.
-    Answers,
+    Answering,
     /// Connections are refused, or closed at once.
-    Down,
+    Refusing,
     /// No answer in time: the network may be partitioned.
     Silent,
 }
@@ -59,13 +59,13 @@
         &self,
         address: SocketAddr,
     ) -> Health {
-        let limit = CallLimit::whole(PROBE_LIMIT);
+        let limit = CallLimit::whole(PROBE_TIMEOUT);
         let mut client = CallClient::new(address);
         match client.call(&self.call, &self.expect, limit).await {
-            Ok(_) => Health::Answers,
+            Ok(_) => Health::Answering,
             Err(failure) => match failure.end {
                 CallEnd::TimedOut | CallEnd::Silent => Health::Silent,
-                CallEnd::Broken(_) => Health::Down,
+                CallEnd::Broken(_) => Health::Refusing,
             },
         }
     }
@@ -87,7 +87,7 @@
     };
     match address {
         Some(address) => {
-            HealthCheck::new(names, request, target).at(address).await == Health::Answers
+            HealthCheck::new(names, request, target).at(address).await == Health::Answering
         }
         None => false,
     }
@@ -102,7 +102,7 @@
     run: TargetRun,
     begun: bool,
 ) {
-    let lost = Instant::now();
+    let lost_at = Instant::now();
     let accused = Accused {
         begun,
         fingerprint: request.fingerprint(),
@@ -110,7 +110,7 @@
     };
     let address = {
         let mut board = board.borrow_mut();
-        board.crashes.on_loss(&run.0, lost);
+        board.crashes.on_loss(&run.0, lost_at);
         let link = board.links.get(&run.0);
         // A target that drains stops by plan, whatever it runs.
         let link = link.filter(|link| link.view.usable_until.is_none());
@@ -126,7 +126,7 @@
         board: board.clone(),
         check: HealthCheck::new(names, request, &run.0),
         run,
-        lost,
+        lost_at,
     };
     spawn_local(probe.run(address));
 }
@@ -151,7 +151,7 @@
     board: Rc<RefCell<TargetBoard>>,
     check: HealthCheck,
     run: TargetRun,
-    lost: Instant,
+    lost_at: Instant,
 }
 
 impl CrashProbe {
@@ -159,10 +159,10 @@
         self,
         address: SocketAddr,
     ) {
-        let ended = self.has_ended(address).await;
+        let crashed = self.has_crashed(address).await;
         let mut board = self.board.borrow_mut();
         let accused = board.crashes.take_accused(&self.run);
-        if !ended {
+        if !crashed {
             note!(
                 Event::AccusationDropped,
                 target = self.run.0,
@@ -170,9 +170,9 @@
             );
             return;
         }
-        let alone = board.crashes.was_alone(&self.run.0, self.lost);
+        let alone = board.crashes.was_alone(&self.run.0, self.lost_at);
         let end = TargetEnd::of(&self.run.0, self.run.1);
-        let beside = accused.len() - 1;
+        let others = accused.len() - 1;
         for accused in &accused {
             note!(
                 Event::RequestAccused,
@@ -181,45 +181,45 @@
                 target = self.run.0,
                 begun = accused.begun,
                 alone = alone,
-                beside = beside,
+                beside = others,
             );
         }
-        let strike = |accused: &Accused| {
+        let to_strike = |accused: &Accused| {
             let begun = accused.begun;
             (accused.fingerprint, Strike { end, begun, alone })
         };
-        let strikes = accused.iter().map(strike).collect();
+        let strikes = accused.iter().map(to_strike).collect();
         board.report_poison(PoisonReport::Struck { strikes });
     }
 
     /// Returns true if the target was down in both checks and this incarnation has sent nothing meanwhile, or if it was
     /// replaced.
-    async fn has_ended(
+    async fn has_crashed(
         &self,
         address: SocketAddr,
     ) -> bool {
-        if self.check.at(address).await != Health::Down {
-            return self.has_other_start();
+        if self.check.at(address).await != Health::Refusing {
+            return self.was_replaced();
         }
-        tokio::time::sleep(SECOND_CHECK).await;
-        if self.has_other_start() {
+        tokio::time::sleep(RECHECK_DELAY).await;
+        if self.was_replaced() {
             return true;
         }
-        self.check.at(address).await == Health::Down && !self.was_heard()
+        self.check.at(address).await == Health::Refusing && !self.has_sent_since_loss()
     }
 
     /// Returns true if the target is gone or has a new incarnation.
-    fn has_other_start(&self) -> bool {
+    fn was_replaced(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.run.0);
         link.is_none_or(|link| link.view.record.started != self.run.1)
     }
 
     /// Returns true if this incarnation of the target has sent anything since the loss.
-    fn was_heard(&self) -> bool {
+    fn has_sent_since_loss(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.run.0);
         link.and_then(|link| link.heard)
-            .is_some_and(|at| at > self.lost)
+            .is_some_and(|at| at > self.lost_at)
     }
 }
