--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -74,7 +74,7 @@
 /// Returns true if a target answers a health check now.
 ///
 /// Called before a suspect request is sent, so that a crash that follows can be attributed to it.
-pub async fn answers_now(
+pub async fn answers_health_check(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
     request: &CallRequest,
@@ -95,11 +95,11 @@
 
 /// Records a request as a suspect after its connection was lost, and probes in the background whether its target
 /// crashed; reports a crash to all hosts.
-pub fn accuse(
+pub fn probe_after_loss(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
     request: &CallRequest,
-    run: TargetRun,
+    incarnation: TargetRun,
     begun: bool,
 ) {
     let lost_at = Instant::now();
@@ -110,29 +110,29 @@
     };
     let address = {
         let mut board = board.borrow_mut();
-        board.crashes.on_loss(&run.0, lost_at);
-        let link = board.links.get(&run.0);
+        board.crashes.on_loss(&incarnation.0, lost_at);
+        let link = board.links.get(&incarnation.0);
         // A target that drains stops by plan, whatever it runs.
         let link = link.filter(|link| link.view.usable_until.is_none());
         let Some(address) = link.map(|link| link.view.record.address) else {
             return;
         };
-        if !board.crashes.accuse(&run, accused) {
+        if !board.crashes.accuse(&incarnation, accused) {
             return;
         }
         address
     };
     let probe = CrashProbe {
         board: board.clone(),
-        check: HealthCheck::new(names, request, &run.0),
-        run,
+        check: HealthCheck::new(names, request, &incarnation.0),
+        incarnation,
         lost_at,
     };
     spawn_local(probe.run(address));
 }
 
 /// Clears a request that a target has answered completely: earlier crashes were not its fault.
-pub fn acquit(
+pub fn clear_suspect(
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
 ) {
@@ -150,7 +150,7 @@
 struct CrashProbe {
     board: Rc<RefCell<TargetBoard>>,
     check: HealthCheck,
-    run: TargetRun,
+    incarnation: TargetRun,
     lost_at: Instant,
 }
 
@@ -161,24 +161,24 @@
     ) {
         let crashed = self.has_crashed(address).await;
         let mut board = self.board.borrow_mut();
-        let accused = board.crashes.take_accused(&self.run);
+        let accused = board.crashes.take_accused(&self.incarnation);
         if !crashed {
             note!(
                 Event::AccusationDropped,
-                target = self.run.0,
+                target = self.incarnation.0,
                 requests = accused.len(),
             );
             return;
         }
-        let alone = board.crashes.was_alone(&self.run.0, self.lost_at);
-        let end = TargetEnd::of(&self.run.0, self.run.1);
+        let alone = board.crashes.was_alone(&self.incarnation.0, self.lost_at);
+        let end = TargetEnd::of(&self.incarnation.0, self.incarnation.1);
         let others = accused.len() - 1;
         for accused in &accused {
             note!(
                 Event::RequestAccused,
                 id = accused.id,
                 fingerprint = accused.fingerprint,
-                target = self.run.0,
+                target = self.incarnation.0,
                 begun = accused.begun,
                 alone = alone,
                 beside = others,
@@ -211,14 +211,14 @@
     /// Returns true if the target is gone or has a new incarnation.
     fn was_replaced(&self) -> bool {
         let board = self.board.borrow();
-        let link = board.links.get(&self.run.0);
-        link.is_none_or(|link| link.view.record.started != self.run.1)
+        let link = board.links.get(&self.incarnation.0);
+        link.is_none_or(|link| link.view.record.started != self.incarnation.1)
     }
 
     /// Returns true if this incarnation of the target has sent anything since the loss.
     fn has_sent_since_loss(&self) -> bool {
         let board = self.board.borrow();
-        let link = board.links.get(&self.run.0);
+        let link = board.links.get(&self.incarnation.0);
         link.and_then(|link| link.heard)
             .is_some_and(|at| at > self.lost_at)
     }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -8,7 +8,7 @@
         },
         attempts::Attempts,
         chooser::{Choice, Chooser},
-        crash_probe::{accuse, acquit, answers_now},
+        crash_probe::{answers_health_check, clear_suspect, probe_after_loss},
         exchange::{CompleteAnswer, Destination, OpenAnswer, SendOutcome, send},
         request_trace::{TraceStep, millis},
         stream_relay::StreamRelay,
@@ -303,7 +303,9 @@
                 );
             }
             let verified = self.is_suspected(request);
-            if verified && !answers_now(&self.board, names, request, &destination.target).await {
+            if verified
+                && !answers_health_check(&self.board, names, request, &destination.target).await
+            {
                 attempts.record_end(&destination, AttemptEnd::NotSent, Instant::now());
                 attempts.tried.push(destination.target.to_string());
                 continue;
@@ -330,14 +332,14 @@
             }
             let end = match sent {
                 SendOutcome::Complete(answer) => {
-                    acquit(&self.board, request);
+                    clear_suspect(&self.board, request);
                     return Outcome::Final(relay(answer));
                 }
                 SendOutcome::Open(answer) => return Outcome::Open(answer),
                 SendOutcome::Failed(answer) => {
                     let status = answer.status.as_u16();
                     attempts.failure = Some(answer);
-                    acquit(&self.board, request);
+                    clear_suspect(&self.board, request);
                     AttemptEnd::Failed { status }
                 }
                 SendOutcome::Misdirected => {
@@ -347,7 +349,7 @@
                 SendOutcome::Withheld => continue,
                 SendOutcome::Ended(AttemptEnd::Lost) => {
                     let started = verified || sent_at.elapsed() >= MIN_RUN_TIME;
-                    accuse(&self.board, names, request, incarnation, started);
+                    probe_after_loss(&self.board, names, request, incarnation, started);
                     AttemptEnd::Lost
                 }
                 SendOutcome::Ended(end) => end,
@@ -400,7 +402,7 @@
     ) {
         let now = Instant::now();
         match now.saturating_duration_since(first_event) < STREAM_START_WINDOW {
-            true => accuse(
+            true => probe_after_loss(
                 &self.board,
                 self.formats.headers(),
                 request,
@@ -416,7 +418,7 @@
         &self,
         request: &CallRequest,
     ) {
-        acquit(&self.board, request);
+        clear_suspect(&self.board, request);
     }
 
     /// Waits until all tables that a send depends on are fresh; returns false on timeout.
