--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AnswerBody, Dispatcher, ErrorCause, LocalAnswer, RequestProblem, RequestReader,
+        AnswerBody, Dispatcher, ErrorCause, LocalAnswer, RequestReadError, RequestReader,
         admission::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
         request_trace::millis,
     },
@@ -149,11 +149,11 @@
         let draw = rand::rng().random::<f64>();
         match self.reader.read(request, &routing, arrived, draw).await {
             Ok(request) => Ok(self.dispatcher.serve(request).await),
-            Err(RequestProblem::Answer(ErrorCause::NotReady)) => Ok(error_response(
+            Err(RequestReadError::Answer(ErrorCause::NotReady)) => Ok(error_response(
                 LocalAnswer::after(ErrorCause::NotReady, NOT_READY_RETRY_AFTER),
             )),
-            Err(RequestProblem::Answer(cause)) => Ok(error_response(self.reject(cause, id_text))),
-            Err(RequestProblem::Gone) => Err(io::ErrorKind::ConnectionAborted.into()),
+            Err(RequestReadError::Answer(cause)) => Ok(error_response(self.reject(cause, id_text))),
+            Err(RequestReadError::Gone) => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
 }
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -26,5 +26,5 @@
     event_splitter::{BrokenStream, EventSplitter},
     front_listener::{FrontListener, FrontStop},
     local_answer::{ErrorCause, LocalAnswer},
-    request_reader::{RequestProblem, RequestReader},
+    request_reader::{RequestReadError, RequestReader},
 };
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -31,7 +31,7 @@
 
 /// Why a request could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestProblem {
+pub enum RequestReadError {
     /// The caller gets an answer with this cause.
     Answer(ErrorCause),
     /// The caller is gone.
@@ -63,15 +63,15 @@
         routing: &RoutingTable,
         arrived: Instant,
         draw: f64,
-    ) -> Result<CallRequest, RequestProblem> {
+    ) -> Result<CallRequest, RequestReadError> {
         if routing.version == 0 {
-            return Err(RequestProblem::Answer(ErrorCause::NotReady));
+            return Err(RequestReadError::Answer(ErrorCause::NotReady));
         }
         let (parts, body) = request.into_parts();
         let route =
-            find_route(&parts, routing).ok_or(RequestProblem::Answer(ErrorCause::NoRoute))?;
-        let credential =
-            identify(&parts.headers, &route, &routing.customers).map_err(RequestProblem::Answer)?;
+            find_route(&parts, routing).ok_or(RequestReadError::Answer(ErrorCause::NoRoute))?;
+        let credential = identify(&parts.headers, &route, &routing.customers)
+            .map_err(RequestReadError::Answer)?;
         let service = find_service(&route, routing, draw)?;
         let names = self.formats.headers();
         let ends = arrived + allowed_time(&parts.headers, names, &route);
@@ -112,12 +112,12 @@
     route: &Route,
     routing: &RoutingTable,
     draw: f64,
-) -> Result<Arc<TargetService>, RequestProblem> {
+) -> Result<Arc<TargetService>, RequestReadError> {
     let service = route.service(draw).and_then(|name| routing.service(name));
     // A route without a service is a configuration error, and may be fixed soon.
     service
         .cloned()
-        .ok_or(RequestProblem::Answer(ErrorCause::NoTarget))
+        .ok_or(RequestReadError::Answer(ErrorCause::NoTarget))
 }
 
 /// Returns the caller's deadline, or the route's timeout if that is shorter.
@@ -208,26 +208,26 @@
     mut body: Incoming,
     limit: usize,
     ends: Instant,
-) -> Result<Bytes, RequestProblem> {
+) -> Result<Bytes, RequestReadError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > limit as u64 {
-        return Err(RequestProblem::Answer(ErrorCause::BodyTooLarge));
+        return Err(RequestReadError::Answer(ErrorCause::BodyTooLarge));
     }
     let mut buffer = BytesMut::new();
     loop {
         let frame = timeout_at(ends, body.frame()).await;
-        let frame = frame.map_err(|_| RequestProblem::Answer(ErrorCause::BodyTooSlow))?;
+        let frame = frame.map_err(|_| RequestReadError::Answer(ErrorCause::BodyTooSlow))?;
         let Some(frame) = frame else {
             return Ok(buffer.freeze());
         };
-        let frame = frame.map_err(|_| RequestProblem::Gone)?;
+        let frame = frame.map_err(|_| RequestReadError::Gone)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
         if buffer.len() + data.len() > limit {
-            return Err(RequestProblem::Answer(ErrorCause::BodyTooLarge));
+            return Err(RequestReadError::Answer(ErrorCause::BodyTooLarge));
         }
         if buffer.is_empty() && body.is_end_stream() {
             return Ok(data);
