--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -149,11 +149,13 @@
         let draw = rand::rng().random::<f64>();
         match self.reader.read(request, &routing, arrived, draw).await {
             Ok(request) => Ok(self.dispatcher.serve(request).await),
-            Err(RequestReadError::Answer(ErrorCause::NotReady)) => Ok(error_response(
+            Err(RequestReadError::Rejected(ErrorCause::NotReady)) => Ok(error_response(
                 LocalAnswer::after(ErrorCause::NotReady, NOT_READY_RETRY_AFTER),
             )),
-            Err(RequestReadError::Answer(cause)) => Ok(error_response(self.reject(cause, id_text))),
-            Err(RequestReadError::Gone) => Err(io::ErrorKind::ConnectionAborted.into()),
+            Err(RequestReadError::Rejected(cause)) => {
+                Ok(error_response(self.reject(cause, id_text)))
+            }
+            Err(RequestReadError::CallerGone) => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
 }
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestReadError {
     /// The caller gets an answer with this cause.
-    Answer(ErrorCause),
+    Rejected(ErrorCause),
     /// The caller is gone.
-    Gone,
+    CallerGone,
 }
 
 /// Reads a [`CallRequest`] from a caller's connection.
@@ -65,13 +65,13 @@
         draw: f64,
     ) -> Result<CallRequest, RequestReadError> {
         if routing.version == 0 {
-            return Err(RequestReadError::Answer(ErrorCause::NotReady));
+            return Err(RequestReadError::Rejected(ErrorCause::NotReady));
         }
         let (parts, body) = request.into_parts();
         let route =
-            find_route(&parts, routing).ok_or(RequestReadError::Answer(ErrorCause::NoRoute))?;
+            find_route(&parts, routing).ok_or(RequestReadError::Rejected(ErrorCause::NoRoute))?;
         let credential = identify(&parts.headers, &route, &routing.customers)
-            .map_err(RequestReadError::Answer)?;
+            .map_err(RequestReadError::Rejected)?;
         let service = find_service(&route, routing, draw)?;
         let names = self.formats.headers();
         let ends = arrived + allowed_time(&parts.headers, names, &route);
@@ -117,7 +117,7 @@
     // A route without a service is a configuration error, and may be fixed soon.
     service
         .cloned()
-        .ok_or(RequestReadError::Answer(ErrorCause::NoTarget))
+        .ok_or(RequestReadError::Rejected(ErrorCause::NoTarget))
 }
 
 /// Returns the caller's deadline, or the route's timeout if that is shorter.
@@ -213,21 +213,21 @@
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > limit as u64 {
-        return Err(RequestReadError::Answer(ErrorCause::BodyTooLarge));
+        return Err(RequestReadError::Rejected(ErrorCause::BodyTooLarge));
     }
     let mut buffer = BytesMut::new();
     loop {
         let frame = timeout_at(ends, body.frame()).await;
-        let frame = frame.map_err(|_| RequestReadError::Answer(ErrorCause::BodyTooSlow))?;
+        let frame = frame.map_err(|_| RequestReadError::Rejected(ErrorCause::BodyTooSlow))?;
         let Some(frame) = frame else {
             return Ok(buffer.freeze());
         };
-        let frame = frame.map_err(|_| RequestReadError::Gone)?;
+        let frame = frame.map_err(|_| RequestReadError::CallerGone)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
         if buffer.len() + data.len() > limit {
-            return Err(RequestReadError::Answer(ErrorCause::BodyTooLarge));
+            return Err(RequestReadError::Rejected(ErrorCause::BodyTooLarge));
         }
         if buffer.is_empty() && body.is_end_stream() {
             return Ok(data);
