--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -47,7 +47,7 @@
 
 /// Stage of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FrontStop {
+pub enum StopStage {
     Serving,
     /// Requests are served; connections are closed after their request.
     Leaving,
@@ -61,7 +61,7 @@
     reader: RequestReader,
     board: Rc<RefCell<TargetBoard>>,
     formats: Arc<dyn Formats>,
-    stop: watch::Receiver<FrontStop>,
+    stop: watch::Receiver<StopStage>,
     open_connections: Arc<AtomicUsize>,
 }
 
@@ -70,7 +70,7 @@
         board: Rc<RefCell<TargetBoard>>,
         formats: Arc<dyn Formats>,
         hall: &str,
-        stop: watch::Receiver<FrontStop>,
+        stop: watch::Receiver<StopStage>,
         open_connections: Arc<AtomicUsize>,
     ) -> Self {
         Self {
@@ -116,7 +116,7 @@
         let mut stop = self.stop.clone();
         tokio::select! {
             _ = connection.as_mut() => return,
-            _ = stop.wait_for(|stop| *stop >= FrontStop::Leaving) => {}
+            _ = stop.wait_for(|stop| *stop >= StopStage::Leaving) => {}
         }
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
@@ -131,7 +131,7 @@
         let error_response = |answer: LocalAnswer| {
             answer.into_response(&self.formats.headers().request_id, id.as_ref())
         };
-        if *self.stop.borrow() >= FrontStop::Refusing {
+        if *self.stop.borrow() >= StopStage::Refusing {
             return Ok(error_response(LocalAnswer::after(
                 ErrorCause::Stopping,
                 STOPPING_RETRY_AFTER,
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -24,7 +24,7 @@
     answer_body::{AnswerBody, BrokenAnswer},
     dispatcher::Dispatcher,
     event_splitter::{BrokenStream, EventSplitter},
-    front_listener::{FrontListener, FrontStop},
+    front_listener::{FrontListener, StopStage},
     local_answer::{ErrorCause, LocalAnswer},
     request_reader::{RequestReadError, RequestReader},
 };
--- a/src/process/host/host_process.rs
+++ b/src/process/host/host_process.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         clock::Instant,
-        connection::{datagram::DatagramSocket, front::FrontStop},
+        connection::{datagram::DatagramSocket, front::StopStage},
         errors::RunError,
         formats::Formats,
         process::settings::NodeSettings,
@@ -88,7 +88,7 @@
     let socket = DatagramSocket::bind(listen.peers)
         .await
         .map_err(|problem| listen_error(listen.peers, &problem))?;
-    let (stop, stop_seen) = watch::channel(FrontStop::Serving);
+    let (stop, stop_seen) = watch::channel(StopStage::Serving);
     let (traffic, inputs) = flume::unbounded();
     let open_connections = Arc::new(AtomicUsize::new(0));
     let parts = TrafficParts {
@@ -143,17 +143,17 @@
 
 /// Lets what runs come to its end, as long as the grace time allows.
 async fn leave(
-    stop: &watch::Sender<FrontStop>,
+    stop: &watch::Sender<StopStage>,
     open_connections: &AtomicUsize,
     grace: Duration,
 ) {
     let begun = Instant::now();
-    let _ = stop.send(FrontStop::Leaving);
+    let _ = stop.send(StopStage::Leaving);
     loop {
         tokio::time::sleep(END_PERIOD).await;
         let passed = begun.elapsed();
         if passed >= grace.mul_f64(REFUSE_SHARE) {
-            let _ = stop.send(FrontStop::Refusing);
+            let _ = stop.send(StopStage::Refusing);
         }
         let idle = open_connections.load(Ordering::Relaxed) == 0;
         if passed >= grace.mul_f64(END_SHARE) || idle && passed >= LEAST_STOP {
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -8,7 +8,7 @@
                 ChargeAnswer, EngineLoad, EngineStanding, Loan, LoanAsk, PermitAnswer, PlaceGiven,
                 Placement,
             },
-            front::{FrontListener, FrontStop},
+            front::{FrontListener, StopStage},
             targets::{
                 BeliefBounds, BoardSettings, Confirmation, ControlRequest, FleetView, TargetBoard,
             },
@@ -84,7 +84,7 @@
     pub listener: TcpListener,
     pub inputs: flume::Receiver<TrafficInput>,
     pub control: flume::Sender<ControlRequest>,
-    pub stop: watch::Receiver<FrontStop>,
+    pub stop: watch::Receiver<StopStage>,
     /// Callers' connections that are open, for whoever waits for the last.
     pub open_connections: Arc<AtomicUsize>,
 }
