--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -50,9 +50,9 @@
 pub enum StopStage {
     Serving,
     /// Requests are served; connections are closed after their request.
-    Leaving,
+    Draining,
     /// New requests are rejected.
-    Refusing,
+    Rejecting,
 }
 
 /// Accepts callers' connections and serves their requests.
@@ -116,7 +116,7 @@
         let mut stop = self.stop.clone();
         tokio::select! {
             _ = connection.as_mut() => return,
-            _ = stop.wait_for(|stop| *stop >= StopStage::Leaving) => {}
+            _ = stop.wait_for(|stop| *stop >= StopStage::Draining) => {}
         }
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
@@ -131,7 +131,7 @@
         let error_response = |answer: LocalAnswer| {
             answer.into_response(&self.formats.headers().request_id, id.as_ref())
         };
-        if *self.stop.borrow() >= StopStage::Refusing {
+        if *self.stop.borrow() >= StopStage::Rejecting {
             return Ok(error_response(LocalAnswer::after(
                 ErrorCause::Stopping,
                 STOPPING_RETRY_AFTER,
--- a/src/process/host/host_process.rs
+++ b/src/process/host/host_process.rs
@@ -148,12 +148,12 @@
     grace: Duration,
 ) {
     let begun = Instant::now();
-    let _ = stop.send(StopStage::Leaving);
+    let _ = stop.send(StopStage::Draining);
     loop {
         tokio::time::sleep(END_PERIOD).await;
         let passed = begun.elapsed();
         if passed >= grace.mul_f64(REFUSE_SHARE) {
-            let _ = stop.send(StopStage::Refusing);
+            let _ = stop.send(StopStage::Rejecting);
         }
         let idle = open_connections.load(Ordering::Relaxed) == 0;
         if passed >= grace.mul_f64(END_SHARE) || idle && passed >= LEAST_STOP {
