--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -74,7 +74,7 @@
             .map_err(RequestReadError::Rejected)?;
         let service = find_service(&route, routing, draw)?;
         let names = self.formats.headers();
-        let ends = arrived + allowed_time(&parts.headers, names, &route);
+        let ends = arrived + effective_timeout(&parts.headers, names, &route);
         let generation = generation(&parts.headers, names, &service);
         let body = read_body(body, routing.limits.body_bytes, ends).await?;
         Ok(CallRequest {
@@ -85,7 +85,7 @@
                 .map_or("/", |text| text.as_str())
                 .to_string(),
             method: parts.method,
-            headers: passed_headers(&parts.headers, names, routing),
+            headers: forwarded_headers(&parts.headers, names, routing),
             body,
             arrived,
             ends,
@@ -121,7 +121,7 @@
 }
 
 /// Returns the caller's deadline, or the route's timeout if that is shorter.
-fn allowed_time(
+fn effective_timeout(
     headers: &HeaderMap,
     names: &HeaderNames,
     route: &Route,
@@ -178,13 +178,13 @@
 }
 
 /// Returns the headers to forward to the target, without callers' keys and headers that only hosts may set.
-fn passed_headers(
+fn forwarded_headers(
     headers: &HeaderMap,
     names: &HeaderNames,
     routing: &RoutingTable,
 ) -> HeaderMap {
     let has_keys = !routing.customers.is_empty();
-    let named_by_connection: Vec<&str> = headers
+    let connection_options: Vec<&str> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -197,8 +197,8 @@
         .filter(|(name, _)| !names.is_set_by_hosts(name))
         .filter(|(name, _)| !(has_keys && **name == header::AUTHORIZATION))
         .filter(|(name, _)| {
-            let named = |named: &&str| named.eq_ignore_ascii_case(name.as_str());
-            names.is_of_request(name) || !named_by_connection.iter().any(named)
+            let is_listed = |is_listed: &&str| is_listed.eq_ignore_ascii_case(name.as_str());
+            names.is_of_request(name) || !connection_options.iter().any(is_listed)
         })
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
