--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -90,7 +90,7 @@
             arrived,
             ends,
             urgency: urgency(routing, &route, credential.as_ref()),
-            told_tokens: told_tokens(&parts.headers, names),
+            told_tokens: total_tokens(&parts.headers, names),
             route,
             service,
             generation,
@@ -155,7 +155,7 @@
     routing.urgency(route, customer)
 }
 
-fn told_tokens(
+fn total_tokens(
     headers: &HeaderMap,
     names: &HeaderNames,
 ) -> Option<u64> {
