--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -276,7 +276,7 @@
                     return self.reject(request, unplaced_cause(request), retry_after);
                 }
                 Choice::Reject(_) | Choice::NoTarget => {
-                    return self.reject_unplaced(request, attempts);
+                    return self.on_no_target(request, attempts);
                 }
             };
             if !acquire_permit(&self.board, &destination.target).await {
@@ -607,7 +607,7 @@
         }
     }
 
-    fn reject_unplaced(
+    fn on_no_target(
         &self,
         request: &CallRequest,
         attempts: &mut Attempts,
