--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -181,7 +181,7 @@
         charge: Charge,
         deadline: Instant,
     ) -> Option<ChargeAnswer> {
-        let asked = ChargeAsk {
+        let charge_request = ChargeAsk {
             slot: slot_for(self.customer, part) as u32,
             customer: self.customer.to_string(),
             id: charge.id,
@@ -190,7 +190,7 @@
         };
         let mut pending = {
             let board = self.board.borrow();
-            if !board.ask_charge(asked) {
+            if !board.ask_charge(charge_request) {
                 count_ask("nobody");
                 return None;
             }
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -305,13 +305,13 @@
 fn request_adapter(
     board: &mut TargetBoard,
     attempts: &mut Attempts,
-    ask: &AdapterAsk,
+    load_request: &AdapterAsk,
     now: Instant,
 ) {
-    if board.ask(ask, now) {
+    if board.ask(load_request, now) {
         let step = TraceStep::AdapterRequested {
-            target: ask.target.into(),
-            spare: ask.spare,
+            target: load_request.target.into(),
+            spare: load_request.spare,
         };
         attempts.trace.add(step, now);
     }
