--- a/src/connection/front/adapter_availability.rs
+++ b/src/connection/front/adapter_availability.rs
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Returns the version that an engine holds, if it may serve a request that is expected to start there after `wait`.
+    /// Returns the version that an engine holds, if it may serve a request that is expected to start there after
+    /// `wait`.
     pub fn version_at(
         &self,
         board: &TargetBoard,
--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -1,9 +1,9 @@
 //! Admission control: the checks that a request passes before it is sent to a target.
 //!
-//! Once per request: the configuration is fresh enough to route by (`freshness_gate`), the key is valid (`key_check`) and
-//! the customer has quota left (`quota_gate`). Before each send: keys, versions and the list of targets are fresh enough
-//! (`freshness_gate`), a target of a plain service has a free slot (`slot_gate`), and a rate-limited target grants a
-//! permit (`permit_gate`).
+//! Once per request: the configuration is fresh enough to route by (`freshness_gate`), the key is valid (`key_check`)
+//! and the customer has quota left (`quota_gate`). Before each send: keys, versions and the list of targets are fresh
+//! enough (`freshness_gate`), a target of a plain service has a free slot (`slot_gate`), and a rate-limited target
+//! grants a permit (`permit_gate`).
 
 mod freshness_gate;
 mod key_check;
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -22,8 +22,8 @@
 /// answer, while a rejected caller that retries would be late.
 const MAX_WAIT_SHARE: f64 = 0.4;
 
-/// Share of the route's latency objective for which a request waits until a host is known that counts the quota, such as
-/// after all hosts have restarted.
+/// Share of the route's latency objective for which a request waits until a host is known that counts the quota, such
+/// as after all hosts have restarted.
 const MAX_UNCOUNTED_WAIT_SHARE: f64 = 0.6;
 
 /// Retry delay for callers whose quota no reachable host counts.
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -30,7 +30,8 @@
 /// Share of the route's latency objective after which a request that no target can take is rejected.
 const PROMPT_REJECT_SHARE: f64 = 0.17;
 
-/// Retries of callers that are rejected while all targets are closed are spread over this time after the first one opens.
+/// Retries of callers that are rejected while all targets are closed are spread over this time after the first one
+/// opens.
 const RETRY_SPREAD: Duration = Duration::from_millis(500);
 
 /// Decision on the next send of a request.
@@ -193,7 +194,7 @@
             candidates.push(candidate);
         }
         let terms = ChoiceTerms {
-            copy_price: copy_price(board, adapter, now),
+            copy_price: copy_cost(board, adapter, now),
             aim_left: request.aim().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
@@ -339,8 +340,8 @@
 
 /// Returns what to do if all targets are closed, or `None` if one is not.
 ///
-/// Waits if a target opens while there is time for a prompt rejection; otherwise rejects at once, and the caller retries
-/// when the first target opens.
+/// Waits if a target opens while there is time for a prompt rejection; otherwise rejects at once, and the caller
+/// retries when the first target opens.
 fn wait_for_opening(
     board: &TargetBoard,
     request: &CallRequest,
@@ -356,8 +357,8 @@
     }
     // Callers that are rejected together must not retry together.
     let jitter = rand::rng().random_range(Duration::ZERO..RETRY_SPREAD);
-    let come_back = opens.saturating_duration_since(now) + jitter;
-    Some(Choice::Reject(come_back))
+    let retry_after = opens.saturating_duration_since(now) + jitter;
+    Some(Choice::Reject(retry_after))
 }
 
 /// Returns true if a rejection at this time is still prompt.
@@ -380,7 +381,7 @@
 }
 
 /// Returns the cost of a new copy of an adapter for one request; requests that share the copy share its cost.
-fn copy_price(
+fn copy_cost(
     board: &TargetBoard,
     adapter: &str,
     now: Instant,
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -44,8 +44,8 @@
 /// Interval at which a waiting repeat checks whether budget was borrowed.
 const BORROW_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A stream that breaks off within this time of its first event is suspected of having crashed its target; later on, any
-/// other request at the target is as likely the cause.
+/// A stream that breaks off within this time of its first event is suspected of having crashed its target; later on,
+/// any other request at the target is as likely the cause.
 const STREAM_START_WINDOW: Duration = Duration::from_secs(1);
 
 /// A connection that is lost sooner than this was closed before the target started the request.
@@ -209,8 +209,8 @@
         self.verdict(request).is_some()
     }
 
-    /// Returns true if targets have crashed under the request, or one may just have: it is sent only to targets that answer
-    /// a health check first.
+    /// Returns true if targets have crashed under the request, or one may just have: it is sent only to targets that
+    /// answer a health check first.
     fn is_suspected(
         &self,
         request: &CallRequest,
@@ -265,7 +265,7 @@
                     attempts
                         .trace
                         .add(TraceStep::Waiting { expected }, Instant::now());
-                    self.wait(request, until).await;
+                    self.wait_for_adapter(request, until).await;
                     continue;
                 }
                 Choice::AwaitReports { until } => {
@@ -275,9 +275,7 @@
                 Choice::Reject(retry_after) if attempts.history.runs == 0 => {
                     return self.reject(request, unplaced_cause(request), retry_after);
                 }
-                Choice::Reject(_) | Choice::NoTarget => {
-                    return self.on_no_target(request, attempts);
-                }
+                Choice::Reject(_) | Choice::NoTarget => return self.no_target(request, attempts),
             };
             if !acquire_permit(&self.board, &destination.target).await {
                 let target = destination.target.clone();
@@ -444,8 +442,8 @@
         wait_until_fresh(&self.board, FreshnessCheck::Targets, id).await
     }
 
-    /// Returns why a request must not be sent with its key any more: the key may have been revoked while the request waited
-    /// seconds for its adapter.
+    /// Returns why a request must not be sent with its key any more: the key may have been revoked while the request
+    /// waited seconds for its adapter.
     fn key_error(
         &self,
         request: &CallRequest,
@@ -591,7 +589,7 @@
     }
 
     /// Waits for an update on the request's adapter, or until a time.
-    async fn wait(
+    async fn wait_for_adapter(
         &self,
         request: &CallRequest,
         until: Instant,
@@ -607,7 +605,7 @@
         }
     }
 
-    fn on_no_target(
+    fn no_target(
         &self,
         request: &CallRequest,
         attempts: &mut Attempts,
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -82,8 +82,8 @@
 
 /// Returns the engines to choose from.
 ///
-/// On a large site their holders are queried first, since earlier reports are too stale; `Err` holds the time until which
-/// to wait for their reports.
+/// On a large site their holders are queried first, since earlier reports are too stale; `Err` holds the time until
+/// which to wait for their reports.
 pub(super) fn query_before_send(
     board: &TargetBoard,
     request: &CallRequest,
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -97,8 +97,7 @@
         }
     }
 
-    /// Applies a change to the target's link, unless the target is gone or has a new incarnation, which the end of an earlier
-    /// request does not concern.
+    /// Applies a change to the target's link, unless the target is gone or has a new incarnation.
     fn with_link(
         &self,
         change: impl FnOnce(&mut TargetLink),
@@ -240,8 +239,8 @@
     Ended(AttemptEnd),
     /// The target does not hold what the request needs, and has not run it.
     Misdirected,
-    /// Nothing was sent: a table has become too stale, the target has announced that it accepts no requests, its version of
-    /// the adapter may no longer serve, or the key was revoked.
+    /// Nothing was sent: a table has become too stale, the target has announced that it accepts no requests, its
+    /// version of the adapter may no longer serve, or the key was revoked.
     Withheld,
 }
 
@@ -252,8 +251,8 @@
     }
 }
 
-/// Sends a request to a target and reads its answer: up to the first piece for streams, otherwise completely if it is not
-/// too large.
+/// Sends a request to a target and reads its answer: up to the first piece for streams, otherwise completely if it is
+/// not too large.
 pub async fn send(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -163,7 +163,8 @@
 impl FrontListener {
     /// Returns the answer to a request that is not routed, and logs the configuration that this depends on.
     ///
-    /// While the configuration is stale, an unknown key gets a retryable answer, since it may have been added meanwhile.
+    /// While the configuration is stale, an unknown key gets a retryable answer, since it may have been added
+    /// meanwhile.
     fn reject(
         &self,
         cause: ErrorCause,
--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the target of the last send, or `-` if there was none.
+    /// Returns the target that was chosen last, or `-` if there was none.
     pub fn last_target(&self) -> &str {
         let chosen = self.steps.iter().rev().find_map(|(_, step)| match step {
             TraceStep::Chosen { target, .. } => Some(&**target),
@@ -87,7 +87,7 @@
         chosen.unwrap_or("-")
     }
 
-    /// Returns the version of the adapter for the last send.
+    /// Returns the adapter version of the last choice.
     pub fn last_version(&self) -> Option<ExpectedVersion> {
         self.steps.iter().rev().find_map(|(_, step)| match step {
             TraceStep::Chosen { version, .. } => *version,
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Returns the time from the arrival to the last send; zero if there was none.
+    /// Returns the time from the arrival to the last choice of a target; zero if there was none.
     pub fn time_to_last_send(
         &self,
         arrived: Instant,
@@ -107,7 +107,8 @@
         sent.map_or(Duration::ZERO, |at| at.saturating_duration_since(arrived))
     }
 
-    /// Returns the time from the arrival to the last send, or `None` if the request did not wait or was not sent.
+    /// Returns the time from the arrival to the last choice of a target, or `None` if the request did not wait or no
+    /// target was chosen.
     pub fn time_waited(
         &self,
         arrived: Instant,
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -30,7 +30,7 @@
     Complete,
     CallerGone,
     DeadlineExceeded,
-    /// The target closed the connection within the answer, or the stream was invalid.
+    /// The target closed the connection in mid-answer, or the stream was invalid.
     Broken,
     /// The target sends nothing, neither for this stream nor for any other of this host.
     Silent,
