--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -16,5 +16,5 @@
     key_check::identify,
     permit_gate::acquire_permit,
     quota_gate::{QuotaCharge, charge},
-    slot_gate::{HeldSlot, SlotOutcome, acquire_slot},
+    slot_gate::{HeldSlot, SlotAcquisition, acquire_slot},
 };
--- a/src/connection/front/admission/slot_gate.rs
+++ b/src/connection/front/admission/slot_gate.rs
@@ -16,7 +16,7 @@
 const SLOT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Result of a slot request.
-pub enum SlotOutcome {
+pub enum SlotAcquisition {
     Acquired(HeldSlot),
     /// No target has a free slot; the caller should retry after this time.
     Full {
@@ -47,7 +47,7 @@
     board: &Rc<RefCell<TargetBoard>>,
     request: &CallRequest,
     tried: &[String],
-) -> SlotOutcome {
+) -> SlotAcquisition {
     let now = Instant::now();
     let id = rand::random();
     let service = &request.service.name;
@@ -62,7 +62,7 @@
         let board = board.borrow();
         let pending = board.places.start(id);
         if !board.ask_place(slot_request) {
-            return SlotOutcome::Unavailable;
+            return SlotAcquisition::Unavailable;
         }
         pending
     };
@@ -74,13 +74,13 @@
     board: &Rc<RefCell<TargetBoard>>,
     service: &str,
     answer: Option<PlaceGiven>,
-) -> SlotOutcome {
+) -> SlotAcquisition {
     let Some(answer) = answer.filter(|answer| !answer.unknown) else {
-        return SlotOutcome::Unavailable;
+        return SlotAcquisition::Unavailable;
     };
     if answer.target.is_empty() {
         let retry_after = Duration::from_millis(u64::from(answer.come_back_ms));
-        return SlotOutcome::Full { retry_after };
+        return SlotAcquisition::Full { retry_after };
     }
     let slot = HeldSlot {
         board: board.clone(),
@@ -92,8 +92,8 @@
     // The allocator may know a target before this host does.
     let known = board.borrow().links.contains_key(&slot.target);
     match known {
-        true => SlotOutcome::Acquired(slot),
-        false => SlotOutcome::Unavailable,
+        true => SlotAcquisition::Acquired(slot),
+        false => SlotAcquisition::Unavailable,
     }
 }
 
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -3,8 +3,8 @@
         AnswerBody, ErrorCause, LocalAnswer,
         adapter_waiter::AdapterWaiter,
         admission::{
-            FreshnessCheck, HeldSlot, QuotaCharge, STALE_RETRY_AFTER, SlotOutcome, acquire_permit,
-            acquire_slot, charge, wait_until_fresh,
+            FreshnessCheck, HeldSlot, QuotaCharge, STALE_RETRY_AFTER, SlotAcquisition,
+            acquire_permit, acquire_slot, charge, wait_until_fresh,
         },
         attempts::Attempts,
         chooser::{Choice, Chooser},
@@ -374,12 +374,12 @@
         let outcome = acquire_slot(&self.board, request, &attempts.tried).await;
         let now = Instant::now();
         match outcome {
-            SlotOutcome::Acquired(slot) => {
+            SlotAcquisition::Acquired(slot) => {
                 let choice = self.chooser.choose_slot(attempts, &slot.target, now);
                 (choice, Some(slot))
             }
-            SlotOutcome::Full { retry_after } => (Choice::Reject(retry_after), None),
-            SlotOutcome::Unavailable => (self.chooser.choose(request, attempts, now), None),
+            SlotAcquisition::Full { retry_after } => (Choice::Reject(retry_after), None),
+            SlotAcquisition::Unavailable => (self.chooser.choose(request, attempts, now), None),
         }
     }
 
