--- a/src/connection/targets/adapter_demand.rs
+++ b/src/connection/targets/adapter_demand.rs
@@ -3,13 +3,13 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// Time after which half of a past request is forgotten.
+/// Half-life of a request in the count.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Adapters that are counted; the quietest are dropped beyond that.
+/// Counted adapters beyond which rarely requested ones are evicted.
 const MAX_ADAPTERS: usize = 4096;
 
-/// Counts below this are dropped when room is made.
+/// Counts below this are evicted when the table is full.
 const QUIET: f64 = 0.25;
 
 #[derive(Debug, Clone, Copy)]
@@ -18,14 +18,14 @@
     at: Instant,
 }
 
-/// How often each adapter was asked for through this host lately.
+/// Exponentially decaying request counts of adapters on this host.
 #[derive(Debug, Default)]
 pub struct AdapterDemand {
     counts: HashMap<String, Count>,
 }
 
 impl AdapterDemand {
-    /// A request asks for an adapter.
+    /// Counts a request for an adapter.
     pub fn on_request(
         &mut self,
         adapter: &str,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Requests of the last seconds; recent ones count more.
+    /// Returns the decayed number of recent requests for an adapter.
     pub fn recent(
         &self,
         adapter: &str,
--- a/src/connection/targets/adapter_map.rs
+++ b/src/connection/targets/adapter_map.rs
@@ -6,31 +6,31 @@
     },
 };
 
-/// Time after which a holder that was asked and did not answer is asked again.
+/// Time after which an unanswered request to a holder is sent again.
 const ASK_AGAIN: Duration = Duration::from_millis(60);
 
-/// Asks without an answer after which the holder counts as silent.
+/// Unanswered requests after which the holder counts as unresponsive.
 const MAX_ASKS: u32 = 4;
 
-/// Time for which a silent holder's engine is passed over.
+/// Time for which the engine of an unresponsive holder is skipped.
 const SILENT_PAUSE: Duration = Duration::from_millis(1500);
 
-/// An adapter's copy at one engine, as its holder last told.
+/// An adapter's copy at one engine, as last reported by the engine's holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdapterCopy {
     pub version: u64,
     pub state: CopyState,
-    /// The engine went on holding this older version when it was asked for a newer one and had no place for
-    /// it: streams on it had not ended.
+    /// The older version that the engine still holds because it has no free slot for a newer one while streams
+    /// use the older.
     pub older: Option<u64>,
-    /// Requests for it that started there lately, through all hosts, as last told.
+    /// Requests for it that recently started there, through all hosts, as last reported.
     pub uses: u32,
     asked: Option<Instant>,
     asks: u32,
 }
 
 impl AdapterCopy {
-    /// The version that requests find there now, if there is one.
+    /// Returns the version that is loaded now, if any.
     pub fn held(&self) -> Option<u64> {
         match self.state {
             CopyState::Ready => Some(self.version),
@@ -39,17 +39,17 @@
     }
 }
 
-/// Where adapters are, as far as this host was told.
+/// Placement of adapters on engines, as reported to this host.
 #[derive(Debug, Default)]
 pub struct AdapterMap {
     /// By `MODEL/ADAPTER`, then by the engine's id.
     copies: HashMap<String, HashMap<String, AdapterCopy>>,
-    /// Adapters that each engine held lately, the latest last.
+    /// Adapters that each engine recently unloaded, the latest last.
     remembered: HashMap<String, VecDeque<String>>,
 }
 
 impl AdapterMap {
-    /// The copy of an adapter at an engine, if anything is known of it.
+    /// Returns the copy of an adapter at an engine, if anything is known of it.
     pub fn get(
         &self,
         adapter: &str,
@@ -58,7 +58,7 @@
         self.copies.get(adapter)?.get(target)
     }
 
-    /// Engines of which it is known how the adapter stands there.
+    /// Returns the number of engines whose state for the adapter is known.
     pub fn known(
         &self,
         adapter: &str,
@@ -66,7 +66,7 @@
         self.copies.get(adapter).map_or(0, HashMap::len)
     }
 
-    /// The holder told where an adapter stands.
+    /// Records an adapter's state at an engine, as reported by the engine's holder.
     pub fn set(
         &mut self,
         adapter: &str,
@@ -88,7 +88,7 @@
         self.entry(adapter).insert(target.to_string(), copy);
     }
 
-    /// An adapter is gone from an engine, which remembers so many.
+    /// Records that an engine has unloaded an adapter; the engine remembers up to `remembered` unloaded adapters.
     pub fn set_gone(
         &mut self,
         adapter: &str,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Requests for an adapter that started lately, as far as holders told.
+    /// Returns the requests for an adapter that recently started, summed over engines.
     pub fn uses(
         &self,
         adapter: &str,
@@ -128,7 +128,7 @@
         copies.map_or(0, |copies| copies.values().map(|copy| copy.uses).sum())
     }
 
-    /// An engine that was just listed says that it holds these models.
+    /// Records the models that a newly listed engine reports as loaded.
     pub fn assume_held(
         &mut self,
         target: &str,
@@ -142,7 +142,8 @@
         }
     }
 
-    /// The holder is to be asked; false if it was asked a moment ago.
+    /// Records a request to the holder for an adapter; returns false if the request must not be sent now, because
+    /// one is outstanding or the holder is unresponsive.
     pub fn ask(
         &mut self,
         adapter: &str,
@@ -193,7 +194,7 @@
         }
     }
 
-    /// An engine is gone, or has started anew.
+    /// Drops all state of an engine that is gone or has restarted.
     pub fn forget_target(
         &mut self,
         target: &str,
@@ -212,6 +213,6 @@
         if !self.copies.contains_key(adapter) {
             self.copies.insert(adapter.to_string(), HashMap::new());
         }
-        self.copies.get_mut(adapter).expect("it was just put there")
+        self.copies.get_mut(adapter).expect("inserted above")
     }
 }
--- a/src/connection/targets/belief_ages.rs
+++ b/src/connection/targets/belief_ages.rs
@@ -1,26 +1,25 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// Ages are told of once in such a time.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Share of its bound from which on an age is told of: copies that are read in time are younger than six
-/// tenths, most of them than three.
+/// Fraction of its bound above which a staleness is reported.
 const TOLD_SHARE: f64 = 0.6;
 
-/// How old what requests rest on may be.
+/// Maximum staleness of the table replicas that requests depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BeliefBounds {
-    /// The configuration, when a caller sends a request that is routed by it.
+    /// Of the configuration, when a request is routed by it.
     pub declared: Duration,
-    /// The configuration, when a request is sent for a customer's key that may have been taken away.
+    /// Of the configuration, when a request is sent for a customer's key that may have been revoked.
     pub revoke: Duration,
-    /// The list of targets, when a request reaches one.
+    /// Of the list of targets, when a request reaches one.
     pub targets: Duration,
-    /// An adapter's version after its successor was acknowledged, when a request begins on it.
+    /// Time after the acknowledgement of an adapter version's successor within which requests may still begin on
+    /// the version.
     pub version: Duration,
 }
 
-/// The largest ages of what requests rested on within a period.
+/// The largest staleness of each table within a reporting interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LargestAges {
     pub declared: Duration,
@@ -37,8 +36,7 @@
     }
 }
 
-/// Watches how old the tables are that requests rest on, so that a bound which is only just kept is seen
-/// before it is broken.
+/// Tracks the staleness of the tables that requests depend on, to report it before it exceeds a bound.
 #[derive(Debug)]
 pub struct BeliefAges {
     bounds: BeliefBounds,
@@ -58,7 +56,7 @@
         }
     }
 
-    /// A request is routed by a configuration of this age.
+    /// Records that a request was routed by a configuration of this age.
     pub fn on_routed(
         &mut self,
         age: Duration,
@@ -66,7 +64,7 @@
         self.largest.declared = self.largest.declared.max(age);
     }
 
-    /// A request is sent by a list of targets of this age.
+    /// Records that a request was sent by a list of targets of this age.
     pub fn on_sent(
         &mut self,
         age: Duration,
@@ -74,7 +72,7 @@
         self.largest.targets = self.largest.targets.max(age);
     }
 
-    /// The largest ages of the period that is over, if they are worth a line.
+    /// Ends the interval if it is over; returns its largest staleness if that is near a bound.
     pub fn end_period(
         &mut self,
         now: Instant,
--- a/src/connection/targets/board_adapters.rs
+++ b/src/connection/targets/board_adapters.rs
@@ -1,4 +1,4 @@
-//! Where adapters are, where they settle, and what is asked of the holders of engines.
+//! Adapter placement: preferred engines, and load requests to the holders of engines.
 
 use {
     super::{AdapterAsk, ControlRequest, ServiceTarget, TargetBoard, target_board::Waiting},
@@ -12,17 +12,18 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// Adapters that an engine is thought to remember, as a multiple of its places.
+/// Unloaded adapters that an engine is assumed to remember, per adapter slot.
 const REMEMBERED_PER_SLOT: usize = 4;
 
-/// An engine that can't take an adapter is not asked again for so long.
+/// Time for which an engine without a free adapter slot is not asked again.
 const FULL_PAUSE: Duration = Duration::from_millis(400);
 
 impl TargetBoard {
-    /// The engines that hold an adapter, or on which it settles, in the order in which it does; the
-    /// order is the same on every host. At most `places` that do not hold it are among them; as long
-    /// as there are others, engines in need and those without a base model are passed over, and on a small site those
-    /// without a holder.
+    /// Returns the engines that hold an adapter or should load it, in rendezvous-hash order, which is the same on
+    /// every host.
+    ///
+    /// At most `places` of them don't hold it. Engines that are limited or unavailable or have no base model, and on a
+    /// small site those without a holder, are skipped unless there are no others.
     pub fn settle_order(
         &self,
         service: &str,
@@ -39,7 +40,7 @@
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         let may_load = |target: &ServiceTarget| {
             let view = &self.links[&target.id].view;
-            // On a large site nobody knows what an engine without a holder holds.
+            // A large site broadcasts no adapter states, so that engines without a holder are candidates too.
             let loads = view.holder.is_some() || self.asks_before_sends();
             let in_need = self.openness(&target.id, now) != Openness::Open;
             loads && !in_need && !view.record.is_empty
@@ -57,7 +58,7 @@
         order
     }
 
-    /// A holder told where an adapter stands.
+    /// Handles a holder's report of an adapter's state at its engine.
     pub fn on_placement(
         &mut self,
         placement: &Placement,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// A holder told of an adapter that it would have to load, and how long that would take.
+    /// Records the load time that a holder estimated for an adapter that is not loaded.
     fn note_load_time(
         &mut self,
         placement: &Placement,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A holder told that an adapter is not there.
+    /// Handles a holder's report that its engine does not hold an adapter.
     fn on_gone(
         &mut self,
         placement: &Placement,
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Asks the holder of an engine for an adapter, unless it was asked a moment ago; true if it is asked.
+    /// Requests an adapter from the holder of an engine; returns false if no request was sent, because there is no
+    /// holder or a request is outstanding.
     pub fn ask(
         &mut self,
         ask: &AdapterAsk,
@@ -157,7 +159,7 @@
         true
     }
 
-    /// An engine said that it does not hold an adapter.
+    /// Handles an engine's answer that it does not hold an adapter.
     pub fn on_missing(
         &mut self,
         adapter: &str,
@@ -170,7 +172,7 @@
         });
     }
 
-    /// A request begins to wait for an adapter.
+    /// Registers a request that waits for an adapter; the returned `Notify` wakes it on each update.
     pub fn start_waiting(
         &mut self,
         adapter: &str,
@@ -186,7 +188,7 @@
         waiting.news.clone()
     }
 
-    /// A request waits no longer.
+    /// Unregisters a request that waited for an adapter.
     pub fn stop_waiting(
         &mut self,
         adapter: &str,
--- a/src/connection/targets/board_beliefs.rs
+++ b/src/connection/targets/board_beliefs.rs
@@ -1,4 +1,4 @@
-//! What requests rest on: how old it may be, and how old it was.
+//! Staleness checks of the table replicas that requests depend on, and their reporting.
 
 use {
     super::{
@@ -14,13 +14,11 @@
     tokio::sync::Notify,
 };
 
-/// What is kept back of the bound for keys that are taken away: the way to the target (0.2 s), and what a copy may
-/// be older than it seems. That is the time for which a message waits on its way before its sender has answered
-/// a ping, on full links.
+/// Margin below the bound for revoked keys: covers the time to send a request to its target, and the delay of
+/// messages on congested links, by which a replica can be older than it appears.
 const KEY_MARGIN: Duration = Duration::from_millis(1_000);
 
 impl TargetBoard {
-    /// The tables behind the view are known to be right as of other times.
     pub fn set_confirmation(
         &mut self,
         confirmation: Confirmation,
@@ -29,17 +27,16 @@
         self.confirmation_news.notify_waiters();
     }
 
-    /// How well the tables behind the view are known to be right.
     pub fn confirmation(&self) -> &Confirmation {
         &self.confirmation
     }
 
-    /// Wakes when more is known of the age of what requests rest on.
+    /// Returns the `Notify` that wakes waiters when the freshness of the replicas has been updated.
     pub fn confirmation_news(&self) -> Rc<Notify> {
         self.confirmation_news.clone()
     }
 
-    /// True if the configuration is young enough to route requests by.
+    /// Returns true if the configuration is fresh enough to route requests.
     pub fn allows_routing(
         &self,
         now: Instant,
@@ -48,7 +45,7 @@
         self.confirmation.declared.allows_sends(bound, now)
     }
 
-    /// True if the list of targets is young enough to send requests by.
+    /// Returns true if the list of targets is fresh enough to send requests.
     pub fn allows_sends(
         &self,
         now: Instant,
@@ -57,7 +54,7 @@
         self.confirmation.targets.allows_sends(bound, now)
     }
 
-    /// True if what is known of adapters' versions is young enough to send requests by.
+    /// Returns true if the known adapter versions are fresh enough to send requests.
     pub fn allows_versions(
         &self,
         now: Instant,
@@ -65,9 +62,9 @@
         self.newest_serves_until().allows(Duration::ZERO, now)
     }
 
-    /// True if the configuration is young enough to take a customer's key for one that stands.
+    /// Returns true if the configuration is fresh enough to accept a customer's key as valid.
     ///
-    /// This holds whatever the host can reach: an outage of the store, which lets other beliefs go on, lifts nothing.
+    /// Unlike the other bounds, this one also holds during an outage of the store.
     pub fn allows_keys(
         &self,
         now: Instant,
@@ -76,7 +73,7 @@
         age.is_some_and(|age| age + KEY_MARGIN <= self.settings.bounds.revoke)
     }
 
-    /// True if the configuration is young enough to say that a key stands nowhere: it may have been added since.
+    /// Returns true if the configuration is fresh enough to reject an unknown key, which may have been added since.
     pub fn allows_unknown_keys(
         &self,
         now: Instant,
@@ -85,7 +82,7 @@
         age.is_some_and(|age| age <= self.settings.bounds.declared)
     }
 
-    /// How the key stands that a request was admitted by.
+    /// Returns the current status of the key with which a request was admitted.
     pub fn key_standing(
         &self,
         credential: &Credential,
@@ -100,7 +97,7 @@
         }
     }
 
-    /// The newest version of an adapter, as far as is known.
+    /// Returns the newest known version of an adapter.
     pub fn newest_version(
         &self,
         adapter: &str,
@@ -109,7 +106,7 @@
         history.map_or(1, VersionHistory::newest)
     }
 
-    /// Until when requests may begin on a version of an adapter.
+    /// Returns the deadline for requests to begin on a version of an adapter.
     pub fn serves_until(
         &self,
         adapter: &str,
@@ -124,7 +121,8 @@
         }
     }
 
-    /// A newer version may have been named right after this host last heard of any.
+    /// Returns the deadline for the newest known version: a newer one may have been published right after the
+    /// configuration was last confirmed.
     fn newest_serves_until(&self) -> ServesUntil {
         let bound = self.settings.bounds.version;
         let declared = &self.confirmation.declared;
@@ -134,7 +132,7 @@
         }
     }
 
-    /// A request is routed by the configuration as it is known here.
+    /// Records the staleness of the configuration for a request that is routed.
     pub fn note_routed(
         &mut self,
         now: Instant,
@@ -145,7 +143,7 @@
         }
     }
 
-    /// A request is sent by the list of targets as it is known here.
+    /// Records the staleness of the list of targets for a request that is sent.
     pub fn note_sent(
         &mut self,
         now: Instant,
@@ -156,7 +154,7 @@
         }
     }
 
-    /// The largest ages of what requests rested on, once a second if they come near their bounds.
+    /// Returns the largest staleness of the last interval, once per interval if it is near a bound.
     pub fn largest_ages(
         &mut self,
         now: Instant,
--- a/src/connection/targets/board_counting.rs
+++ b/src/connection/targets/board_counting.rs
@@ -1,4 +1,4 @@
-//! What other hosts count: customers' use, places at plain targets, and repeats.
+//! Requests to the hosts that count customers' usage, concurrency slots of plain targets, and repeat budgets.
 
 use {
     super::{ControlRequest, TargetBoard},
@@ -11,7 +11,8 @@
 };
 
 impl TargetBoard {
-    /// Asks the host that counts a part of a customer's use; false if nobody is known to.
+    /// Requests a charge from the host that counts a part of a customer's usage; returns false if no such host is
+    /// known.
     pub fn ask_charge(
         &self,
         ask: ChargeAsk,
@@ -23,7 +24,7 @@
         true
     }
 
-    /// Asks for a place at a target of a plain service; false if nobody is known to give any out.
+    /// Requests a concurrency slot at a target of a plain service; returns false if no allocating host is known.
     pub fn ask_place(
         &self,
         wanted: PlaceWanted,
@@ -35,7 +36,7 @@
         true
     }
 
-    /// Tells the host that gives out places that one is free again.
+    /// Returns a concurrency slot to the host that allocated it.
     pub fn end_place(
         &self,
         ended: PlaceEnded,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Tells the host that counts a part of a customer's use that some is not used after all.
+    /// Returns an unused part of a charge to the host that counts it.
     pub fn refund(
         &self,
         refund: ChargeRefund,
@@ -62,7 +63,7 @@
         self.slot_holder(slot_for(service, 0))
     }
 
-    /// The host that holds a slot, if one does that answers.
+    /// Returns the host that holds a hash slot, if one does and is reachable.
     fn slot_holder(
         &self,
         slot: usize,
@@ -71,7 +72,7 @@
         holder.copied().flatten()
     }
 
-    /// The budget of repeats of a service.
+    /// Returns the repeat budget of a service.
     pub fn budget(
         &mut self,
         service: &str,
@@ -79,7 +80,7 @@
         self.budgets.of(service)
     }
 
-    /// Asks other hosts for parts of their allowance of a service, if this host needs some.
+    /// Requests loans of repeat budget from other hosts if this host's budget for a service runs low.
     pub fn ask_for_loans(
         &mut self,
         service: &str,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Does what is due about the budgets of repeats: asks for loans, and tells how they stand.
+    /// Requests the loans that repeat budgets need, and reports the state of the budgets when that is due.
     pub fn look_at_budgets(
         &mut self,
         now: Instant,
@@ -101,7 +102,7 @@
         self.budgets.tell(now);
     }
 
-    /// A loan has come.
+    /// Handles another host's loan of repeat budget.
     pub fn on_loan(
         &mut self,
         loan: &Loan,
@@ -110,14 +111,14 @@
         self.budgets.on_loan(loan, now);
     }
 
-    /// Another host asks for a loan.
+    /// Handles another host's request for a loan of repeat budget.
     pub fn on_loan_ask(
         &mut self,
         to: SocketAddr,
         ask: &LoanAsk,
         now: Instant,
     ) {
-        // Hosts with another configuration may name services that this one does not know.
+        // Hosts with another configuration may send services that are unknown here.
         if self.view.routing.service(&ask.service).is_none() {
             return;
         }
--- a/src/connection/targets/board_notices.rs
+++ b/src/connection/targets/board_notices.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves, and leave to send to those that take only so many requests.
+//! Availability of targets by their own notices, and permits for rate-limited targets.
 
 use {
     super::{Closing, ControlRequest, TargetBoard},
@@ -7,7 +7,7 @@
 };
 
 impl TargetBoard {
-    /// Whether a target may get a request of this host now, by what it says of itself.
+    /// Returns a target's availability to this host by its notices.
     pub fn openness(
         &self,
         target: &str,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// True if a target has said that this host must not send there now, whatever leave it has.
+    /// Returns true if a target's notices forbid requests now, even with a permit.
     pub fn forbids(
         &self,
         target: &str,
@@ -28,7 +28,7 @@
         !self.notices.is_quiet() && self.notices.forbids(target, self.started(target), now)
     }
 
-    /// When the first of these targets opens, if all of them are closed to this host now and one will open.
+    /// Returns when the first of these targets becomes available; `None` if one is available now or none will be.
     pub fn first_opening<'a>(
         &self,
         targets: impl Iterator<Item = &'a Arc<str>>,
@@ -46,7 +46,7 @@
         closings?.into_iter().filter_map(opening).min()
     }
 
-    /// A target is left alone until then.
+    /// Marks a target as unavailable to this host until a time.
     pub fn close(
         &mut self,
         target: &Arc<str>,
@@ -56,7 +56,7 @@
         self.notices.close(target, start, until);
     }
 
-    /// Asks the host that counts what a target gets for leave to send one request there.
+    /// Requests a permit to send one request to a target from the host that allocates its permits.
     pub fn ask_permit(
         &self,
         id: u64,
--- a/src/connection/targets/confirmation.rs
+++ b/src/connection/targets/confirmation.rs
@@ -1,21 +1,20 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// Time from the last look at the age of a belief until the request that rests on it has reached its
-/// target, at the most. A host looks right before it writes the request to an open connection; the
-/// rest is the way there (some milliseconds) and the other host's or this one's wait for a processor.
+/// Maximum time from the last staleness check of a request until the request reaches its target: network transit
+/// and scheduling delays.
 pub const SEND_MARGIN: Duration = Duration::from_millis(200);
 
-/// How well one table's copy is known to be right.
+/// Freshness of one table's replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TableConfirmation {
-    /// The copy was last known to be right at this time; `None` before the first read.
+    /// When the replica was last confirmed to be current; `None` before the first read.
     pub right_at: Option<Instant>,
-    /// This host has asked the store since then, and it did not answer.
+    /// The store has not answered this host since then.
     pub store_failed: bool,
 }
 
 impl TableConfirmation {
-    /// Time since the copy was known to be right.
+    /// Returns the time since the replica was confirmed; `None` before the first read.
     pub fn age(
         &self,
         now: Instant,
@@ -23,8 +22,8 @@
         self.right_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// True if a request may be sent on it: it is young enough to arrive within `bound`, or nothing
-    /// newer can be had.
+    /// Returns true if a request that depends on the replica may be sent: it arrives within `bound`, or the store
+    /// is unreachable or not yet read.
     pub fn allows_sends(
         &self,
         bound: Duration,
@@ -35,11 +34,11 @@
     }
 }
 
-/// How well the tables that requests rest on are known to be right.
+/// Freshness of the table replicas that requests depend on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Confirmation {
-    /// What operators declare.
+    /// The configuration that operators declare.
     pub declared: TableConfirmation,
-    /// What targets record of themselves.
+    /// The list of targets.
     pub targets: TableConfirmation,
 }
--- a/src/connection/targets/control_request.rs
+++ b/src/connection/targets/control_request.rs
@@ -9,56 +9,56 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What requests ask of the control thread.
+/// A message from the request threads to the control thread.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlRequest {
-    /// Ask the holder of an engine for an adapter.
+    /// Request an adapter from the holder of an engine.
     Want { holder: SocketAddr, want: Want },
-    /// Tell the holder of an engine what is sent there.
+    /// Report this host's usage of an engine to the engine's holder.
     Usage { holder: SocketAddr, usage: Usage },
-    /// Ask the holder of an engine how it stands.
+    /// Query the status of an engine from its holder.
     Query {
         holder: SocketAddr,
         query: EngineQuery,
     },
-    /// An engine does not hold an adapter that its holder said it holds.
+    /// Report that an engine does not hold an adapter that its holder lists as loaded.
     Missing { target: String, adapter: String },
-    /// Ask one host, whichever comes next, for a part of its allowance of repeats.
+    /// Request a loan of repeat budget from the next host in turn.
     AskLoan(LoanAsk),
-    /// A request ended targets, or got a whole answer after all.
+    /// Report that a request crashed targets, or got a complete answer.
     Poison(PoisonReport),
-    /// Ask the host that counts a customer's use.
+    /// Request a charge from the host that counts a customer's usage.
     Charge { to: SocketAddr, ask: ChargeAsk },
-    /// Ask the host that gives out the places of a plain service for one.
+    /// Request a concurrency slot of a plain service from the host that allocates them.
     WantPlace { to: SocketAddr, wanted: PlaceWanted },
-    /// An answer of a target says something new of it.
+    /// Publish the changed notices of a target.
     Heard {
         target: String,
         notices: TargetNotices,
     },
-    /// Ask the host that counts what a target gets for leave to send one request there.
+    /// Request a permit to send one request to a target.
     WantPermit(PermitAsk),
-    /// Tell it that a place is free again.
+    /// Release a concurrency slot at the host that allocated it.
     EndPlace { to: SocketAddr, ended: PlaceEnded },
-    /// Tell it that some of what it granted is not used.
+    /// Return an unused part of a charge.
     Refund {
         to: SocketAddr,
         refund: ChargeRefund,
     },
-    /// Lend a host a part of this one's allowance.
+    /// Lend a part of this host's repeat budget to another host.
     GiveLoan { to: SocketAddr, loan: Loan },
 }
 
-/// What is asked of the holder of an engine.
+/// A request for an adapter to the holder of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdapterAsk<'a> {
     /// `MODEL/ADAPTER`.
     pub adapter: &'a str,
     pub target: &'a str,
-    /// Oldest version that serves.
+    /// Minimum version.
     pub version: u64,
-    /// There is a copy elsewhere, which only is busy.
+    /// The adapter is loaded on another engine, which is busy: the load is optional.
     pub spare: bool,
-    /// A load that takes longer is of no use to the request.
+    /// Load deadline: a slower load is of no use to the request.
     pub patience: Duration,
 }
--- a/src/connection/targets/crash_watch.rs
+++ b/src/connection/targets/crash_watch.rs
@@ -11,50 +11,50 @@
     },
 };
 
-/// Targets that broke answers off within this time of one another may have ended by the same cause, such as a loss
+/// Targets that broke off answers within this time of one another may have failed for a shared cause, such as a loss
 /// of power.
 const SAME_TIME: Duration = Duration::from_millis(300);
 
-/// Lost answers that are remembered: those of a whole hall within the time above on a small host.
+/// Recent lost answers that are retained.
 const MAX_LOSSES: usize = 256;
 
-/// Requests that are accused of one target's end, at the most: its whole batch.
+/// Maximum suspect requests for the crash of one target.
 const MAX_ACCUSED: usize = 64;
 
-/// Targets that are looked at, at the most. When more end at once through one host, hardly a request did it; and each end is told
-/// to all hosts: were 800 targets of a site with 300 hosts lost at once, each host would get 1,200 messages, not 10,000.
+/// Maximum targets that are probed at a time: when more fail at once, a request is hardly the cause, and each crash is
+/// reported to all hosts.
 const MAX_LOOKED_AT: usize = 4;
 
-/// A start of a target.
+/// One incarnation of a target.
 pub type TargetRun = (Arc<str>, Option<TargetStart>);
 
-/// A request that a target may have ended under.
+/// A request that may have crashed a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Accused {
     pub fingerprint: Fingerprint,
-    /// As its caller named it, for logs.
+    /// Request id set by the caller, for logs.
     pub id: String,
-    /// It had begun there, as far as can be told.
+    /// The target had probably begun to process it.
     pub begun: bool,
 }
 
-/// What this host's requests have seen of targets that end, and how requests stand that end them.
+/// Tracks targets that crash, and the requests that may have crashed them.
 #[derive(Debug, Default)]
 pub struct CrashWatch {
     standings: HashMap<Fingerprint, Standing>,
-    /// Targets that broke an answer off, the last one at the end.
+    /// Targets that broke off an answer, oldest first.
     losses: VecDeque<(Instant, Arc<str>)>,
-    /// Requests that had just begun at targets that are looked at.
+    /// Suspect requests of the targets that are being probed.
     accused: HashMap<TargetRun, Vec<Accused>>,
 }
 
 impl CrashWatch {
-    /// True if nothing speaks against any request: none need be looked up.
+    /// Returns true if no request is suspected, so that none need be looked up.
     pub fn is_quiet(&self) -> bool {
         self.standings.is_empty() && self.accused.is_empty()
     }
 
-    /// True if targets have ended under a request, or may have a moment ago.
+    /// Returns true if a request has crashed targets, or is suspected of it.
     pub fn is_suspected(
         &self,
         fingerprint: &Fingerprint,
@@ -64,7 +64,7 @@
         self.standings.contains_key(fingerprint) || accused.any(is_it)
     }
 
-    /// What is thought of a request; `None` if nothing speaks against it.
+    /// Returns the status of a request; `None` if it has crashed no target.
     pub fn standing(
         &self,
         fingerprint: &Fingerprint,
@@ -72,7 +72,6 @@
         self.standings.get(fingerprint).copied()
     }
 
-    /// A request stands otherwise from now on.
     pub fn set_standing(
         &mut self,
         fingerprint: Fingerprint,
@@ -84,7 +83,7 @@
         };
     }
 
-    /// A target broke an answer off.
+    /// Records that a target broke off an answer.
     pub fn on_loss(
         &mut self,
         target: &Arc<str>,
@@ -96,7 +95,7 @@
         self.losses.push_back((now, target.clone()));
     }
 
-    /// A request was lost as a target had just begun it; true if the target must be looked at.
+    /// Adds a suspect that was lost at a target; returns true if the caller must probe the target.
     pub fn accuse(
         &mut self,
         run: &TargetRun,
@@ -115,7 +114,7 @@
         true
     }
 
-    /// The look at a target is over; gives the requests that had just begun there.
+    /// Ends the probe of a target and returns its suspects.
     pub fn take_accused(
         &mut self,
         run: &TargetRun,
@@ -123,7 +122,7 @@
         self.accused.remove(run).unwrap_or_default()
     }
 
-    /// True if no other target broke answers off at about this time.
+    /// Returns true if no other target broke off answers at about this time.
     pub fn was_alone(
         &self,
         target: &str,
--- a/src/connection/targets/fleet_view.rs
+++ b/src/connection/targets/fleet_view.rs
@@ -8,28 +8,28 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetView {
     pub record: Arc<TargetRecord>,
-    /// The host that gives orders to it, if one does that answers.
+    /// The host that controls it, if one does and is reachable.
     pub holder: Option<SocketAddr>,
-    /// Its entry has vanished: it gets requests until then.
+    /// Set when its entry has vanished: it gets requests until then.
     pub usable_until: Option<Instant>,
 }
 
-/// What the control thread knows and requests rest on; replaced as a whole.
+/// The control thread's snapshot of the fleet that requests depend on; always replaced as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct FleetView {
     /// Version 0 means that no configuration is known yet.
     pub routing: Arc<RoutingTable>,
-    /// By id; those that leave or are gone are not among them.
+    /// By id, without targets that are leaving or gone.
     pub targets: HashMap<String, Arc<TargetView>>,
-    /// Of adapters that have more than one version, by `MODEL/ADAPTER`.
+    /// By `MODEL/ADAPTER`, of adapters with more than one version.
     pub versions: Arc<HashMap<String, VersionHistory>>,
-    /// The hosts that count customers' use and give out places at plain targets, by slot; empty where no customer has a
-    /// limit.
+    /// By hash slot, the hosts that count customers' usage and allocate concurrency slots of plain targets; empty if
+    /// no customer has a limit.
     pub slot_holders: Vec<Option<SocketAddr>>,
-    /// Hosts that answer, this one included.
+    /// Reachable hosts, including this one.
     pub hosts: usize,
-    /// Hosts that were known within a long time, those that don't answer included.
+    /// Recently known hosts, including unreachable ones.
     pub known_hosts: usize,
-    /// How well the tables behind this are known to be right.
+    /// Freshness of the table replicas behind this snapshot.
     pub confirmation: Confirmation,
 }
--- a/src/connection/targets/key_standing.rs
+++ b/src/connection/targets/key_standing.rs
@@ -1,11 +1,11 @@
-/// How the key stands that a request was admitted by, right before the request is sent.
+/// Status of the key with which a request was admitted, right before the request is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyStanding {
     Valid,
-    /// It was taken away.
+    /// Revoked or unknown.
     Gone,
-    /// It belongs to another customer now.
+    /// Now belongs to another customer.
     Moved,
-    /// The configuration is too old to say so.
+    /// The configuration is too old to confirm the key.
     Unconfirmed,
 }
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -1,4 +1,4 @@
-//! Targets as requests see them: connections, requests in flight, failures, and where adapters are.
+//! The request threads' view of targets: connections, requests in flight, failures and adapter placement.
 
 mod adapter_demand;
 mod adapter_map;
--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_watch.rs
@@ -14,26 +14,26 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// A header that makes no sense is told of again after this time.
+/// Minimum time between log lines about unreadable headers of one target.
 const UNREADABLE_PAUSE: Duration = Duration::from_secs(60);
 
-/// Targets whose senseless headers are remembered; beyond it each one is told of.
+/// Targets for which these log lines are rate-limited; beyond it each unreadable header is logged.
 const MAX_UNREADABLE: usize = 1024;
 
-/// For how long a target takes no request of this host.
+/// How long a target is unavailable to this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Closing {
     Until(Instant),
     ForGood,
 }
 
-/// What targets say of themselves, as the requests of this host hear it.
+/// Tracks the notices of targets in the answers to this host's requests.
 pub struct NoticeWatch {
     book: NoticeBook,
-    /// Targets that this host leaves alone for a moment, until when, and of which start that holds.
+    /// Targets that this host avoids: the incarnation and the end of the backoff.
     closed: HashMap<Arc<str>, (Option<TargetStart>, Instant)>,
     control: flume::Sender<ControlRequest>,
-    /// Targets whose headers made no sense, and when that was told last.
+    /// Targets with unreadable headers, and when that was last logged.
     unreadable: HashMap<Arc<str>, Instant>,
 }
 
@@ -47,12 +47,12 @@
         }
     }
 
-    /// True while no target is in need.
+    /// Returns true if no target has notices.
     pub fn is_quiet(&self) -> bool {
         self.book.is_empty()
     }
 
-    /// Whether a target may get a request of this host now.
+    /// Returns the availability of a target to this host.
     pub fn openness(
         &self,
         target: &str,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// True if a target has said that this host must not send there now.
+    /// Returns true if a target's notices forbid requests now.
     pub fn forbids(
         &self,
         target: &str,
@@ -80,7 +80,7 @@
         said.is_some_and(|said| said.leaves || said.rests(now).is_some())
     }
 
-    /// Until when a target is closed to this host, if it is.
+    /// Returns how long a target is unavailable to this host; `None` if it is available.
     pub fn closing(
         &self,
         target: &str,
@@ -99,7 +99,7 @@
         rests.max(closed).map(Closing::Until)
     }
 
-    /// A target is left alone until then.
+    /// Marks a target as unavailable to this host until a time.
     pub fn close(
         &mut self,
         target: &Arc<str>,
@@ -111,7 +111,7 @@
         self.closed.insert(target.clone(), (start, until));
     }
 
-    /// What is known of a start of a target, for another host; `None` if that is nothing.
+    /// Returns the notices of a target's incarnation as a message to another host; `None` if there are none.
     pub fn news_of(
         &self,
         target: &str,
@@ -122,7 +122,7 @@
         Some(TargetNews::of(target, said, now))
     }
 
-    /// Another host has heard what a target says.
+    /// Merges notices of a target that another host received.
     pub fn take(
         &mut self,
         target: &str,
@@ -132,7 +132,7 @@
         self.book.take(target, notices, now);
     }
 
-    /// Reads what the head of an answer says of its target; the request was sent at `sent`.
+    /// Reads the notices in an answer's head; `sent` is when the request was sent.
     pub fn on_answer(
         &mut self,
         target: &Arc<str>,
@@ -182,7 +182,7 @@
     }
 }
 
-/// Tells what a target says that it did not say before.
+/// Logs and counts a changed notice.
 fn tell(
     target: &str,
     news: &NoticeNews,
--- a/src/connection/targets/open_asks.rs
+++ b/src/connection/targets/open_asks.rs
@@ -3,7 +3,7 @@
     tokio::sync::oneshot,
 };
 
-/// Asks to other hosts that were not answered yet, by their ids; cheap to clone.
+/// Replies that are awaited from other hosts, by request id; cheap to clone.
 #[derive(Debug)]
 pub struct OpenAsks<A> {
     waiting: Rc<RefCell<HashMap<u64, oneshot::Sender<A>>>>,
@@ -18,7 +18,7 @@
 }
 
 impl<A> OpenAsks<A> {
-    /// Begins to wait for the answer to an ask.
+    /// Registers a request whose reply is awaited.
     pub fn start(
         &self,
         id: u64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// An answer has come; false if nobody waits for it any more.
+    /// Delivers a reply; returns false if it is no longer awaited.
     pub fn on_answer(
         &self,
         id: u64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// An ask that is under way; forgotten when dropped.
+/// A reply that is awaited; unregistered when dropped.
 pub struct OpenAsk<A> {
     id: u64,
     answer: oneshot::Receiver<A>,
@@ -51,7 +51,7 @@
 }
 
 impl<A> OpenAsk<A> {
-    /// The answer; `None` if it can't come any more.
+    /// Returns the reply; `None` if it can no longer arrive.
     pub async fn answer(&mut self) -> Option<A> {
         (&mut self.answer).await.ok()
     }
--- a/src/connection/targets/quota_book.rs
+++ b/src/connection/targets/quota_book.rs
@@ -8,7 +8,7 @@
     std::collections::BTreeMap,
 };
 
-/// Customers' use as this host's requests ask for it.
+/// Customers' quota usage through this host, and the charges it awaits from other hosts.
 #[derive(Debug, Default)]
 pub struct QuotaBook {
     customers: BTreeMap<String, CustomerUse>,
@@ -16,7 +16,7 @@
 }
 
 impl QuotaBook {
-    /// What is known here of a customer's use.
+    /// Returns the usage of a customer.
     pub fn of(
         &mut self,
         customer: &str,
@@ -26,13 +26,10 @@
             let known = CustomerUse::new(first_part);
             self.customers.insert(customer.to_string(), known);
         }
-        self.customers
-            .get_mut(customer)
-            .expect("it was just put there")
+        self.customers.get_mut(customer).expect("inserted above")
     }
 
-    /// The host that counts a part of a customer's use has answered. One that nobody waits for any more is passed over:
-    /// what it granted is lost to the customer, no more.
+    /// Delivers the answer to a charge; a late one is dropped, and what it granted is lost to the customer.
     pub fn on_answer(
         &self,
         answer: ChargeAnswer,
@@ -43,7 +40,7 @@
     }
 }
 
-/// Counts an ask whether a customer may use more, by what became of it.
+/// Counts a charge request by its outcome.
 pub fn count_ask(state: &'static str) {
     let labels = StateLabels { state };
     metrics().quota_asks.get_or_create(&labels).inc();
--- a/src/connection/targets/reading_speed.rs
+++ b/src/connection/targets/reading_speed.rs
@@ -1,27 +1,27 @@
 use std::time::Duration;
 
-/// Assumed until something was measured, in tokens a millisecond.
+/// Initial estimate, in tokens per millisecond.
 const ASSUMED: f64 = 15.0;
 
 const LEAST: f64 = 0.5;
 
-/// Weight of a new measurement.
+/// Weight of a new sample in the moving average.
 const WEIGHT: f64 = 0.05;
 
-/// Time that an engine needs besides reading the prompt, in milliseconds.
+/// Fixed time to the first event besides the prefill, in milliseconds.
 const FIXED_MS: f64 = 15.0;
 
-/// Prompts shorter than this tell little of the speed, in tokens.
+/// Shorter prompts are not sampled, as the fixed time dominates them.
 const LEAST_TOKENS: u64 = 400;
 
-/// Weight of a new prompt in what is known of their sizes: the last hundred or so count.
+/// Weight of a new prompt in the moving averages of prompt sizes.
 const SIZE_WEIGHT: f64 = 0.01;
 
-/// How fast the engines of a service read prompts, learnt from requests that found no backlog.
+/// Prefill throughput of a service's engines, estimated from requests that found no backlog.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReadingSpeed {
     tokens_per_ms: f64,
-    /// Mean size of prompts, and mean of its square.
+    /// Moving averages of prompt sizes and of their squares, in tokens.
     mean_tokens: f64,
     mean_square: f64,
 }
@@ -37,7 +37,7 @@
 }
 
 impl ReadingSpeed {
-    /// A prompt that found no backlog brought its first event after `time`.
+    /// Samples a prompt that found no backlog and whose first event came after `time`.
     pub fn on_first_event(
         &mut self,
         tokens: u64,
@@ -51,7 +51,7 @@
         self.tokens_per_ms += (speed - self.tokens_per_ms) * WEIGHT;
     }
 
-    /// A request with a prompt of this size came.
+    /// Records the size of a request's prompt, in tokens.
     pub fn on_prompt(
         &mut self,
         tokens: u32,
@@ -65,8 +65,9 @@
         self.mean_square += (tokens * tokens - self.mean_square) * weight;
     }
 
-    /// Size of the prompt that an engine is reading when another request arrives, in the mean: long
-    /// prompts are met more often than short ones.
+    /// Returns the expected size of the prompt in prefill when another request arrives, in tokens.
+    ///
+    /// The mean is weighted by size, as long prompts are met more often than short ones.
     pub fn prompt_in_reading(&self) -> u64 {
         match self.mean_tokens {
             0.0 => u64::MAX,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Expected time to read so many tokens.
+    /// Returns the expected time to the first event of a prompt of this many tokens.
     pub fn time_for(
         &self,
         tokens: u64,
--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -11,17 +11,16 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Time between two tellings of how budgets stand.
 const TELL_PERIOD: Duration = Duration::from_secs(1);
 
-/// Amounts travel in parts of a repeat: on a site of hundreds of hosts a share is less than a whole one.
+/// Units per repeat in messages: on a large site a host's share is less than one repeat.
 const PARTS: f64 = 1000.0;
 
-/// The budgets of repeats of all services at this host.
+/// This host's repeat budgets of all services.
 #[derive(Debug)]
 pub struct RepeatBudgets {
     terms: BudgetTerms,
-    /// This process has a share of its own from then on.
+    /// When this process gets its own share of the extra budget.
     share_from: Instant,
     hosts: usize,
     services: BTreeMap<String, RepeatBudget>,
@@ -29,7 +28,7 @@
 }
 
 impl RepeatBudgets {
-    /// The budgets of a process that has started now.
+    /// Creates the budgets of a process that starts at `now`.
     pub fn new(
         settings: &BoardSettings,
         now: Instant,
@@ -48,7 +47,7 @@
         }
     }
 
-    /// So many hosts share the extra allowance.
+    /// Sets the number of hosts that share the extra budget.
     pub fn set_hosts(
         &mut self,
         hosts: usize,
@@ -59,7 +58,7 @@
         }
     }
 
-    /// The budget of a service.
+    /// Returns the budget of a service, which is created on first use.
     pub fn of(
         &mut self,
         service: &str,
@@ -69,17 +68,15 @@
             budget.set_hosts(self.hosts);
             self.services.insert(service.to_string(), budget);
         }
-        self.services
-            .get_mut(service)
-            .expect("it was just put there")
+        self.services.get_mut(service).expect("inserted above")
     }
 
-    /// The services that have been asked for.
+    /// Returns the services that have a budget.
     pub fn services(&self) -> Vec<String> {
         self.services.keys().cloned().collect()
     }
 
-    /// What to ask other hosts for now, each of a host of its own.
+    /// Returns the loan requests that are due, each for a different host.
     pub fn loan_asks(
         &mut self,
         service: &str,
@@ -96,7 +93,7 @@
         asks
     }
 
-    /// Another host asks for a loan.
+    /// Grants another host's loan request; returns `None` if there is nothing to lend.
     pub fn lend(
         &mut self,
         ask: &LoanAsk,
@@ -117,7 +114,7 @@
         })
     }
 
-    /// A loan has come.
+    /// Adds a loan from another host to the budget.
     pub fn on_loan(
         &mut self,
         loan: &Loan,
@@ -130,7 +127,7 @@
         count_loans(if in_time { "borrowed" } else { "late" }, 1);
     }
 
-    /// Tells once a second how the budgets stand that were drawn on.
+    /// Logs the budgets that were used and updates their metrics, once per interval.
     pub fn tell(
         &mut self,
         now: Instant,
--- a/src/connection/targets/target_board.rs
+++ b/src/connection/targets/target_board.rs
@@ -18,26 +18,25 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Hosts up to which all are told where adapters stand and how busy engines are; more ask instead.
+/// Hosts up to which adapter states and engine loads are broadcast; on larger sites holders are queried instead.
 pub const MAX_TOLD_HOSTS: usize = 24;
 
-/// An adapter's use that ended is still told so often before it is dropped from the reports.
+/// Maximum adapters in one usage report.
 const MAX_USES: usize = 512;
 
-/// What does not change while the process runs.
+/// Settings that do not change while the process runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BoardSettings {
     pub budget_window: Duration,
     pub budget_ratio: f64,
     pub budget_extra: f64,
-    /// No process of this host ran before.
+    /// True if no process of this host ran before.
     pub first_start: bool,
     pub policy: Policy,
-    /// How old what requests rest on may be.
     pub bounds: BeliefBounds,
 }
 
-/// All targets, as the requests of this host see them.
+/// All targets, as known to the requests of this host.
 pub struct TargetBoard {
     pub(super) settings: BoardSettings,
     pub view: Arc<FleetView>,
@@ -47,24 +46,21 @@
     pub demand: AdapterDemand,
     pub(super) speeds: HashMap<String, ReadingSpeed>,
     pub(super) budgets: RepeatBudgets,
-    /// Requests that wait for news of an adapter.
+    /// Requests that wait for an adapter.
     pub(super) waiting: HashMap<String, Waiting>,
-    /// Wakes requests that have asked how engines stand.
+    /// Wakes requests that wait for an engine's status.
     pub(super) standing_news: Rc<Notify>,
-    /// How well the tables behind the view are known to be right.
+    /// Freshness of the table replicas behind the view.
     pub(super) confirmation: Confirmation,
-    /// Wakes requests that are held back until these are known to be right.
+    /// Wakes requests that wait for fresh replicas.
     pub(super) confirmation_news: Rc<Notify>,
     pub(super) belief_ages: BeliefAges,
-    /// Targets that end, and the requests that end them.
     pub crashes: CrashWatch,
-    /// What targets say of themselves in their answers.
     pub notices: NoticeWatch,
-    /// Customers' use, as it is asked for here.
     pub quotas: QuotaBook,
-    /// Asks for places at targets of plain services.
+    /// Awaited concurrency slots at targets of plain services.
     pub places: OpenAsks<PlaceGiven>,
-    /// Asks for leave to send to targets that take only so many requests.
+    /// Awaited permits to send to rate-limited targets.
     pub permits: OpenAsks<PermitAnswer>,
     pub(super) control: flume::Sender<ControlRequest>,
 }
@@ -73,10 +69,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceTarget {
     pub id: Arc<str>,
-    /// Stands for its address where adapters settle: a target that starts anew keeps its place.
+    /// Hash of the address for adapter placement, so that a restarted target keeps its adapters.
     pub(super) key: u64,
 }
 
+/// The requests that wait for one adapter.
 pub(super) struct Waiting {
     pub(super) count: u32,
     pub(super) priority: u8,
@@ -111,7 +108,6 @@
         }
     }
 
-    /// The mechanisms that are at work.
     pub fn policy(&self) -> Policy {
         self.settings.policy
     }
@@ -120,7 +116,7 @@
         &self.view.routing
     }
 
-    /// True if a target may get a request now, as far as its entry tells.
+    /// Returns true if a target's entry allows requests now.
     pub fn is_usable(
         &self,
         target: &str,
@@ -131,7 +127,7 @@
         link.is_some_and(|link| until(link).is_none_or(|until| now < until))
     }
 
-    /// Which start of a target is known here.
+    /// Returns the known incarnation of a target.
     pub fn started(
         &self,
         target: &str,
@@ -139,12 +135,12 @@
         self.links.get(target)?.view.record.started
     }
 
-    /// True if there are so many hosts that engines' holders are asked before each send.
+    /// Returns true if the site is so large that loads are not broadcast, and holders are queried before each send.
     pub fn asks_before_sends(&self) -> bool {
         self.view.hosts > MAX_TOLD_HOSTS
     }
 
-    /// Tells the control thread of a request that ends targets, or does not after all.
+    /// Reports to the control thread whether a request crashed targets.
     pub fn report_poison(
         &self,
         report: PoisonReport,
@@ -152,7 +148,7 @@
         let _ = self.control.send(ControlRequest::Poison(report));
     }
 
-    /// Asks the holder of an engine how it stands; false if it has none.
+    /// Queries an engine's status from its holder; returns false if it has none.
     pub fn query(
         &self,
         query: EngineQuery,
@@ -165,7 +161,7 @@
         true
     }
 
-    /// A holder told how its engine stands.
+    /// Handles a holder's report of its engine's status.
     pub fn on_standing(
         &mut self,
         standing: &EngineStanding,
@@ -178,12 +174,11 @@
         self.standing_news.notify_waiters();
     }
 
-    /// Wakes when a holder has told how its engine stands.
+    /// Returns the `Notify` that wakes waiters when a holder has reported its engine's status.
     pub fn standing_news(&self) -> Rc<Notify> {
         self.standing_news.clone()
     }
 
-    /// The targets of a service.
     pub fn targets_of(
         &self,
         service: &str,
@@ -191,7 +186,7 @@
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The engines of a service that hold a base model, as far as is known.
+    /// Returns the engines of a service that hold a base model.
     pub fn engines_of(
         &self,
         service: &str,
@@ -203,7 +198,7 @@
             .collect()
     }
 
-    /// Tokens that run at one of these engines, in the mean.
+    /// Returns the mean running tokens of these engines.
     pub fn mean_tokens<'a>(
         &self,
         targets: impl Iterator<Item = &'a Arc<str>>,
@@ -217,7 +212,7 @@
         tokens as f64 / f64::from(count.max(1))
     }
 
-    /// Takes a new view over.
+    /// Replaces the view and updates the links.
     pub fn set_view(
         &mut self,
         view: Arc<FleetView>,
@@ -237,7 +232,7 @@
         }
     }
 
-    /// Drops the links of targets that are gone; true if there are any.
+    /// Drops the links of targets that are gone; returns true if there are any.
     fn drop_links(
         &mut self,
         view: &FleetView,
@@ -255,7 +250,7 @@
         !gone.is_empty()
     }
 
-    /// Takes one target of a view over; true if it is new or what it records of itself has changed.
+    /// Updates one target's link; returns true if the target is new or its record has changed.
     fn set_target(
         &mut self,
         id: &str,
@@ -271,7 +266,7 @@
             return false;
         }
         if !link.is_same_start(target) {
-            // Copies of adapters, connections, loads and failures were those of an earlier start.
+            // Adapters, connections, loads and failures belong to the previous incarnation.
             *link = TargetLink::new_start(target.clone());
             self.adapters.forget_target(id);
             self.adapters.assume_held(id, &target.record.models);
@@ -282,9 +277,8 @@
         regroups
     }
 
-    /// Puts the targets together by service. This is done only when a target has changed what it records of
-    /// itself: a view comes with each change of a host or of a holder, and to group thousands of targets anew each time takes a
-    /// small host's processor.
+    /// Groups the targets by service. This is costly for thousands of targets, so it is done only when a target's
+    /// record has changed, not for each view.
     fn group_by_service(&mut self) {
         self.by_service.clear();
         for (id, link) in &self.links {
@@ -306,7 +300,7 @@
         }
     }
 
-    /// A holder told how busy its engine is.
+    /// Handles a holder's report of its engine's load.
     pub fn on_engine_load(
         &mut self,
         load: &EngineLoad,
@@ -320,7 +314,7 @@
         }
     }
 
-    /// How fast the engines of a service read prompts.
+    /// Returns the prefill throughput of a service's engines.
     pub fn speed(
         &mut self,
         service: &str,
@@ -329,10 +323,10 @@
             self.speeds
                 .insert(service.to_string(), ReadingSpeed::default());
         }
-        self.speeds.get_mut(service).expect("it was just put there")
+        self.speeds.get_mut(service).expect("inserted above")
     }
 
-    /// Tells holders what was sent to their engines since they were told last.
+    /// Sends the usage reports that are due to holders.
     pub fn report_usage(
         &mut self,
         now: Instant,
@@ -344,8 +338,10 @@
         }
     }
 
-    /// A request is sent to a target; its holder is told at once, since the next host may choose the
-    /// same engine in a moment, and an adapter that seems unused may be dropped.
+    /// Counts a request that is sent to a target.
+    ///
+    /// Usage is reported to the holder at once where set, so that other hosts do not choose the same engine and the
+    /// adapter is not evicted as unused.
     pub fn start_request(
         &mut self,
         target: &str,
@@ -363,7 +359,7 @@
     }
 }
 
-/// Tells the holder of an engine what this host sends there.
+/// Reports this host's usage of an engine to its holder.
 fn report(
     control: &flume::Sender<ControlRequest>,
     target: &str,
--- a/src/connection/targets/target_health.rs
+++ b/src/connection/targets/target_health.rs
@@ -1,11 +1,11 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// First time for which a target is avoided after a failure; it doubles with each further one.
+/// Backoff after the first failure; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 
 const MOST_PAUSE: Duration = Duration::from_secs(4);
 
-/// Whether a target is trusted, judged by how sends to it ended.
+/// Exponential backoff of a target after failed sends.
 #[derive(Debug, Clone, Default)]
 pub struct TargetHealth {
     failures: u32,
@@ -13,13 +13,13 @@
 }
 
 impl TargetHealth {
-    /// A send brought an answer.
+    /// Records that a send got an answer.
     pub fn on_success(&mut self) {
         self.failures = 0;
         self.avoid_until = None;
     }
 
-    /// A send found no target, or no answer.
+    /// Records that a send could not connect or got no answer.
     pub fn on_failure(
         &mut self,
         now: Instant,
@@ -29,7 +29,7 @@
         self.avoid_until = Some(now + pause.min(MOST_PAUSE));
     }
 
-    /// Time for which the target is still avoided.
+    /// Returns the remaining backoff, zero if there is none.
     pub fn avoided_for(
         &self,
         now: Instant,
--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -4,80 +4,81 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// An idle connection is not used so shortly before the target would close it.
+/// An idle connection is dropped this long before the target would close it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Kept idle when the target does not say how long it keeps a connection.
+/// Lifetime of an idle connection when the target announces no keep-alive timeout.
 const IDLE_DEFAULT: Duration = Duration::from_secs(4);
 
-/// Idle connections kept to one target.
+/// Maximum idle connections to one target.
 const MAX_IDLE: usize = 64;
 
-/// A target that has requests and sends nothing for so long is avoided.
+/// A target with requests in flight that sends nothing for this long counts as silent.
 const SILENCE: Duration = Duration::from_millis(1200);
 
-/// Counts as the time for which a silent target is avoided.
+/// Backoff of a silent target.
 const SILENCE_PAUSE: Duration = Duration::from_millis(200);
 
-/// How long loads take counts for so long: some of them later the weight store's queue is another.
+/// How long a reported load time is used: the queue at the weight store changes quickly.
 const LOAD_TIME_FRESH: Duration = Duration::from_millis(400);
 
-/// Times that a change of use is told to the holder.
+/// Number of reports sent to the holder after a change of usage, as reports may be lost.
 const REPORTS: u8 = 2;
 
-/// While requests run the holder is told of them at least this often.
+/// Maximum time between reports to the holder while requests run.
 const REPORT_AGAIN: Duration = Duration::from_secs(1);
 
-/// A connection that rests.
+/// An idle connection and when it expires.
 #[derive(Debug)]
 pub struct IdleConnection {
     pub connection: HttpConnection,
     until: Instant,
 }
 
-/// Tokens that a request takes.
+/// Token counts of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestTokens {
-    /// Of the prompt and, at the most, of the answer.
+    /// Prompt tokens and maximum answer tokens.
     pub all: u64,
     pub prompt: u64,
 }
 
-/// How much one adapter is used through this host.
+/// Usage of one adapter on an engine through this host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UseCount {
     pub in_flight: u32,
-    /// Requests sent since the holder was told last.
+    /// Requests sent since the last report to the holder.
     pub started: u32,
 }
 
-/// One target: its connections and what runs there.
+/// One target's connections and requests in flight.
 #[derive(Debug)]
 pub struct TargetLink {
     pub view: Arc<TargetView>,
     pub health: TargetHealth,
-    /// Requests of this host that run there, and their tokens.
+    /// Requests of this host that run there.
     pub in_flight: u32,
+    /// Tokens of these requests.
     pub tokens: u64,
-    /// Tokens of the prompts among them that have brought no event yet.
+    /// Tokens of the prompts in queue or prefill: no event has come yet.
     pub unread_tokens: u64,
-    /// The same of other hosts, as the holder last told.
+    /// The same for other hosts, as last reported by the holder.
     pub others_in_flight: u32,
     pub others_tokens: u64,
     pub others_unread_tokens: u64,
-    /// When the holder last told.
+    /// When the holder last reported.
     pub others_told: Option<Instant>,
-    /// Time that a load there takes, and when its holder told that.
+    /// Time that an adapter load takes, and when the holder reported it.
     load_told: Option<(Duration, Instant)>,
-    /// When anything last came from it.
+    /// When data last came from the target.
     pub heard: Option<Instant>,
-    /// When the oldest of the requests that run there now can't have been sent before.
+    /// Lower bound of the send time of the oldest request that runs there: when the target last became busy.
     busy_since: Option<Instant>,
-    /// Use of adapters, for the holder.
+    /// Usage by adapter, for reports to the holder.
     pub uses: HashMap<String, UseCount>,
-    /// Times that the holder is still to be told of the use, since reports may be lost.
+    /// Reports of the last change that are still to be sent.
     pub reports_due: u8,
-    /// When a holder was last told of the use.
+    /// When usage was last reported to a holder.
     told: Option<Instant>,
     idle: Vec<IdleConnection>,
 }
@@ -104,8 +105,8 @@
         }
     }
 
-    /// The link to a target that has started anew. Its holder is to hear that nothing of this host runs there any
-    /// more: what ran at the earlier start would else count as running for as long as nothing is sent there.
+    /// Creates the link to a new incarnation of a target. A report is due, so that the holder does not go on counting
+    /// the requests of the previous incarnation.
     pub fn new_start(view: Arc<TargetView>) -> Self {
         Self {
             reports_due: REPORTS,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A connection that rests and can be used, the one used last first.
+    /// Returns a usable idle connection, the most recently used first.
     pub fn take_idle(
         &mut self,
         now: Instant,
@@ -126,7 +127,7 @@
         None
     }
 
-    /// Keeps a connection whose exchange is over.
+    /// Retains a connection whose exchange is over.
     pub fn put_idle(
         &mut self,
         mut connection: HttpConnection,
@@ -144,7 +145,7 @@
         });
     }
 
-    /// A request is sent there.
+    /// Counts a request that is sent to the target.
     pub fn start(
         &mut self,
         adapter: Option<&str>,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// A request that was sent there has brought its first event, or has ended without one.
+    /// Records that a request's prefill is over: its first event has come, or it has ended without one.
     pub fn on_prompt_read(
         &mut self,
         tokens: RequestTokens,
@@ -176,7 +177,7 @@
         self.reports_due = REPORTS;
     }
 
-    /// A request that was sent there ended.
+    /// Uncounts a request that has ended.
     pub fn end(
         &mut self,
         adapter: Option<&str>,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// True if the target has not started anew since this link was made.
+    /// Returns true if `view` is of the same incarnation of the target.
     pub fn is_same_start(
         &self,
         view: &TargetView,
@@ -198,7 +199,7 @@
         self.view.record.started == view.record.started
     }
 
-    /// Takes over what is known of the target; another holder does not know what runs there.
+    /// Replaces the view; a new holder gets usage reports.
     pub fn set_view(
         &mut self,
         view: Arc<TargetView>,
@@ -209,8 +210,8 @@
         self.view = view;
     }
 
-    /// True if the holder must be told of the use now: after a change, and again and again while
-    /// requests run, as a holder that starts anew knows of none.
+    /// Takes a due report: returns true if usage must be reported to the holder now, which is after a change and
+    /// periodically while requests run, as a restarted holder has lost earlier reports.
     pub fn takes_report(
         &mut self,
         now: Instant,
@@ -224,7 +225,7 @@
         true
     }
 
-    /// A holder was told of the use.
+    /// Records that usage was reported to a holder.
     pub fn on_told(
         &mut self,
         now: Instant,
@@ -232,7 +233,7 @@
         self.told = Some(now);
     }
 
-    /// Its holder told how long a load that is asked for now would take.
+    /// Records the load time that the holder reported.
     pub fn on_load_time(
         &mut self,
         time: Duration,
@@ -241,7 +242,7 @@
         self.load_told = Some((time, now));
     }
 
-    /// Time that a load would take, if its holder told that a moment ago.
+    /// Returns the time that an adapter load takes, if it was reported recently.
     pub fn load_time(
         &self,
         now: Instant,
@@ -252,7 +253,7 @@
             .map(|(time, _)| time)
     }
 
-    /// True if its holder has told since then what other hosts send there.
+    /// Returns true if the holder has reported the load of other hosts since then.
     pub fn told_since(
         &self,
         since: Instant,
@@ -260,7 +261,7 @@
         self.others_told.is_some_and(|told| told >= since)
     }
 
-    /// True if requests run there and nothing has come for so long.
+    /// Returns true if requests run there and no data has come for `time`.
     pub fn is_silent(
         &self,
         time: Duration,
@@ -271,7 +272,7 @@
         self.in_flight > 0 && quiet
     }
 
-    /// Time for which the target is avoided: after failures, and while it is silent.
+    /// Returns the remaining backoff of the target after failures or while it is silent, zero if there is none.
     pub fn avoided_for(
         &self,
         now: Instant,
@@ -283,17 +284,17 @@
         }
     }
 
-    /// Requests of all hosts that run there.
+    /// Returns the requests of all hosts that run there.
     pub fn running(&self) -> u32 {
         self.in_flight + self.others_in_flight
     }
 
-    /// Tokens of the requests of all hosts that run there.
+    /// Returns the tokens of the requests of all hosts that run there.
     pub fn running_tokens(&self) -> u64 {
         self.tokens + self.others_tokens
     }
 
-    /// Tokens of prompts that wait to be read there, of all hosts.
+    /// Returns the prompt tokens of all hosts in queue or prefill there.
     pub fn backlog_tokens(&self) -> u64 {
         self.unread_tokens + self.others_unread_tokens
     }
--- a/src/connection/targets/version_history.rs
+++ b/src/connection/targets/version_history.rs
@@ -1,41 +1,42 @@
 use crate::clock::Instant;
-/// Steps of one adapter's history that are kept. Versions come seconds apart, so that those before the
-/// oldest step may serve no longer anyway.
+
+/// Maximum steps of one adapter's history. Versions come seconds apart, so that those before the oldest step have
+/// expired anyway.
 const MAX_STEPS: usize = 32;
 
-/// Versions that were replaced within one step: as far as this host knows, at the same time.
+/// Versions that were replaced at the same time, as far as this host knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Step {
-    /// They are below this version, and in no earlier step.
+    /// Exclusive upper bound of the versions; those of earlier steps are not included.
     below: u64,
-    /// Their successors were acknowledged after this time; `None` if nothing is known of it.
+    /// Their successors were acknowledged after this time; `None` if unknown.
     after: Option<Instant>,
 }
 
-/// How a version stands to those that are known.
+/// Status of a version among the known ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Succession {
     /// No newer one is known.
     Newest,
-    /// Its direct successor was acknowledged after this time, maybe right after it.
+    /// Its direct successor was acknowledged after this time, possibly right after it.
     ReplacedAfter(Instant),
-    /// It was replaced before this host knew of the adapter's versions.
+    /// It was replaced before this host knew the adapter's versions.
     ReplacedBefore,
 }
 
-/// The versions of one adapter, as this host learnt of them.
+/// The versions of one adapter known to this host.
 ///
-/// Each version is judged by its own successor. Were all judged by the newest one, each newer version would let the
-/// oldest serve again: on a day with three names in 15 s, requests began up to 7.1 s after their version was replaced.
+/// Each version expires by its own successor: if all expired by the newest one, each newer version would let the oldest
+/// serve again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionHistory {
     newest: u64,
-    /// The oldest versions first.
+    /// Oldest versions first.
     steps: Vec<Step>,
 }
 
 impl Default for VersionHistory {
-    /// Nothing is named as long as there is only the first version.
+    /// The first version is never published, so an empty history starts at 1.
     fn default() -> Self {
         Self {
             newest: 1,
@@ -49,10 +50,10 @@
         self.newest
     }
 
-    /// A version was named, and the one known before was the newest one at `after`, as far as this host
-    /// knows; false if it is not newer.
+    /// Records a published version; returns false if it is not newer than the known ones.
     ///
-    /// Versions in between may have been named as well, each of them after that time.
+    /// `after` is the last time at which the previously known version was the newest one. Versions in between may
+    /// have been published as well, each after that time.
     pub fn on_named(
         &mut self,
         version: u64,
@@ -67,7 +68,7 @@
             after,
         });
         if self.steps.len() > MAX_STEPS {
-            // The versions of the oldest step are judged with the next, by the earlier time.
+            // Merge the oldest step into the next one, with the earlier time.
             let oldest = self.steps.remove(0);
             self.steps[0].after = oldest.after;
         }
--- a/tests/target_board.rs
+++ b/tests/target_board.rs
@@ -1,4 +1,4 @@
-//! What this host tells the holders of engines of its own requests.
+//! The table of targets: usage reports to holders, adapter placement, staleness bounds, restarts of targets.
 
 use {
     coveproxy::{
@@ -105,7 +105,7 @@
         self.board.start_request(ENGINE, Some("m0/a1"), tokens);
     }
 
-    /// What the holders are told within some periods of reports.
+    /// Returns the usage reports sent to holders within some report intervals.
     fn reports(
         &mut self,
         periods: usize,
@@ -122,7 +122,7 @@
     }
 }
 
-/// A holder that started anew would else drop adapters that are in use.
+/// Guards against a new holder that evicts adapters in use because it knows of no requests.
 #[rstest]
 #[case::first_holder(None)]
 #[case::another_holder(Some(holder(1)))]
@@ -138,7 +138,7 @@
     assert_eq!(usage.adapters[0].in_flight, 1);
 }
 
-/// A holder whose process was replaced at the same address is not seen to change.
+/// Guards against a holder that restarts at the same address, which looks unchanged, and knows of no requests.
 #[test]
 fn a_holder_is_told_again_while_requests_run() {
     let mut world = World::new(Some(holder(1)));
@@ -159,7 +159,8 @@
     assert!(world.reports(20).is_empty());
 }
 
-/// Places at which an adapter may settle on a site of so many hosts, when `held` engines have a holder.
+/// Returns the numbers of the engines preferred for an adapter, on a site of `hosts` hosts where the `held` engines
+/// have a holder.
 fn settling(
     hosts: usize,
     held: impl Fn(usize) -> bool,
@@ -218,7 +219,7 @@
     assert!(order.len() == 3 && order.iter().all(|engine| full.contains(engine)));
 }
 
-/// The next host may choose the same engine a moment later, on a small site too.
+/// Guards against late reports: other hosts would choose the same engine, on a small site too.
 #[test]
 fn a_send_is_told_at_once() {
     let mut world = World::new(Some(holder(1)));
@@ -228,8 +229,7 @@
     assert_eq!(reports[0].1.unread_tokens, 80);
 }
 
-/// Sends stop some time before the bound, so that the last one arrives within it; a host that the store
-/// does not answer goes on.
+/// Guards against requests that arrive after the staleness bound; during an outage of the store, sends go on.
 #[rstest]
 #[case::young(Some(1_000), false, true)]
 #[case::near_the_bound(Some(1_900), false, false)]
@@ -254,7 +254,7 @@
     assert_eq!(world.board.allows_sends(now), allowed);
     assert!(
         world.board.allows_routing(now),
-        "the other table says nothing"
+        "the configuration has a bound of its own"
     );
 }
 
@@ -279,11 +279,11 @@
     assert_eq!(
         world.board.largest_ages(right_at + ms(3_400)),
         None,
-        "told once"
+        "reported once"
     );
 }
 
-/// Failures, connections, loads and adapters were those of the earlier start.
+/// Guards against failures, loads and adapters that are carried over to a target's new incarnation.
 #[test]
 fn a_target_that_starts_anew_is_known_as_if_just_listed() {
     let mut world = World::new(Some(holder(1)));
@@ -327,12 +327,12 @@
     assert!(world.board.adapters.get("m0/a1", ENGINE).is_some());
     assert!(world.board.adapters.get("m0/a2", ENGINE).is_none());
     let reports = world.reports(1);
-    let (_, usage) = reports.last().expect("the holder hears that nothing runs");
+    let (_, usage) = reports.last().expect("a report that nothing runs");
     assert_eq!((usage.in_flight, usage.adapters.len()), (0, 0));
 }
 
-/// Requests waited for a new version while the old one could have served them: once its holder had been asked for the
-/// new one and had no place for it, the old copy was forgotten.
+/// Guards against an old copy that is forgotten once a newer version is requested: requests would wait for the new one
+/// although the old one could serve them.
 #[rstest]
 #[case::not_answered_yet(None, Some(1))]
 #[case::no_place(Some((2, PlacementState::Full)), Some(1))]
@@ -368,8 +368,7 @@
     assert_eq!(copy.held(), held);
 }
 
-/// Targets are put together by service only when one has changed; one that has moved, come or gone must
-/// not be missed.
+/// Guards against targets that are grouped under an old service: groups are rebuilt only when a target has changed.
 #[test]
 fn targets_that_change_are_found_under_their_service() {
     let mut world = World::new(None);
