--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -8,7 +8,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        connection::targets::{BeliefBounds, BoardSettings, FleetView, TargetBoard, TargetView},
+        connection::targets::{BoardSettings, FleetView, StalenessBounds, TargetBoard, TargetView},
         formats::{TargetRecord, TargetState},
         process::{
             holding::{Holding, HoldingTimings, HostRow},
@@ -285,7 +285,7 @@
         budget_ratio: 0.2,
         budget_extra: 50.0,
         policy: Policy::default(),
-        bounds: BeliefBounds {
+        bounds: StalenessBounds {
             declared: Duration::from_secs(3),
             revoke: Duration::from_secs(5),
             targets: Duration::from_secs(2),
--- a/src/connection/targets/belief_ages.rs
+++ b/src/connection/targets/belief_ages.rs
@@ -7,7 +7,7 @@
 
 /// Maximum staleness of the table replicas that requests depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BeliefBounds {
+pub struct StalenessBounds {
     /// Of the configuration, when a request is routed by it.
     pub declared: Duration,
     /// Of the configuration, when a request is sent for a customer's key that may have been revoked.
@@ -21,15 +21,15 @@
 
 /// The largest staleness of each table within a reporting interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LargestAges {
+pub struct MaxStaleness {
     pub declared: Duration,
     pub targets: Duration,
 }
 
-impl LargestAges {
-    fn is_worth_telling(
+impl MaxStaleness {
+    fn is_near_bound(
         &self,
-        bounds: &BeliefBounds,
+        bounds: &StalenessBounds,
     ) -> bool {
         self.declared > bounds.declared.mul_f64(TOLD_SHARE)
             || self.targets > bounds.targets.mul_f64(TOLD_SHARE)
@@ -38,21 +38,21 @@
 
 /// Tracks the staleness of the tables that requests depend on, to report it before it exceeds a bound.
 #[derive(Debug)]
-pub struct BeliefAges {
-    bounds: BeliefBounds,
+pub struct StalenessMonitor {
+    bounds: StalenessBounds,
     since: Instant,
-    largest: LargestAges,
+    largest: MaxStaleness,
 }
 
-impl BeliefAges {
+impl StalenessMonitor {
     pub fn new(
-        bounds: BeliefBounds,
+        bounds: StalenessBounds,
         now: Instant,
     ) -> Self {
         Self {
             bounds,
             since: now,
-            largest: LargestAges::default(),
+            largest: MaxStaleness::default(),
         }
     }
 
@@ -76,12 +76,12 @@
     pub fn end_period(
         &mut self,
         now: Instant,
-    ) -> Option<LargestAges> {
+    ) -> Option<MaxStaleness> {
         if now.saturating_duration_since(self.since) < PERIOD {
             return None;
         }
         self.since = now;
         let largest = std::mem::take(&mut self.largest);
-        largest.is_worth_telling(&self.bounds).then_some(largest)
+        largest.is_near_bound(&self.bounds).then_some(largest)
     }
 }
--- a/src/connection/targets/board_beliefs.rs
+++ b/src/connection/targets/board_beliefs.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Confirmation, KeyStanding, LargestAges, ServesUntil, Succession, TargetBoard,
+        Confirmation, KeyStanding, MaxStaleness, ServesUntil, Succession, TargetBoard,
         VersionHistory,
     },
     crate::{
@@ -138,7 +138,7 @@
         now: Instant,
     ) {
         if let Some(age) = self.confirmation.declared.age(now) {
-            self.belief_ages.on_routed(age);
+            self.staleness_monitor.on_routed(age);
             observe_age("declared", age);
         }
     }
@@ -149,17 +149,17 @@
         now: Instant,
     ) {
         if let Some(age) = self.confirmation.targets.age(now) {
-            self.belief_ages.on_sent(age);
+            self.staleness_monitor.on_sent(age);
             observe_age("targets", age);
         }
     }
 
     /// Returns the largest staleness of the last interval, once per interval if it is near a bound.
-    pub fn largest_ages(
+    pub fn take_max_staleness(
         &mut self,
         now: Instant,
-    ) -> Option<LargestAges> {
-        self.belief_ages.end_period(now)
+    ) -> Option<MaxStaleness> {
+        self.staleness_monitor.end_period(now)
     }
 }
 
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -2,7 +2,7 @@
 
 mod adapter_demand;
 mod adapter_map;
-mod belief_ages;
+mod staleness_monitor;
 mod board_adapters;
 mod board_beliefs;
 mod board_counting;
@@ -26,7 +26,7 @@
 pub use {
     adapter_demand::AdapterDemand,
     adapter_map::{AdapterCopy, AdapterMap},
-    belief_ages::{BeliefAges, BeliefBounds, LargestAges},
+    staleness_monitor::{StalenessMonitor, StalenessBounds, MaxStaleness},
     confirmation::{Confirmation, SEND_MARGIN, TableConfirmation},
     control_request::{AdapterAsk, ControlRequest},
     crash_watch::{Accused, CrashWatch, TargetRun},
--- a/src/connection/targets/target_board.rs
+++ b/src/connection/targets/target_board.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AdapterDemand, AdapterMap, BeliefAges, BeliefBounds, Confirmation, ControlRequest,
+        AdapterDemand, AdapterMap, StalenessMonitor, StalenessBounds, Confirmation, ControlRequest,
         CrashWatch, FleetView, NoticeWatch, OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets,
         RequestTokens, TargetLink, TargetView,
     },
@@ -33,7 +33,7 @@
     /// True if no process of this host ran before.
     pub first_start: bool,
     pub policy: Policy,
-    pub bounds: BeliefBounds,
+    pub bounds: StalenessBounds,
 }
 
 /// All targets, as known to the requests of this host.
@@ -54,7 +54,7 @@
     pub(super) confirmation: Confirmation,
     /// Wakes requests that wait for fresh replicas.
     pub(super) confirmation_news: Rc<Notify>,
-    pub(super) belief_ages: BeliefAges,
+    pub(super) staleness_monitor: StalenessMonitor,
     pub crashes: CrashWatch,
     pub notices: NoticeWatch,
     pub quotas: QuotaBook,
@@ -98,7 +98,7 @@
             standing_news: Rc::default(),
             confirmation: Confirmation::default(),
             confirmation_news: Rc::default(),
-            belief_ages: BeliefAges::new(settings.bounds, Instant::now()),
+            staleness_monitor: StalenessMonitor::new(settings.bounds, Instant::now()),
             crashes: CrashWatch::default(),
             notices: NoticeWatch::new(control.clone()),
             quotas: QuotaBook::default(),
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -10,7 +10,7 @@
             },
             front::{FrontListener, FrontStop},
             targets::{
-                BeliefBounds, BoardSettings, Confirmation, ControlRequest, FleetView, TargetBoard,
+                StalenessBounds, BoardSettings, Confirmation, ControlRequest, FleetView, TargetBoard,
             },
         },
         errors::RunError,
@@ -104,7 +104,7 @@
         budget_extra: bounds.budget_extra,
         first_start: parts.settings.first_start,
         policy: parts.settings.policy,
-        bounds: BeliefBounds {
+        bounds: StalenessBounds {
             declared: bounds.config,
             revoke: bounds.revoke,
             targets: bounds.drain,
@@ -152,7 +152,7 @@
     board: &mut TargetBoard,
     bounds: &Bounds,
 ) {
-    let Some(largest) = board.largest_ages(Instant::now()) else {
+    let Some(largest) = board.take_max_staleness(Instant::now()) else {
         return;
     };
     note!(
--- a/tests/target_board.rs
+++ b/tests/target_board.rs
@@ -6,8 +6,8 @@
         connection::{
             datagram::{Placement, PlacementState, Usage},
             targets::{
-                AdapterAsk, BeliefBounds, BoardSettings, Confirmation, ControlRequest, FleetView,
-                RequestTokens, TableConfirmation, TargetBoard, TargetView,
+                AdapterAsk, BoardSettings, Confirmation, ControlRequest, FleetView, RequestTokens,
+                StalenessBounds, TableConfirmation, TargetBoard, TargetView,
             },
         },
         formats::{HeldAdapter, HeldModel, TargetRecord, TargetStart, TargetState},
@@ -81,7 +81,7 @@
             budget_extra: 50.0,
             first_start: false,
             policy: Policy::default(),
-            bounds: BeliefBounds {
+            bounds: StalenessBounds {
                 declared: ms(3_000),
                 revoke: Duration::from_secs(5),
                 targets: ms(2_000),
@@ -271,13 +271,16 @@
         ..Confirmation::default()
     });
     world.board.note_sent(right_at + ms(400));
-    assert_eq!(world.board.largest_ages(right_at + ms(1_100)), None);
+    assert_eq!(world.board.take_max_staleness(right_at + ms(1_100)), None);
     world.board.note_sent(right_at + ms(1_500));
     world.board.note_sent(right_at + ms(1_300));
-    let told = world.board.largest_ages(right_at + ms(2_200)).unwrap();
+    let told = world
+        .board
+        .take_max_staleness(right_at + ms(2_200))
+        .unwrap();
     assert_eq!(told.targets, ms(1_500));
     assert_eq!(
-        world.board.largest_ages(right_at + ms(3_400)),
+        world.board.take_max_staleness(right_at + ms(3_400)),
         None,
         "reported once"
     );
