--- a/src/connection/targets/board_beliefs.rs
+++ b/src/connection/targets/board_beliefs.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Confirmation, KeyStanding, MaxStaleness, ServesUntil, Succession, TargetBoard,
+        ReplicaFreshness, KeyStanding, MaxStaleness, ServesUntil, Succession, TargetBoard,
         VersionHistory,
     },
     crate::{
@@ -21,13 +21,13 @@
 impl TargetBoard {
     pub fn set_confirmation(
         &mut self,
-        confirmation: Confirmation,
+        confirmation: ReplicaFreshness,
     ) {
-        self.confirmation = confirmation;
+        self.confirmation = replica_freshness;
         self.confirmation_news.notify_waiters();
     }
 
-    pub fn confirmation(&self) -> &Confirmation {
+    pub fn confirmation(&self) -> &ReplicaFreshness {
         &self.confirmation
     }
 
--- a/src/connection/targets/fleet_view.rs
+++ b/src/connection/targets/fleet_view.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Confirmation, VersionHistory},
+    super::{ReplicaFreshness, VersionHistory},
     crate::{clock::Instant, formats::TargetRecord, version::routing::RoutingTable},
     std::{collections::HashMap, net::SocketAddr, sync::Arc},
 };
@@ -31,5 +31,5 @@
     /// Recently known hosts, including unreachable ones.
     pub known_hosts: usize,
     /// Freshness of the table replicas behind this snapshot.
-    pub confirmation: Confirmation,
+    pub confirmation: ReplicaFreshness,
 }
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -7,7 +7,7 @@
 mod board_beliefs;
 mod board_counting;
 mod board_notices;
-mod confirmation;
+mod replica_freshness;
 mod control_request;
 mod crash_watch;
 mod fleet_view;
@@ -27,7 +27,7 @@
     adapter_demand::AdapterDemand,
     adapter_map::{AdapterCopy, AdapterMap},
     staleness_monitor::{StalenessMonitor, StalenessBounds, MaxStaleness},
-    confirmation::{Confirmation, SEND_MARGIN, TableConfirmation},
+    replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     control_request::{AdapterAsk, ControlRequest},
     crash_watch::{Accused, CrashWatch, TargetRun},
     fleet_view::{FleetView, TargetView},
--- a/src/connection/targets/confirmation.rs
+++ b/src/connection/targets/replica_freshness.rs
@@ -6,14 +6,14 @@
 
 /// Freshness of one table's replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct TableConfirmation {
+pub struct TableFreshness {
     /// When the replica was last confirmed to be current; `None` before the first read.
     pub right_at: Option<Instant>,
     /// The store has not answered this host since then.
     pub store_failed: bool,
 }
 
-impl TableConfirmation {
+impl TableFreshness {
     /// Returns the time since the replica was confirmed; `None` before the first read.
     pub fn age(
         &self,
@@ -36,9 +36,9 @@
 
 /// Freshness of the table replicas that requests depend on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Confirmation {
+pub struct ReplicaFreshness {
     /// The configuration that operators declare.
-    pub declared: TableConfirmation,
+    pub declared: TableFreshness,
     /// The list of targets.
-    pub targets: TableConfirmation,
+    pub targets: TableFreshness,
 }
--- a/src/connection/targets/target_board.rs
+++ b/src/connection/targets/target_board.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AdapterDemand, AdapterMap, StalenessMonitor, StalenessBounds, Confirmation, ControlRequest,
+        AdapterDemand, AdapterMap, StalenessMonitor, StalenessBounds, ReplicaFreshness, ControlRequest,
         CrashWatch, FleetView, NoticeWatch, OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets,
         RequestTokens, TargetLink, TargetView,
     },
@@ -51,7 +51,7 @@
     /// Wakes requests that wait for an engine's status.
     pub(super) standing_news: Rc<Notify>,
     /// Freshness of the table replicas behind the view.
-    pub(super) confirmation: Confirmation,
+    pub(super) confirmation: ReplicaFreshness,
     /// Wakes requests that wait for fresh replicas.
     pub(super) confirmation_news: Rc<Notify>,
     pub(super) staleness_monitor: StalenessMonitor,
@@ -96,7 +96,7 @@
             budgets: RepeatBudgets::new(&settings, Instant::now()),
             waiting: HashMap::new(),
             standing_news: Rc::default(),
-            confirmation: Confirmation::default(),
+            confirmation: ReplicaFreshness::default(),
             confirmation_news: Rc::default(),
             staleness_monitor: StalenessMonitor::new(settings.bounds, Instant::now()),
             crashes: CrashWatch::default(),
--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -6,7 +6,7 @@
                 ChargeAnswer, EngineLoad, EngineStanding, Loan, LoanAsk, Message, PermitAnswer,
                 PlaceGiven, Placement,
             },
-            targets::{Confirmation, FleetView},
+            targets::{ReplicaFreshness, FleetView},
         },
         formats::{Order, RowWrite, Transaction},
         process::holding::TakenEngine,
@@ -67,7 +67,7 @@
     /// Requests see this from now on.
     Publish(Arc<FleetView>),
     /// What requests see is known to be right as of other times.
-    Confirm(Confirmation),
+    Confirm(ReplicaFreshness),
     /// For the requests of this host.
     Place(Placement),
     Load(EngineLoad),
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -6,7 +6,7 @@
         clock::Instant,
         connection::{
             datagram::{Freshness, HostRumor, Message},
-            targets::{TableConfirmation, VersionHistory},
+            targets::{TableFreshness, VersionHistory},
         },
         formats::{Declared, Formats, Row, RowBatch, RowsReply},
         note,
@@ -47,7 +47,7 @@
     /// Who told, for lines.
     pub source: &'a str,
     /// How well the copy without them was known to be right.
-    pub before: TableConfirmation,
+    pub before: TableFreshness,
 }
 
 impl HostControl {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -10,7 +10,7 @@
         connection::{
             datagram::{CopyState, Freshness, HostRumor, Ping},
             targets::{
-                Confirmation, FleetView, SEND_MARGIN, TableConfirmation, TargetView, VersionHistory,
+                ReplicaFreshness, FleetView, SEND_MARGIN, TableFreshness, TargetView, VersionHistory,
             },
         },
         formats::Formats,
@@ -67,10 +67,10 @@
 }
 
 impl KeptTable {
-    pub fn confirmation(&self) -> TableConfirmation {
+    pub fn confirmation(&self) -> TableFreshness {
         let right_at = self.copy.right_at();
         let failed_at = self.schedule.failed_at();
-        TableConfirmation {
+        TableFreshness {
             right_at,
             store_failed: failed_at.is_some_and(|at| right_at.is_none_or(|right| right < at)),
         }
@@ -105,7 +105,7 @@
     /// Another view must be published.
     pub(super) changed: bool,
     /// How well what requests see is known to be right, as they were last told.
-    told_confirmation: Confirmation,
+    told_confirmation: ReplicaFreshness,
     /// No other view is published before; many hosts may become known at the same moment.
     pub(super) next_publish: Instant,
     /// What requests see.
@@ -188,7 +188,7 @@
             routing: Arc::default(),
             versions: Arc::default(),
             changed: true,
-            told_confirmation: Confirmation::default(),
+            told_confirmation: ReplicaFreshness::default(),
             next_publish: now,
             published: Arc::default(),
             empty_seeds: BTreeSet::new(),
@@ -340,8 +340,8 @@
         actions
     }
 
-    fn confirmation(&self) -> Confirmation {
-        Confirmation {
+    fn confirmation(&self) -> ReplicaFreshness {
+        ReplicaFreshness {
             declared: self.declared.confirmation(),
             targets: self.listed.confirmation(),
         }
@@ -441,7 +441,7 @@
     /// is one only when the copy, too, is older than the bound.
     pub(super) fn vanished_until(
         &self,
-        before: &TableConfirmation,
+        before: &TableFreshness,
         now: Instant,
     ) -> Instant {
         let bound = self.settings.bounds.drain;
@@ -535,10 +535,10 @@
 }
 
 fn is_news(
-    told: &Confirmation,
-    current: &Confirmation,
+    told: &ReplicaFreshness,
+    current: &ReplicaFreshness,
 ) -> bool {
-    let differs = |told: &TableConfirmation, current: &TableConfirmation| {
+    let differs = |told: &TableFreshness, current: &TableFreshness| {
         let step = match (told.right_at, current.right_at) {
             (Some(told), Some(current)) => current.saturating_duration_since(told),
             (None, Some(_)) => CONFIRM_STEP,
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -10,7 +10,7 @@
             },
             front::{FrontListener, FrontStop},
             targets::{
-                StalenessBounds, BoardSettings, Confirmation, ControlRequest, FleetView, TargetBoard,
+                StalenessBounds, BoardSettings, ReplicaFreshness, ControlRequest, FleetView, TargetBoard,
             },
         },
         errors::RunError,
@@ -49,7 +49,7 @@
 pub enum TrafficInput {
     View(Arc<FleetView>),
     /// The view is known to be right as of other times.
-    Confirmed(Confirmation),
+    Confirmed(ReplicaFreshness),
     Placement(Placement),
     Load(EngineLoad),
     Standing(EngineStanding),
--- a/tests/target_board.rs
+++ b/tests/target_board.rs
@@ -6,8 +6,8 @@
         connection::{
             datagram::{Placement, PlacementState, Usage},
             targets::{
-                AdapterAsk, BoardSettings, Confirmation, ControlRequest, FleetView, RequestTokens,
-                StalenessBounds, TableConfirmation, TargetBoard, TargetView,
+                AdapterAsk, BoardSettings, ControlRequest, FleetView, ReplicaFreshness,
+                RequestTokens, StalenessBounds, TableFreshness, TargetBoard, TargetView,
             },
         },
         formats::{HeldAdapter, HeldModel, TargetRecord, TargetStart, TargetState},
@@ -242,13 +242,13 @@
     #[case] allowed: bool,
 ) {
     let mut world = World::new(None);
-    let targets = TableConfirmation {
+    let targets = TableFreshness {
         right_at: age_ms.map(|_| world.now),
         store_failed,
     };
-    world.board.set_confirmation(Confirmation {
+    world.board.set_confirmation(ReplicaFreshness {
         targets,
-        ..Confirmation::default()
+        ..ReplicaFreshness::default()
     });
     let now = world.now + ms(age_ms.unwrap_or(0));
     assert_eq!(world.board.allows_sends(now), allowed);
@@ -262,13 +262,13 @@
 fn ages_are_told_of_once_a_second_if_they_come_near_their_bounds() {
     let mut world = World::new(None);
     let right_at = world.now;
-    let targets = TableConfirmation {
+    let targets = TableFreshness {
         right_at: Some(right_at),
         store_failed: false,
     };
-    world.board.set_confirmation(Confirmation {
+    world.board.set_confirmation(ReplicaFreshness {
         targets,
-        ..Confirmation::default()
+        ..ReplicaFreshness::default()
     });
     world.board.note_sent(right_at + ms(400));
     assert_eq!(world.board.take_max_staleness(right_at + ms(1_100)), None);
