--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -11,7 +11,7 @@
     },
     crate::{
         clock::Instant,
-        connection::targets::{AdapterAsk, TargetBoard},
+        connection::targets::{AdapterRequest, TargetBoard},
         request::direct::{
             CallRequest, ChoiceTerms, CopyState, EngineCandidate, EngineChoice, Patience,
             PlainCandidate, RequestTime, choose_engine, choose_plain, wait_or_refuse,
@@ -198,7 +198,7 @@
             policy: board.policy(),
             now,
         };
-        let ask_at = |at: usize, spare: bool| AdapterAsk {
+        let ask_at = |at: usize, spare: bool| AdapterRequest {
             adapter,
             target: &targets[at],
             version: standing.newest,
@@ -300,7 +300,7 @@
 fn ask_for(
     board: &mut TargetBoard,
     tries: &mut Tries,
-    ask: &AdapterAsk,
+    ask: &AdapterRequest,
     now: Instant,
 ) {
     if board.ask(ask, now) {
--- a/src/connection/targets/board_adapters.rs
+++ b/src/connection/targets/board_adapters.rs
@@ -1,7 +1,7 @@
 //! Adapter placement: preferred engines, and load requests to the holders of engines.
 
 use {
-    super::{AdapterAsk, ControlRequest, ServiceTarget, TargetBoard, target_board::Waiting},
+    super::{AdapterRequest, ControlRequest, ServiceTarget, TargetBoard, target_board::Waiting},
     crate::{
         clock::Instant,
         connection::datagram::{Placement, PlacementState, Want},
@@ -129,10 +129,10 @@
     /// holder or a request is outstanding.
     pub fn ask(
         &mut self,
-        ask: &AdapterAsk,
+        ask: &AdapterRequest,
         now: Instant,
     ) -> bool {
-        let AdapterAsk {
+        let AdapterRequest {
             adapter, target, ..
         } = *ask;
         let holder = self.links.get(target).and_then(|link| link.view.holder);
--- a/src/connection/targets/control_request.rs
+++ b/src/connection/targets/control_request.rs
@@ -51,7 +51,7 @@
 
 /// A request for an adapter to the holder of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AdapterAsk<'a> {
+pub struct AdapterRequest<'a> {
     /// `MODEL/ADAPTER`.
     pub adapter: &'a str,
     pub target: &'a str,
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -28,7 +28,7 @@
     adapter_map::{AdapterCopy, AdapterMap},
     staleness_monitor::{StalenessMonitor, StalenessBounds, MaxStaleness},
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
-    control_request::{AdapterAsk, ControlRequest},
+    control_request::{AdapterRequest, ControlRequest},
     crash_watch::{Accused, CrashWatch, TargetRun},
     fleet_view::{FleetView, TargetView},
     key_standing::KeyStanding,
--- a/tests/target_board.rs
+++ b/tests/target_board.rs
@@ -6,7 +6,7 @@
         connection::{
             datagram::{Placement, PlacementState, Usage},
             targets::{
-                AdapterAsk, BoardSettings, ControlRequest, FleetView, ReplicaFreshness,
+                AdapterRequest, BoardSettings, ControlRequest, FleetView, ReplicaFreshness,
                 RequestTokens, StalenessBounds, TableFreshness, TargetBoard, TargetView,
             },
         },
@@ -356,7 +356,7 @@
     };
     let old = placement((1, PlacementState::Ready));
     world.board.on_placement(&old, world.now);
-    let ask = AdapterAsk {
+    let ask = AdapterRequest {
         adapter: "m0/a1",
         target: ENGINE,
         version: 2,
