--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -5,7 +5,7 @@
         clock::Instant,
         connection::{
             http1::{CallClient, CallEnd, CallLimit},
-            targets::{Accused, TargetBoard, TargetRun},
+            targets::{SuspectRequest, TargetBoard, TargetRun},
         },
         formats::{HeaderNames, HttpCall},
         note,
@@ -95,7 +95,7 @@
 
 /// A request was lost as its target had just begun it: finds out whether the target has ended, and tells all
 /// hosts if so.
-pub fn accuse(
+pub fn add_suspect(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
     request: &CallRequest,
@@ -103,7 +103,7 @@
     begun: bool,
 ) {
     let lost = Instant::now();
-    let accused = Accused {
+    let accused = SuspectRequest {
         begun,
         fingerprint: request.fingerprint(),
         id: request.id_text().to_string(),
@@ -117,7 +117,7 @@
         let Some(address) = link.map(|link| link.view.record.address) else {
             return;
         };
-        if !board.crashes.accuse(&run, accused) {
+        if !board.crashes.add_suspect(&run, accused) {
             return;
         }
         address
@@ -161,7 +161,7 @@
     ) {
         let ended = self.has_ended(address).await;
         let mut board = self.board.borrow_mut();
-        let accused = board.crashes.take_accused(&self.run);
+        let accused = board.crashes.take_suspects(&self.run);
         if !ended {
             note!(
                 Event::AccusationDropped,
@@ -170,7 +170,7 @@
             );
             return;
         }
-        let alone = board.crashes.was_alone(&self.run.0, self.lost);
+        let alone = board.crashes.is_isolated_loss(&self.run.0, self.lost);
         let end = TargetEnd::of(&self.run.0, self.run.1);
         let beside = accused.len() - 1;
         for accused in &accused {
@@ -184,7 +184,7 @@
                 beside = beside,
             );
         }
-        let strike = |accused: &Accused| {
+        let strike = |accused: &SuspectRequest| {
             let begun = accused.begun;
             (accused.fingerprint, Strike { end, begun, alone })
         };
--- a/src/connection/targets/crash_watch.rs
+++ b/src/connection/targets/crash_tracker.rs
@@ -13,24 +13,24 @@
 
 /// Targets that broke off answers within this time of one another may have failed for a shared cause, such as a loss
 /// of power.
-const SAME_TIME: Duration = Duration::from_millis(300);
+const CORRELATION_WINDOW: Duration = Duration::from_millis(300);
 
 /// Recent lost answers that are retained.
 const MAX_LOSSES: usize = 256;
 
 /// Maximum suspect requests for the crash of one target.
-const MAX_ACCUSED: usize = 64;
+const MAX_SUSPECTS: usize = 64;
 
 /// Maximum targets that are probed at a time: when more fail at once, a request is hardly the cause, and each crash is
 /// reported to all hosts.
-const MAX_LOOKED_AT: usize = 4;
+const MAX_PROBED_TARGETS: usize = 4;
 
 /// One incarnation of a target.
 pub type TargetRun = (Arc<str>, Option<TargetStart>);
 
 /// A request that may have crashed a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Accused {
+pub struct SuspectRequest {
     pub fingerprint: Fingerprint,
     /// Request id set by the caller, for logs.
     pub id: String,
@@ -40,15 +40,15 @@
 
 /// Tracks targets that crash, and the requests that may have crashed them.
 #[derive(Debug, Default)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     standings: HashMap<Fingerprint, Standing>,
     /// Targets that broke off an answer, oldest first.
     losses: VecDeque<(Instant, Arc<str>)>,
     /// Suspect requests of the targets that are being probed.
-    accused: HashMap<TargetRun, Vec<Accused>>,
+    accused: HashMap<TargetRun, Vec<SuspectRequest>>,
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Returns true if no request is suspected, so that none need be looked up.
     pub fn is_quiet(&self) -> bool {
         self.standings.is_empty() && self.accused.is_empty()
@@ -59,7 +59,7 @@
         &self,
         fingerprint: &Fingerprint,
     ) -> bool {
-        let is_it = |accused: &Accused| accused.fingerprint == *fingerprint;
+        let is_it = |accused: &SuspectRequest| accused.fingerprint == *fingerprint;
         let mut accused = self.accused.values().flatten();
         self.standings.contains_key(fingerprint) || accused.any(is_it)
     }
@@ -96,18 +96,18 @@
     }
 
     /// Adds a suspect that was lost at a target; returns true if the caller must probe the target.
-    pub fn accuse(
+    pub fn add_suspect(
         &mut self,
         run: &TargetRun,
-        accused: Accused,
+        accused: SuspectRequest,
     ) -> bool {
         if let Some(others) = self.accused.get_mut(run) {
-            if others.len() < MAX_ACCUSED {
+            if others.len() < MAX_SUSPECTS {
                 others.push(accused);
             }
             return false;
         }
-        if self.accused.len() >= MAX_LOOKED_AT {
+        if self.accused.len() >= MAX_PROBED_TARGETS {
             return false;
         }
         self.accused.insert(run.clone(), vec![accused]);
@@ -115,20 +115,20 @@
     }
 
     /// Ends the probe of a target and returns its suspects.
-    pub fn take_accused(
+    pub fn take_suspects(
         &mut self,
         run: &TargetRun,
-    ) -> Vec<Accused> {
+    ) -> Vec<SuspectRequest> {
         self.accused.remove(run).unwrap_or_default()
     }
 
     /// Returns true if no other target broke off answers at about this time.
-    pub fn was_alone(
+    pub fn is_isolated_loss(
         &self,
         target: &str,
         lost: Instant,
     ) -> bool {
-        let near = |at: Instant| at.max(lost).saturating_duration_since(at.min(lost)) <= SAME_TIME;
+        let near = |at: Instant| at.max(lost).saturating_duration_since(at.min(lost)) <= CORRELATION_WINDOW;
         let mut near = self.losses.iter().filter(|(at, _)| near(*at));
         !near.any(|(_, other)| **other != *target)
     }
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -9,7 +9,7 @@
 mod board_notices;
 mod replica_freshness;
 mod control_request;
-mod crash_watch;
+mod crash_tracker;
 mod fleet_view;
 mod key_standing;
 mod notice_watch;
@@ -29,7 +29,7 @@
     staleness_monitor::{StalenessMonitor, StalenessBounds, MaxStaleness},
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     control_request::{AdapterRequest, ControlRequest},
-    crash_watch::{Accused, CrashWatch, TargetRun},
+    crash_tracker::{SuspectRequest, CrashTracker, TargetRun},
     fleet_view::{FleetView, TargetView},
     key_standing::KeyStanding,
     notice_watch::{Closing, NoticeWatch},
--- a/src/connection/targets/target_board.rs
+++ b/src/connection/targets/target_board.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AdapterDemand, AdapterMap, StalenessMonitor, StalenessBounds, ReplicaFreshness, ControlRequest,
-        CrashWatch, FleetView, NoticeWatch, OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets,
+        CrashTracker, FleetView, NoticeWatch, OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets,
         RequestTokens, TargetLink, TargetView,
     },
     crate::{
@@ -55,7 +55,7 @@
     /// Wakes requests that wait for fresh replicas.
     pub(super) confirmation_news: Rc<Notify>,
     pub(super) staleness_monitor: StalenessMonitor,
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
     pub notices: NoticeWatch,
     pub quotas: QuotaBook,
     /// Awaited concurrency slots at targets of plain services.
@@ -99,7 +99,7 @@
             confirmation: ReplicaFreshness::default(),
             confirmation_news: Rc::default(),
             staleness_monitor: StalenessMonitor::new(settings.bounds, Instant::now()),
-            crashes: CrashWatch::default(),
+            crashes: CrashTracker::default(),
             notices: NoticeWatch::new(control.clone()),
             quotas: QuotaBook::default(),
             places: OpenAsks::default(),
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -3,7 +3,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        connection::targets::{Accused, CrashWatch},
+        connection::targets::{CrashTracker, SuspectRequest},
         request::poison::{
             Fingerprint, KEEP_REFUSED, KEEP_SUSPECTED, MAX_REFUSED, MAX_SUSPECTED, PoisonLedger,
             Standing, Strike, TargetEnd, ToldPoison,
@@ -204,44 +204,44 @@
 
 #[test]
 fn a_target_ends_alone_if_no_other_breaks_answers_off_at_the_time() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashTracker::default();
     let now = Instant::now();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
     watch.on_loss(&one, now);
     watch.on_loss(&one, now + Duration::from_millis(10));
-    assert!(watch.was_alone(&one, now));
+    assert!(watch.is_isolated_loss(&one, now));
     watch.on_loss(&other, now + Duration::from_millis(200));
-    assert!(!watch.was_alone(&one, now));
-    assert!(watch.was_alone(&one, now + Duration::from_secs(2)));
+    assert!(!watch.is_isolated_loss(&one, now));
+    assert!(watch.is_isolated_loss(&one, now + Duration::from_secs(2)));
 }
 
 #[test]
 fn each_target_is_looked_at_once_for_all_that_are_accused_of_its_end() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashTracker::default();
     let run = (Arc::from("one"), None);
-    let accused = |number| Accused {
+    let accused = |number| SuspectRequest {
         fingerprint: fingerprint(number),
         id: number.to_string(),
         begun: true,
     };
-    assert!(watch.accuse(&run, accused(1)));
-    assert!(!watch.accuse(&run, accused(2)));
-    assert_eq!(watch.take_accused(&run), vec![accused(1), accused(2)]);
-    assert!(watch.accuse(&run, accused(3)));
+    assert!(watch.add_suspect(&run, accused(1)));
+    assert!(!watch.add_suspect(&run, accused(2)));
+    assert_eq!(watch.take_suspects(&run), vec![accused(1), accused(2)]);
+    assert!(watch.add_suspect(&run, accused(3)));
 }
 
 /// A loss of a whole hall must not make a host tell all others of each target.
 #[test]
 fn few_targets_are_looked_at_when_many_end_at_once() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashTracker::default();
     let looked_at = (0..100).filter(|number| {
         let run = (Arc::from(number.to_string()), None);
-        let accused = Accused {
+        let accused = SuspectRequest {
             fingerprint: fingerprint(*number),
             id: number.to_string(),
             begun: true,
         };
-        watch.accuse(&run, accused)
+        watch.add_suspect(&run, accused)
     });
     assert_eq!(looked_at.count(), 4);
 }
