--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -5,7 +5,7 @@
         clock::Instant,
         connection::{
             http1::{CallClient, CallEnd, CallLimit},
-            targets::{SuspectRequest, TargetBoard, TargetRun},
+            targets::{SuspectRequest, TargetBoard, TargetIncarnation},
         },
         formats::{HeaderNames, HttpCall},
         note,
@@ -99,7 +99,7 @@
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
     request: &CallRequest,
-    run: TargetRun,
+    run: TargetIncarnation,
     begun: bool,
 ) {
     let lost = Instant::now();
@@ -150,7 +150,7 @@
 struct CrashProbe {
     board: Rc<RefCell<TargetBoard>>,
     check: HealthCheck,
-    run: TargetRun,
+    run: TargetIncarnation,
     lost: Instant,
 }
 
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -15,7 +15,7 @@
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
-        connection::targets::{KeyStanding, TargetBoard, TargetRun},
+        connection::targets::{KeyStanding, TargetBoard, TargetIncarnation},
         formats::Formats,
         metrics::{KindLabels, OutcomeLabels, WaitLabels, metrics},
         note,
@@ -373,7 +373,7 @@
     fn run_at(
         &self,
         target: &Arc<str>,
-    ) -> TargetRun {
+    ) -> TargetIncarnation {
         (target.clone(), self.board.borrow().started(target))
     }
 
@@ -381,7 +381,7 @@
     pub fn on_broken(
         &self,
         request: &CallRequest,
-        run: TargetRun,
+        run: TargetIncarnation,
         first_event: Instant,
     ) {
         let now = Instant::now();
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -3,7 +3,7 @@
         clock::Instant,
         connection::{
             http1::{BodyDecoder, ExchangeError, HttpConnection, ResponseHead},
-            targets::{KeyStanding, RequestTokens, TargetBoard, TargetLink, TargetRun},
+            targets::{KeyStanding, RequestTokens, TargetBoard, TargetLink, TargetIncarnation},
         },
         formats::{HeaderNames, TargetStart},
         request::{
@@ -220,7 +220,7 @@
     }
 
     /// The start of the target that answers.
-    pub fn run(&self) -> TargetRun {
+    pub fn run(&self) -> TargetIncarnation {
         (self.flight.target.clone(), self.flight.started)
     }
 
--- a/src/connection/targets/crash_tracker.rs
+++ b/src/connection/targets/crash_tracker.rs
@@ -26,7 +26,7 @@
 const MAX_PROBED_TARGETS: usize = 4;
 
 /// One incarnation of a target.
-pub type TargetRun = (Arc<str>, Option<TargetStart>);
+pub type TargetIncarnation = (Arc<str>, Option<TargetStart>);
 
 /// A request that may have crashed a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// Targets that broke off an answer, oldest first.
     losses: VecDeque<(Instant, Arc<str>)>,
     /// Suspect requests of the targets that are being probed.
-    accused: HashMap<TargetRun, Vec<SuspectRequest>>,
+    accused: HashMap<TargetIncarnation, Vec<SuspectRequest>>,
 }
 
 impl CrashTracker {
@@ -98,7 +98,7 @@
     /// Adds a suspect that was lost at a target; returns true if the caller must probe the target.
     pub fn add_suspect(
         &mut self,
-        run: &TargetRun,
+        run: &TargetIncarnation,
         accused: SuspectRequest,
     ) -> bool {
         if let Some(others) = self.accused.get_mut(run) {
@@ -117,7 +117,7 @@
     /// Ends the probe of a target and returns its suspects.
     pub fn take_suspects(
         &mut self,
-        run: &TargetRun,
+        run: &TargetIncarnation,
     ) -> Vec<SuspectRequest> {
         self.accused.remove(run).unwrap_or_default()
     }
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -29,7 +29,7 @@
     staleness_monitor::{StalenessMonitor, StalenessBounds, MaxStaleness},
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     control_request::{AdapterRequest, ControlRequest},
-    crash_tracker::{SuspectRequest, CrashTracker, TargetRun},
+    crash_tracker::{SuspectRequest, CrashTracker, TargetIncarnation},
     fleet_view::{FleetView, TargetView},
     key_standing::KeyStanding,
     notice_watch::{Closing, NoticeWatch},
