--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -340,7 +340,7 @@
     targets: &[Arc<str>],
     now: Instant,
 ) -> Option<Choice> {
-    let opens = board.first_opening(targets.iter(), now)?;
+    let opens = board.earliest_availability(targets.iter(), now)?;
     if is_prompt(request, opens) {
         return Some(Choice::Wait {
             until: opens,
--- a/src/connection/targets/board_notices.rs
+++ b/src/connection/targets/board_notices.rs
@@ -1,7 +1,7 @@
 //! Availability of targets by their own notices, and permits for rate-limited targets.
 
 use {
-    super::{Closing, ControlRequest, TargetBoard},
+    super::{Unavailability, ControlRequest, TargetBoard},
     crate::{clock::Instant, connection::datagram::PermitAsk, request::notices::Openness},
     std::sync::Arc,
 };
@@ -29,7 +29,7 @@
     }
 
     /// Returns when the first of these targets becomes available; `None` if one is available now or none will be.
-    pub fn first_opening<'a>(
+    pub fn earliest_availability<'a>(
         &self,
         targets: impl Iterator<Item = &'a Arc<str>>,
         now: Instant,
@@ -38,10 +38,10 @@
             let start = self.started(target);
             self.notices.closing(target, start, now)
         };
-        let closings: Option<Vec<Closing>> = targets.map(closing).collect();
+        let closings: Option<Vec<Unavailability>> = targets.map(closing).collect();
         let opening = |closing| match closing {
-            Closing::Until(until) => Some(until),
-            Closing::ForGood => None,
+            Unavailability::Until(until) => Some(until),
+            Unavailability::Permanent => None,
         };
         closings?.into_iter().filter_map(opening).min()
     }
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -12,7 +12,7 @@
 mod crash_tracker;
 mod fleet_view;
 mod key_standing;
-mod notice_watch;
+mod notice_tracker;
 mod open_asks;
 mod quota_book;
 mod reading_speed;
@@ -32,7 +32,7 @@
     crash_tracker::{SuspectRequest, CrashTracker, TargetIncarnation},
     fleet_view::{FleetView, TargetView},
     key_standing::KeyStanding,
-    notice_watch::{Closing, NoticeWatch},
+    notice_tracker::{Unavailability, NoticeTracker},
     open_asks::{OpenAsk, OpenAsks},
     quota_book::{QuotaBook, count_ask},
     reading_speed::ReadingSpeed,
--- a/src/connection/targets/notice_watch.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -22,13 +22,13 @@
 
 /// How long a target is unavailable to this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Closing {
+pub enum Unavailability {
     Until(Instant),
-    ForGood,
+    Permanent,
 }
 
 /// Tracks the notices of targets in the answers to this host's requests.
-pub struct NoticeWatch {
+pub struct NoticeTracker {
     book: NoticeBook,
     /// Targets that this host avoids: the incarnation and the end of the backoff.
     closed: HashMap<Arc<str>, (Option<TargetStart>, Instant)>,
@@ -37,7 +37,7 @@
     unreadable: HashMap<Arc<str>, Instant>,
 }
 
-impl NoticeWatch {
+impl NoticeTracker {
     pub fn new(control: flume::Sender<ControlRequest>) -> Self {
         Self {
             book: NoticeBook::default(),
@@ -86,17 +86,17 @@
         target: &str,
         start: Option<TargetStart>,
         now: Instant,
-    ) -> Option<Closing> {
+    ) -> Option<Unavailability> {
         let said = self.book.get(target, start);
         if said.is_some_and(|said| said.leaves) {
-            return Some(Closing::ForGood);
+            return Some(Unavailability::Permanent);
         }
         let rests = said.and_then(|said| said.rests(now));
         let closed = self.closed.get(target);
         let closed = closed.filter(|(of, _)| *of == start);
         let until = closed.map(|(_, until)| *until);
         let closed = until.filter(|until| now < *until);
-        rests.max(closed).map(Closing::Until)
+        rests.max(closed).map(Unavailability::Until)
     }
 
     /// Marks a target as unavailable to this host until a time.
--- a/src/connection/targets/target_board.rs
+++ b/src/connection/targets/target_board.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AdapterDemand, AdapterMap, StalenessMonitor, StalenessBounds, ReplicaFreshness, ControlRequest,
-        CrashTracker, FleetView, NoticeWatch, OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets,
+        CrashTracker, FleetView, NoticeTracker, OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets,
         RequestTokens, TargetLink, TargetView,
     },
     crate::{
@@ -56,7 +56,7 @@
     pub(super) confirmation_news: Rc<Notify>,
     pub(super) staleness_monitor: StalenessMonitor,
     pub crashes: CrashTracker,
-    pub notices: NoticeWatch,
+    pub notices: NoticeTracker,
     pub quotas: QuotaBook,
     /// Awaited concurrency slots at targets of plain services.
     pub places: OpenAsks<PlaceGiven>,
@@ -100,7 +100,7 @@
             confirmation_news: Rc::default(),
             staleness_monitor: StalenessMonitor::new(settings.bounds, Instant::now()),
             crashes: CrashTracker::default(),
-            notices: NoticeWatch::new(control.clone()),
+            notices: NoticeTracker::new(control.clone()),
             quotas: QuotaBook::default(),
             places: OpenAsks::default(),
             permits: OpenAsks::default(),
