--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -95,7 +95,7 @@
 
 /// A request was lost as its target had just begun it: finds out whether the target has ended, and tells all
 /// hosts if so.
-pub fn add_suspect(
+pub fn accuse(
     board: &Rc<RefCell<TargetBoard>>,
     names: &HeaderNames,
     request: &CallRequest,
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -3,7 +3,7 @@
         clock::Instant,
         connection::{
             http1::{BodyDecoder, ExchangeError, HttpConnection, ResponseHead},
-            targets::{KeyStanding, RequestTokens, TargetBoard, TargetLink, TargetIncarnation},
+            targets::{KeyStanding, RequestTokens, TargetBoard, TargetIncarnation, TargetLink},
         },
         formats::{HeaderNames, TargetStart},
         request::{
--- a/src/connection/targets/board_beliefs.rs
+++ b/src/connection/targets/board_beliefs.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ReplicaFreshness, KeyStanding, MaxStaleness, ServesUntil, Succession, TargetBoard,
+        KeyStanding, MaxStaleness, ReplicaFreshness, ServesUntil, Succession, TargetBoard,
         VersionHistory,
     },
     crate::{
@@ -23,7 +23,7 @@
         &mut self,
         confirmation: ReplicaFreshness,
     ) {
-        self.confirmation = replica_freshness;
+        self.confirmation = confirmation;
         self.confirmation_news.notify_waiters();
     }
 
--- a/src/connection/targets/board_notices.rs
+++ b/src/connection/targets/board_notices.rs
@@ -1,7 +1,7 @@
 //! Availability of targets by their own notices, and permits for rate-limited targets.
 
 use {
-    super::{Unavailability, ControlRequest, TargetBoard},
+    super::{ControlRequest, TargetBoard, Unavailability},
     crate::{clock::Instant, connection::datagram::PermitAsk, request::notices::Openness},
     std::sync::Arc,
 };
--- a/src/connection/targets/crash_tracker.rs
+++ b/src/connection/targets/crash_tracker.rs
@@ -128,7 +128,9 @@
         target: &str,
         lost: Instant,
     ) -> bool {
-        let near = |at: Instant| at.max(lost).saturating_duration_since(at.min(lost)) <= CORRELATION_WINDOW;
+        let near = |at: Instant| {
+            at.max(lost).saturating_duration_since(at.min(lost)) <= CORRELATION_WINDOW
+        };
         let mut near = self.losses.iter().filter(|(at, _)| near(*at));
         !near.any(|(_, other)| **other != *target)
     }
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -2,12 +2,10 @@
 
 mod adapter_demand;
 mod adapter_map;
-mod staleness_monitor;
 mod board_adapters;
 mod board_beliefs;
 mod board_counting;
 mod board_notices;
-mod replica_freshness;
 mod control_request;
 mod crash_tracker;
 mod fleet_view;
@@ -17,7 +15,9 @@
 mod quota_book;
 mod reading_speed;
 mod repeat_budgets;
+mod replica_freshness;
 mod serves_until;
+mod staleness_monitor;
 mod target_board;
 mod target_health;
 mod target_link;
@@ -26,18 +26,18 @@
 pub use {
     adapter_demand::AdapterDemand,
     adapter_map::{AdapterCopy, AdapterMap},
-    staleness_monitor::{StalenessMonitor, StalenessBounds, MaxStaleness},
-    replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     control_request::{AdapterRequest, ControlRequest},
-    crash_tracker::{SuspectRequest, CrashTracker, TargetIncarnation},
+    crash_tracker::{CrashTracker, SuspectRequest, TargetIncarnation},
     fleet_view::{FleetView, TargetView},
     key_standing::KeyStanding,
-    notice_tracker::{Unavailability, NoticeTracker},
+    notice_tracker::{NoticeTracker, Unavailability},
     open_asks::{OpenAsk, OpenAsks},
     quota_book::{QuotaBook, count_ask},
     reading_speed::ReadingSpeed,
     repeat_budgets::RepeatBudgets,
+    replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     serves_until::ServesUntil,
+    staleness_monitor::{MaxStaleness, StalenessBounds, StalenessMonitor},
     target_board::{BoardSettings, MAX_TOLD_HOSTS, ServiceTarget, TargetBoard},
     target_health::TargetHealth,
     target_link::{IdleConnection, RequestTokens, TargetLink},
--- a/src/connection/targets/target_board.rs
+++ b/src/connection/targets/target_board.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        AdapterDemand, AdapterMap, StalenessMonitor, StalenessBounds, ReplicaFreshness, ControlRequest,
-        CrashTracker, FleetView, NoticeTracker, OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets,
-        RequestTokens, TargetLink, TargetView,
+        AdapterDemand, AdapterMap, ControlRequest, CrashTracker, FleetView, NoticeTracker,
+        OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets, ReplicaFreshness, RequestTokens,
+        StalenessBounds, StalenessMonitor, TargetLink, TargetView,
     },
     crate::{
         clock::Instant,
--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -6,7 +6,7 @@
                 ChargeAnswer, EngineLoad, EngineStanding, Loan, LoanAsk, Message, PermitAnswer,
                 PlaceGiven, Placement,
             },
-            targets::{ReplicaFreshness, FleetView},
+            targets::{FleetView, ReplicaFreshness},
         },
         formats::{Order, RowWrite, Transaction},
         process::holding::TakenEngine,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -10,7 +10,8 @@
         connection::{
             datagram::{CopyState, Freshness, HostRumor, Ping},
             targets::{
-                ReplicaFreshness, FleetView, SEND_MARGIN, TableFreshness, TargetView, VersionHistory,
+                FleetView, ReplicaFreshness, SEND_MARGIN, TableFreshness, TargetView,
+                VersionHistory,
             },
         },
         formats::Formats,
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -10,7 +10,8 @@
             },
             front::{FrontListener, FrontStop},
             targets::{
-                StalenessBounds, BoardSettings, ReplicaFreshness, ControlRequest, FleetView, TargetBoard,
+                BoardSettings, ControlRequest, FleetView, ReplicaFreshness, StalenessBounds,
+                TargetBoard,
             },
         },
         errors::RunError,
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,7 +1,7 @@
 //! What the hosts' log lines tell afterwards: the story of one request, and where a day's worth went.
 
 mod adapter_loads;
-mod staleness_monitor;
+mod belief_ages;
 mod clock_offsets;
 mod day_report;
 mod end_cause;
@@ -11,7 +11,7 @@
 
 pub use {
     adapter_loads::AdapterLoads,
-    staleness_monitor::{BeliefReport, TableAges},
+    belief_ages::{BeliefReport, TableAges},
     clock_offsets::ClockOffsets,
     day_report::{DayReport, KindCount},
     end_cause::EndCause,
