--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -8,7 +8,9 @@
 use {
     coveproxy::{
         clock::Instant,
-        connection::targets::{BoardSettings, FleetView, StalenessBounds, TargetBoard, TargetView},
+        connection::targets::{
+            FleetView, StalenessBounds, TargetTable, TargetTableSettings, TargetView,
+        },
         formats::{TargetRecord, TargetState},
         process::{
             holding::{Holding, HoldingTimings, HostRow},
@@ -279,7 +281,7 @@
         ..FleetView::default()
     };
     let (control, _told) = flume::unbounded();
-    let settings = BoardSettings {
+    let settings = TargetTableSettings {
         first_start: false,
         budget_window: Duration::from_secs(10),
         budget_ratio: 0.2,
@@ -292,7 +294,7 @@
             version: Duration::from_secs(5),
         },
     };
-    let mut board = TargetBoard::new(settings, control);
+    let mut board = TargetTable::new(settings, control);
     board.set_view(Arc::new(view.clone()));
     let same = timed(20, || board.set_view(Arc::new(view.clone())));
     let mut next = 0;
--- a/src/connection/front/adapter_standing.rs
+++ b/src/connection/front/adapter_standing.rs
@@ -5,7 +5,7 @@
     },
     crate::{
         clock::Instant,
-        connection::targets::{AdapterCopy, TargetBoard},
+        connection::targets::{AdapterCopy, TargetTable},
         request::direct::CopyState,
     },
     std::time::Duration,
@@ -21,7 +21,7 @@
 
 impl<'a> AdapterStanding<'a> {
     pub fn of(
-        board: &TargetBoard,
+        board: &TargetTable,
         adapter: &'a str,
         now: Instant,
     ) -> Self {
@@ -35,7 +35,7 @@
     /// The copy at an engine, as far as it can serve a request that is expected to begin there after `wait`.
     pub fn copy_at(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         target: &str,
         wait: Duration,
     ) -> CopyState {
@@ -55,7 +55,7 @@
     /// `wait`.
     pub fn version_at(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         target: &str,
         wait: Duration,
     ) -> Option<u64> {
@@ -67,7 +67,7 @@
     /// A copy that can't serve now.
     fn otherwise(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         copy: &AdapterCopy,
         wait: Duration,
     ) -> CopyState {
@@ -89,7 +89,7 @@
     /// True if an engine's holder should have told of the adapter by now.
     pub fn is_late_at(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         target: &str,
     ) -> bool {
         let copy = board.adapters.get(self.adapter, target);
--- a/src/connection/front/admission/belief_gate.rs
+++ b/src/connection/front/admission/belief_gate.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         clock::{Instant, timeout_at},
-        connection::{front::request_trace::millis, targets::TargetBoard},
+        connection::{front::request_trace::millis, targets::TargetTable},
         note,
         timeline::Event,
     },
@@ -43,7 +43,7 @@
 
     pub fn is_confirmed(
         self,
-        board: &TargetBoard,
+        board: &TargetTable,
         now: Instant,
     ) -> bool {
         match self {
@@ -60,7 +60,7 @@
 /// It guards against a host whose control thread gets no processor, or whose news are held up on full
 /// links: it must not send requests to targets that said longer ago than the bound that they leave.
 pub async fn wait_until_confirmed(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     belief: Belief,
     request: &str,
 ) -> bool {
@@ -85,7 +85,7 @@
 }
 
 fn news_to_wait_for(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     belief: Belief,
 ) -> Option<Rc<Notify>> {
     let board = board.borrow();
--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         clock::{Instant, timeout_at},
-        connection::targets::TargetBoard,
+        connection::targets::TargetTable,
         metrics::{StateLabels, metrics},
         request::notices::Openness,
     },
@@ -18,7 +18,7 @@
 
 /// True if a request may go to a target now; else the target is left alone until it may be asked for again.
 pub async fn take_permit(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     target: &Arc<str>,
 ) -> bool {
     let begun = Instant::now();
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -5,7 +5,7 @@
         clock::{Instant, timeout_at},
         connection::{
             datagram::{PlaceEnded, PlaceGiven, PlaceWanted},
-            targets::TargetBoard,
+            targets::TargetTable,
         },
         request::{direct::CallRequest, notices::Openness, places::PlaceEnd},
     },
@@ -29,7 +29,7 @@
 
 /// A place at a target, told to have ended when dropped.
 pub struct HeldPlace {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     service: String,
     id: u64,
     pub target: Arc<str>,
@@ -45,7 +45,7 @@
 
 /// Asks for a place for a request that is not to go to these targets.
 pub async fn find_place(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
     tried: &[String],
 ) -> PlaceFound {
@@ -72,7 +72,7 @@
 }
 
 fn found(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     service: &str,
     given: Option<PlaceGiven>,
 ) -> PlaceFound {
@@ -101,7 +101,7 @@
 /// Targets that a request is not to go to: those that it was sent to, those that take none now, and those that this host
 /// avoids, unless it avoids all of them.
 fn passed_over(
-    board: &TargetBoard,
+    board: &TargetTable,
     service: &str,
     tried: &[String],
     now: Instant,
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -6,7 +6,7 @@
         connection::{
             datagram::{ChargeAnswer, ChargeAsk, ChargeRefund},
             front::{OwnAnswer, OwnCause},
-            targets::{TargetBoard, count_ask},
+            targets::{TargetTable, count_ask},
         },
         request::{
             direct::CallRequest,
@@ -37,7 +37,7 @@
 
 /// What a request was let use; it goes back when dropped before the request may have run.
 pub struct Charged {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     /// What it was granted by; none if it was paid for with what had been granted ahead.
     grant: Option<ChargeRefund>,
 }
@@ -59,7 +59,7 @@
 
 /// Lets a request use what it costs, or gives the answer to it; `None` if nothing is counted for it.
 pub async fn charge(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
 ) -> Result<Option<Charged>, OwnAnswer> {
     let Some(credential) = &request.credential else {
@@ -114,7 +114,7 @@
 
 /// One request before the hosts that count its customer's use.
 struct QuotaGate<'a> {
-    board: &'a Rc<RefCell<TargetBoard>>,
+    board: &'a Rc<RefCell<TargetTable>>,
     customer: &'a str,
     cost: f64,
 }
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -11,7 +11,7 @@
     },
     crate::{
         clock::Instant,
-        connection::targets::{AdapterRequest, TargetBoard},
+        connection::targets::{AdapterRequest, TargetTable},
         request::direct::{
             CallRequest, ChoiceTerms, CopyState, EngineCandidate, EngineChoice, Patience,
             PlainCandidate, RequestTime, choose_engine, choose_plain, wait_or_refuse,
@@ -51,14 +51,14 @@
 
 /// Chooses the target of each send.
 pub struct Chooser {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     /// The hall of this host.
     hall: String,
 }
 
 impl Chooser {
     pub fn new(
-        board: Rc<RefCell<TargetBoard>>,
+        board: Rc<RefCell<TargetTable>>,
         hall: &str,
     ) -> Self {
         Self {
@@ -96,7 +96,7 @@
 
     fn choose_plain(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         request: &CallRequest,
         tries: &mut Tries,
         now: Instant,
@@ -134,12 +134,12 @@
     /// A request for the base model alone runs at any engine that holds it.
     fn choose_base(
         &self,
-        board: &mut TargetBoard,
+        board: &mut TargetTable,
         request: &CallRequest,
         tries: &mut Tries,
         now: Instant,
     ) -> Choice {
-        let drawn = |board: &TargetBoard| sample_of_service(board, request, now);
+        let drawn = |board: &TargetTable| sample_of_service(board, request, now);
         let targets = match look_before_send(board, request, tries, drawn, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
@@ -171,14 +171,14 @@
 
     fn choose_for_adapter(
         &self,
-        board: &mut TargetBoard,
+        board: &mut TargetTable,
         request: &CallRequest,
         tries: &mut Tries,
         adapter: &str,
         now: Instant,
     ) -> Choice {
         let standing = AdapterStanding::of(board, adapter, now);
-        let drawn = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
+        let drawn = |board: &TargetTable| sample_for_adapter(board, request, adapter, now);
         let targets = match look_before_send(board, request, tries, drawn, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::Look { until },
@@ -269,7 +269,7 @@
 
 /// Decides on a target; `counts` are the candidates and those of them that were ready.
 fn send_to(
-    board: &TargetBoard,
+    board: &TargetTable,
     tries: &mut Tries,
     target: &Arc<str>,
     version: Option<VersionSent>,
@@ -298,7 +298,7 @@
 }
 
 fn ask_for(
-    board: &mut TargetBoard,
+    board: &mut TargetTable,
     tries: &mut Tries,
     ask: &AdapterRequest,
     now: Instant,
@@ -314,7 +314,7 @@
 
 /// No engine can take a request: it looks again a few times while a refusal is still prompt.
 fn nowhere_yet(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
     now: Instant,
@@ -335,7 +335,7 @@
 /// All targets are closed by what they say of themselves: a request waits if one opens while a refusal is still prompt; else
 /// it is refused at once, and its caller is told when one opens. `None` if a target is not closed.
 fn wait_for_opening(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
     now: Instant,
@@ -374,7 +374,7 @@
 
 /// The more requests share a copy, the less each pays for it.
 fn copy_price(
-    board: &TargetBoard,
+    board: &TargetTable,
     adapter: &str,
     now: Instant,
 ) -> Duration {
--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -5,7 +5,7 @@
         clock::Instant,
         connection::{
             http1::{CallClient, CallEnd, CallLimit},
-            targets::{SuspectRequest, TargetBoard, TargetIncarnation},
+            targets::{SuspectRequest, TargetIncarnation, TargetTable},
         },
         formats::{HeaderNames, HttpCall},
         note,
@@ -75,7 +75,7 @@
 
 /// True if a target answers right now. Before a suspected request is sent: should the target end, then under it.
 pub async fn answers_now(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     target: &str,
@@ -96,7 +96,7 @@
 /// A request was lost as its target had just begun it: finds out whether the target has ended, and tells all
 /// hosts if so.
 pub fn accuse(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     run: TargetIncarnation,
@@ -133,7 +133,7 @@
 
 /// A target gave a request a whole answer: what ended under it before was ended by others.
 pub fn acquit(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
 ) {
     let board = board.borrow();
@@ -148,7 +148,7 @@
 
 /// Looks at one start of a target.
 struct CrashProbe {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     check: HealthCheck,
     run: TargetIncarnation,
     lost: Instant,
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -15,7 +15,7 @@
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
-        connection::targets::{KeyStanding, TargetBoard, TargetIncarnation},
+        connection::targets::{KeyStanding, TargetIncarnation, TargetTable},
         formats::Formats,
         metrics::{KindLabels, OutcomeLabels, WaitLabels, metrics},
         note,
@@ -63,14 +63,14 @@
 
 /// Sends each request to a target, again where that is allowed, and gives the final answer.
 pub struct Dispatcher {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     chooser: Chooser,
     formats: Arc<dyn Formats>,
 }
 
 impl Dispatcher {
     pub fn new(
-        board: Rc<RefCell<TargetBoard>>,
+        board: Rc<RefCell<TargetTable>>,
         formats: Arc<dyn Formats>,
         hall: &str,
     ) -> Self {
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -2,7 +2,7 @@
     super::tries::Tries,
     crate::{
         clock::Instant,
-        connection::targets::{ReadingSpeed, TargetBoard, TargetLink},
+        connection::targets::{ReadingSpeed, TargetLink, TargetTable},
         request::direct::{CallRequest, CopyState, EngineCandidate, Policy, USUAL_LOAD},
     },
     std::{sync::Arc, time::Duration},
@@ -27,7 +27,7 @@
 
 impl<'a> EngineOutlook<'a> {
     pub fn of(
-        board: &mut TargetBoard,
+        board: &mut TargetTable,
         request: &CallRequest,
         targets: &[Arc<str>],
         hall: &'a str,
@@ -51,7 +51,7 @@
     /// An engine, as it stands for a request.
     pub fn candidate(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         request: &CallRequest,
         target: &str,
         copy: CopyState,
@@ -85,7 +85,7 @@
     /// True if what other hosts send there was last told too long ago.
     fn is_unknown(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         link: &TargetLink,
     ) -> bool {
         let since = self.now.checked_sub(LOAD_KNOWN);
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -4,7 +4,7 @@
     super::tries::{QueryRound, Tries},
     crate::{
         clock::Instant,
-        connection::{datagram::EngineQuery, targets::TargetBoard},
+        connection::{datagram::EngineQuery, targets::TargetTable},
         request::{
             direct::{CallRequest, CopyState},
             notices::Openness,
@@ -31,7 +31,7 @@
 
 /// The engines that a request for the base model alone may go to: a sample of a large site's.
 pub(super) fn sample_of_service(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     now: Instant,
 ) -> Vec<Arc<str>> {
@@ -50,7 +50,7 @@
 /// The engines that a request for an adapter may go to, in the order in which it settles: on a large
 /// site a sample of those that hold it, those to which it comes, and a few where it may come next.
 pub(super) fn sample_for_adapter(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     adapter: &str,
     now: Instant,
@@ -83,10 +83,10 @@
 /// The engines among which is chosen. On a large site their holders are asked first how they stand,
 /// since what was last heard is too old; `Err` gives the time until which their answers are awaited.
 pub(super) fn look_before_send(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     tries: &mut Tries,
-    draw: impl Fn(&TargetBoard) -> Vec<Arc<str>>,
+    draw: impl Fn(&TargetTable) -> Vec<Arc<str>>,
     now: Instant,
 ) -> Result<Vec<Arc<str>>, Instant> {
     if !board.asks_before_sends() {
@@ -117,7 +117,7 @@
 
 /// Asks the holders of these engines how they stand; false if there is none to ask.
 fn query_all(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
 ) -> bool {
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -3,7 +3,7 @@
         clock::Instant,
         connection::{
             http1::{BodyDecoder, ExchangeError, HttpConnection, ResponseHead},
-            targets::{KeyStanding, RequestTokens, TargetBoard, TargetIncarnation, TargetLink},
+            targets::{KeyStanding, RequestTokens, TargetIncarnation, TargetLink, TargetTable},
         },
         formats::{HeaderNames, TargetStart},
         request::{
@@ -64,7 +64,7 @@
 
 /// One request that runs, or may run, at a target; it counts as ended when dropped.
 pub struct Flight {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     target: Arc<str>,
     /// Which start of the target it runs at.
     started: Option<TargetStart>,
@@ -76,7 +76,7 @@
 
 impl Flight {
     fn start(
-        board: &Rc<RefCell<TargetBoard>>,
+        board: &Rc<RefCell<TargetTable>>,
         request: &CallRequest,
         target: &Arc<str>,
     ) -> Self {
@@ -256,7 +256,7 @@
 
 /// Sends a request to a target and reads its answer: plain ones whole, streams to the first piece.
 pub async fn send(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     destination: &Destination,
@@ -338,7 +338,7 @@
 /// True if what a send rests on is young enough, the list of targets and the version that it is for, and the target has not
 /// said meanwhile that it takes none.
 fn may_send(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
     destination: &Destination,
     now: Instant,
@@ -364,7 +364,7 @@
 }
 
 fn backlog(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     target: &str,
 ) -> u64 {
     let board = board.borrow();
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -6,7 +6,7 @@
     },
     crate::{
         clock::Instant,
-        connection::targets::TargetBoard,
+        connection::targets::TargetTable,
         formats::Formats,
         metrics::{StateLabels, metrics},
         note,
@@ -59,7 +59,7 @@
 pub struct FrontListener {
     dispatcher: Rc<Dispatcher>,
     reader: RequestReader,
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     formats: Arc<dyn Formats>,
     stop: watch::Receiver<FrontStop>,
     open_connections: Arc<AtomicUsize>,
@@ -67,7 +67,7 @@
 
 impl FrontListener {
     pub fn new(
-        board: Rc<RefCell<TargetBoard>>,
+        board: Rc<RefCell<TargetTable>>,
         formats: Arc<dyn Formats>,
         hall: &str,
         stop: watch::Receiver<FrontStop>,
--- a/src/connection/front/waiter.rs
+++ b/src/connection/front/waiter.rs
@@ -1,19 +1,19 @@
 use {
-    crate::connection::targets::TargetBoard,
+    crate::connection::targets::TargetTable,
     std::{cell::RefCell, rc::Rc},
     tokio::sync::Notify,
 };
 
 /// Counts a request as waiting for an adapter until dropped.
 pub struct Waiter {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     adapter: String,
     news: Rc<Notify>,
 }
 
 impl Waiter {
     pub fn start(
-        board: &Rc<RefCell<TargetBoard>>,
+        board: &Rc<RefCell<TargetTable>>,
         adapter: &str,
         priority: u8,
     ) -> Self {
--- a/src/connection/targets/board_adapters.rs
+++ b/src/connection/targets/board_adapters.rs
@@ -1,7 +1,7 @@
 //! Adapter placement: preferred engines, and load requests to the holders of engines.
 
 use {
-    super::{AdapterRequest, ControlRequest, ServiceTarget, TargetBoard, target_board::Waiting},
+    super::{AdapterRequest, ControlRequest, ServiceTarget, TargetTable, target_board::Waiting},
     crate::{
         clock::Instant,
         connection::datagram::{Placement, PlacementState, Want},
@@ -18,7 +18,7 @@
 /// Time for which an engine without a free adapter slot is not asked again.
 const FULL_PAUSE: Duration = Duration::from_millis(400);
 
-impl TargetBoard {
+impl TargetTable {
     /// Returns the engines that hold an adapter or should load it, in rendezvous-hash order, which is the same on
     /// every host.
     ///
--- a/src/connection/targets/board_beliefs.rs
+++ b/src/connection/targets/board_beliefs.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        KeyStanding, MaxStaleness, ReplicaFreshness, ServesUntil, Succession, TargetBoard,
+        KeyStanding, MaxStaleness, ReplicaFreshness, ServesUntil, Succession, TargetTable,
         VersionHistory,
     },
     crate::{
@@ -18,7 +18,7 @@
 /// messages on congested links, by which a replica can be older than it appears.
 const KEY_MARGIN: Duration = Duration::from_millis(1_000);
 
-impl TargetBoard {
+impl TargetTable {
     pub fn set_confirmation(
         &mut self,
         confirmation: ReplicaFreshness,
--- a/src/connection/targets/board_counting.rs
+++ b/src/connection/targets/board_counting.rs
@@ -1,7 +1,7 @@
 //! Requests to the hosts that count customers' usage, concurrency slots of plain targets, and repeat budgets.
 
 use {
-    super::{ControlRequest, TargetBoard},
+    super::{ControlRequest, TargetTable},
     crate::{
         clock::Instant,
         connection::datagram::{ChargeAsk, ChargeRefund, Loan, LoanAsk, PlaceEnded, PlaceWanted},
@@ -10,7 +10,7 @@
     std::net::SocketAddr,
 };
 
-impl TargetBoard {
+impl TargetTable {
     /// Requests a charge from the host that counts a part of a customer's usage; returns false if no such host is
     /// known.
     pub fn ask_charge(
--- a/src/connection/targets/board_notices.rs
+++ b/src/connection/targets/board_notices.rs
@@ -1,12 +1,12 @@
 //! Availability of targets by their own notices, and permits for rate-limited targets.
 
 use {
-    super::{ControlRequest, TargetBoard, Unavailability},
+    super::{ControlRequest, TargetTable, Unavailability},
     crate::{clock::Instant, connection::datagram::PermitAsk, request::notices::Openness},
     std::sync::Arc,
 };
 
-impl TargetBoard {
+impl TargetTable {
     /// Returns a target's availability to this host by its notices.
     pub fn openness(
         &self,
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -38,7 +38,7 @@
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     serves_until::ServesUntil,
     staleness_monitor::{MaxStaleness, StalenessBounds, StalenessMonitor},
-    target_board::{BoardSettings, MAX_TOLD_HOSTS, ServiceTarget, TargetBoard},
+    target_board::{MAX_TOLD_HOSTS, ServiceTarget, TargetTable, TargetTableSettings},
     target_health::TargetHealth,
     target_link::{IdleConnection, RequestTokens, TargetLink},
     version_history::{Succession, VersionHistory},
--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -1,5 +1,5 @@
 use {
-    super::BoardSettings,
+    super::TargetTableSettings,
     crate::{
         clock::Instant,
         connection::datagram::{Loan, LoanAsk},
@@ -30,7 +30,7 @@
 impl RepeatBudgets {
     /// Creates the budgets of a process that starts at `now`.
     pub fn new(
-        settings: &BoardSettings,
+        settings: &TargetTableSettings,
         now: Instant,
     ) -> Self {
         let terms = BudgetTerms {
--- a/src/connection/targets/target_board.rs
+++ b/src/connection/targets/target_board.rs
@@ -26,7 +26,7 @@
 
 /// Settings that do not change while the process runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BoardSettings {
+pub struct TargetTableSettings {
     pub budget_window: Duration,
     pub budget_ratio: f64,
     pub budget_extra: f64,
@@ -37,8 +37,8 @@
 }
 
 /// All targets, as known to the requests of this host.
-pub struct TargetBoard {
-    pub(super) settings: BoardSettings,
+pub struct TargetTable {
+    pub(super) settings: TargetTableSettings,
     pub view: Arc<FleetView>,
     pub links: HashMap<Arc<str>, TargetLink>,
     pub(super) by_service: HashMap<String, Vec<ServiceTarget>>,
@@ -80,9 +80,9 @@
     pub(super) news: Rc<Notify>,
 }
 
-impl TargetBoard {
+impl TargetTable {
     pub fn new(
-        settings: BoardSettings,
+        settings: TargetTableSettings,
         control: flume::Sender<ControlRequest>,
     ) -> Self {
         Self {
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -10,8 +10,8 @@
             },
             front::{FrontListener, FrontStop},
             targets::{
-                BoardSettings, ControlRequest, FleetView, ReplicaFreshness, StalenessBounds,
-                TargetBoard,
+                ControlRequest, FleetView, ReplicaFreshness, StalenessBounds, TargetTable,
+                TargetTableSettings,
             },
         },
         errors::RunError,
@@ -99,7 +99,7 @@
 
 async fn serve(parts: TrafficParts) -> Result<(), RunError> {
     let bounds = &parts.settings.bounds;
-    let settings = BoardSettings {
+    let settings = TargetTableSettings {
         budget_window: bounds.budget_window,
         budget_ratio: bounds.budget_ratio,
         budget_extra: bounds.budget_extra,
@@ -112,7 +112,7 @@
             version: bounds.version,
         },
     };
-    let board = Rc::new(RefCell::new(TargetBoard::new(settings, parts.control)));
+    let board = Rc::new(RefCell::new(TargetTable::new(settings, parts.control)));
     let listener = parts
         .listener
         .set_nonblocking(true)
@@ -150,7 +150,7 @@
 
 /// Tells of what requests rested on, if that came near its bounds.
 fn tell_ages(
-    board: &mut TargetBoard,
+    board: &mut TargetTable,
     bounds: &Bounds,
 ) {
     let Some(largest) = board.take_max_staleness(Instant::now()) else {
@@ -166,7 +166,7 @@
 }
 
 fn take(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     input: TrafficInput,
 ) {
     let mut board = board.borrow_mut();
--- a/tests/target_board.rs
+++ b/tests/target_board.rs
@@ -6,8 +6,8 @@
         connection::{
             datagram::{Placement, PlacementState, Usage},
             targets::{
-                AdapterRequest, BoardSettings, ControlRequest, FleetView, ReplicaFreshness,
-                RequestTokens, StalenessBounds, TableFreshness, TargetBoard, TargetView,
+                AdapterRequest, ControlRequest, FleetView, ReplicaFreshness, RequestTokens,
+                StalenessBounds, TableFreshness, TargetTable, TargetTableSettings, TargetView,
             },
         },
         formats::{HeldAdapter, HeldModel, TargetRecord, TargetStart, TargetState},
@@ -67,7 +67,7 @@
 }
 
 struct World {
-    board: TargetBoard,
+    board: TargetTable,
     told: flume::Receiver<ControlRequest>,
     now: Instant,
 }
@@ -75,7 +75,7 @@
 impl World {
     fn new(holder: Option<SocketAddr>) -> Self {
         let (control, told) = flume::unbounded();
-        let settings = BoardSettings {
+        let settings = TargetTableSettings {
             budget_window: ms(10_000),
             budget_ratio: 0.2,
             budget_extra: 50.0,
@@ -88,7 +88,7 @@
                 version: ms(5_000),
             },
         };
-        let mut board = TargetBoard::new(settings, control);
+        let mut board = TargetTable::new(settings, control);
         board.set_view(view(holder));
         Self {
             board,
@@ -375,7 +375,7 @@
 #[test]
 fn targets_that_change_are_found_under_their_service() {
     let mut world = World::new(None);
-    let ids = |board: &TargetBoard, service: &str| -> Vec<String> {
+    let ids = |board: &TargetTable, service: &str| -> Vec<String> {
         let targets = board.targets_of(service).iter();
         targets.map(|target| target.id.to_string()).collect()
     };
