--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -2,10 +2,6 @@
 
 mod adapter_demand;
 mod adapter_map;
-mod board_adapters;
-mod board_beliefs;
-mod board_counting;
-mod board_notices;
 mod control_request;
 mod crash_tracker;
 mod fleet_view;
@@ -18,9 +14,13 @@
 mod replica_freshness;
 mod serves_until;
 mod staleness_monitor;
-mod target_board;
+mod table_adapters;
+mod table_counting;
+mod table_notices;
+mod table_staleness;
 mod target_health;
 mod target_link;
+mod target_table;
 mod version_history;
 
 pub use {
@@ -38,8 +38,8 @@
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     serves_until::ServesUntil,
     staleness_monitor::{MaxStaleness, StalenessBounds, StalenessMonitor},
-    target_board::{MAX_TOLD_HOSTS, ServiceTarget, TargetTable, TargetTableSettings},
     target_health::TargetHealth,
     target_link::{IdleConnection, RequestTokens, TargetLink},
+    target_table::{MAX_TOLD_HOSTS, ServiceTarget, TargetTable, TargetTableSettings},
     version_history::{Succession, VersionHistory},
 };
--- a/src/connection/targets/board_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -1,7 +1,7 @@
 //! Adapter placement: preferred engines, and load requests to the holders of engines.
 
 use {
-    super::{AdapterRequest, ControlRequest, ServiceTarget, TargetTable, target_board::Waiting},
+    super::{AdapterRequest, ControlRequest, ServiceTarget, TargetTable, target_table::Waiting},
     crate::{
         clock::Instant,
         connection::datagram::{Placement, PlacementState, Want},
