--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -15,7 +15,7 @@
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
-        connection::targets::{KeyStanding, TargetIncarnation, TargetTable},
+        connection::targets::{KeyStatus, TargetIncarnation, TargetTable},
         formats::Formats,
         metrics::{KindLabels, OutcomeLabels, WaitLabels, metrics},
         note,
@@ -429,11 +429,11 @@
         request: &CallRequest,
     ) -> Option<OwnCause> {
         let credential = request.credential.as_ref()?;
-        let standing = self.board.borrow().key_standing(credential, Instant::now());
+        let standing = self.board.borrow().key_status(credential, Instant::now());
         match standing {
-            KeyStanding::Valid => None,
-            KeyStanding::Gone => Some(OwnCause::UnknownKey),
-            KeyStanding::Moved | KeyStanding::Unconfirmed => Some(OwnCause::Unconfirmed),
+            KeyStatus::Valid => None,
+            KeyStatus::Revoked => Some(OwnCause::UnknownKey),
+            KeyStatus::Reassigned | KeyStatus::Unconfirmed => Some(OwnCause::Unconfirmed),
         }
     }
 
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -3,7 +3,7 @@
         clock::Instant,
         connection::{
             http1::{BodyDecoder, ExchangeError, HttpConnection, ResponseHead},
-            targets::{KeyStanding, RequestTokens, TargetIncarnation, TargetLink, TargetTable},
+            targets::{KeyStatus, RequestTokens, TargetIncarnation, TargetLink, TargetTable},
         },
         formats::{HeaderNames, TargetStart},
         request::{
@@ -358,7 +358,7 @@
         || request
             .credential
             .as_ref()
-            .is_none_or(|credential| board.key_standing(credential, now) == KeyStanding::Valid);
+            .is_none_or(|credential| board.key_status(credential, now) == KeyStatus::Valid);
     let forbidden = board.forbids(&destination.target, now);
     serves && key_stands && !forbidden && board.allows_sends(now)
 }
--- a/src/connection/targets/key_standing.rs
+++ b/src/connection/targets/key_standing.rs
@@ -1,11 +1,11 @@
 /// Status of the key with which a request was admitted, right before the request is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyStanding {
+pub enum KeyStatus {
     Valid,
     /// Revoked or unknown.
-    Gone,
+    Revoked,
     /// Now belongs to another customer.
-    Moved,
+    Reassigned,
     /// The configuration is too old to confirm the key.
     Unconfirmed,
 }
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -5,7 +5,7 @@
 mod control_request;
 mod crash_tracker;
 mod fleet_view;
-mod key_standing;
+mod key_status;
 mod notice_tracker;
 mod open_asks;
 mod quota_book;
@@ -29,7 +29,7 @@
     control_request::{AdapterRequest, ControlRequest},
     crash_tracker::{CrashTracker, SuspectRequest, TargetIncarnation},
     fleet_view::{FleetView, TargetView},
-    key_standing::KeyStanding,
+    key_status::KeyStatus,
     notice_tracker::{NoticeTracker, Unavailability},
     open_asks::{OpenAsk, OpenAsks},
     quota_book::{QuotaBook, count_ask},
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        KeyStanding, MaxStaleness, ReplicaFreshness, ServesUntil, Succession, TargetTable,
+        KeyStatus, MaxStaleness, ReplicaFreshness, ServesUntil, Succession, TargetTable,
         VersionHistory,
     },
     crate::{
@@ -83,17 +83,17 @@
     }
 
     /// Returns the current status of the key with which a request was admitted.
-    pub fn key_standing(
+    pub fn key_status(
         &self,
         credential: &Credential,
         now: Instant,
-    ) -> KeyStanding {
+    ) -> KeyStatus {
         let customers = &self.view.routing.customers;
         match customers.of_key(&credential.key) {
-            _ if !self.allows_keys(now) => KeyStanding::Unconfirmed,
-            None => KeyStanding::Gone,
-            Some(customer) if customer.name != credential.customer.name => KeyStanding::Moved,
-            Some(_) => KeyStanding::Valid,
+            _ if !self.allows_keys(now) => KeyStatus::Unconfirmed,
+            None => KeyStatus::Revoked,
+            Some(customer) if customer.name != credential.customer.name => KeyStatus::Reassigned,
+            Some(_) => KeyStatus::Valid,
         }
     }
 
