--- a/src/connection/targets/control_request.rs
+++ b/src/connection/targets/control_request.rs
@@ -13,40 +13,40 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlRequest {
     /// Request an adapter from the holder of an engine.
-    Want { holder: SocketAddr, want: Want },
+    RequestAdapter { holder: SocketAddr, want: Want },
     /// Report this host's usage of an engine to the engine's holder.
-    Usage { holder: SocketAddr, usage: Usage },
+    ReportUsage { holder: SocketAddr, usage: Usage },
     /// Query the status of an engine from its holder.
-    Query {
+    QueryEngine {
         holder: SocketAddr,
         query: EngineQuery,
     },
     /// Report that an engine does not hold an adapter that its holder lists as loaded.
-    Missing { target: String, adapter: String },
+    ReportMissing { target: String, adapter: String },
     /// Request a loan of repeat budget from the next host in turn.
-    AskLoan(LoanAsk),
+    RequestLoan(LoanAsk),
     /// Report that a request crashed targets, or got a complete answer.
-    Poison(PoisonReport),
+    ReportPoison(PoisonReport),
     /// Request a charge from the host that counts a customer's usage.
-    Charge { to: SocketAddr, ask: ChargeAsk },
+    RequestCharge { to: SocketAddr, ask: ChargeAsk },
     /// Request a concurrency slot of a plain service from the host that allocates them.
-    WantPlace { to: SocketAddr, wanted: PlaceWanted },
+    RequestSlot { to: SocketAddr, wanted: PlaceWanted },
     /// Publish the changed notices of a target.
-    Heard {
+    PublishNotices {
         target: String,
         notices: TargetNotices,
     },
     /// Request a permit to send one request to a target.
-    WantPermit(PermitAsk),
+    RequestPermit(PermitAsk),
     /// Release a concurrency slot at the host that allocated it.
-    EndPlace { to: SocketAddr, ended: PlaceEnded },
+    ReleaseSlot { to: SocketAddr, ended: PlaceEnded },
     /// Return an unused part of a charge.
-    Refund {
+    RefundCharge {
         to: SocketAddr,
         refund: ChargeRefund,
     },
     /// Lend a part of this host's repeat budget to another host.
-    GiveLoan { to: SocketAddr, loan: Loan },
+    GrantLoan { to: SocketAddr, loan: Loan },
 }
 
 /// A request for an adapter to the holder of an engine.
--- a/src/connection/targets/notice_tracker.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -152,7 +152,7 @@
         if news.iter().any(NoticeNews::concerns_all_hosts)
             && let Some(notices) = self.book.get(target, start)
         {
-            let _ = self.control.send(ControlRequest::Heard {
+            let _ = self.control.send(ControlRequest::PublishNotices {
                 target: target.to_string(),
                 notices: *notices,
             });
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -155,7 +155,9 @@
             spare: ask.spare,
             patience_ms: u32::try_from(ask.patience.as_millis()).unwrap_or(u32::MAX),
         };
-        let _ = self.control.send(ControlRequest::Want { holder, want });
+        let _ = self
+            .control
+            .send(ControlRequest::RequestAdapter { holder, want });
         true
     }
 
@@ -166,7 +168,7 @@
         target: &str,
     ) {
         self.adapters.forget(adapter, target);
-        let _ = self.control.send(ControlRequest::Missing {
+        let _ = self.control.send(ControlRequest::ReportMissing {
             target: target.to_string(),
             adapter: adapter.to_string(),
         });
--- a/src/connection/targets/table_counting.rs
+++ b/src/connection/targets/table_counting.rs
@@ -20,7 +20,7 @@
         let Some(to) = self.slot_holder(ask.slot as usize) else {
             return false;
         };
-        let _ = self.control.send(ControlRequest::Charge { to, ask });
+        let _ = self.control.send(ControlRequest::RequestCharge { to, ask });
         true
     }
 
@@ -32,7 +32,9 @@
         let Some(to) = self.place_giver(&wanted.service) else {
             return false;
         };
-        let _ = self.control.send(ControlRequest::WantPlace { to, wanted });
+        let _ = self
+            .control
+            .send(ControlRequest::RequestSlot { to, wanted });
         true
     }
 
@@ -42,7 +44,7 @@
         ended: PlaceEnded,
     ) {
         if let Some(to) = self.place_giver(&ended.service) {
-            let _ = self.control.send(ControlRequest::EndPlace { to, ended });
+            let _ = self.control.send(ControlRequest::ReleaseSlot { to, ended });
         }
     }
 
@@ -52,7 +54,9 @@
         refund: ChargeRefund,
     ) {
         if let Some(to) = self.slot_holder(refund.slot as usize) {
-            let _ = self.control.send(ControlRequest::Refund { to, refund });
+            let _ = self
+                .control
+                .send(ControlRequest::RefundCharge { to, refund });
         }
     }
 
@@ -87,7 +91,7 @@
         now: Instant,
     ) {
         for ask in self.budgets.loan_asks(service, now) {
-            let _ = self.control.send(ControlRequest::AskLoan(ask));
+            let _ = self.control.send(ControlRequest::RequestLoan(ask));
         }
     }
 
@@ -123,7 +127,7 @@
             return;
         }
         if let Some(loan) = self.budgets.lend(ask, now) {
-            let _ = self.control.send(ControlRequest::GiveLoan { to, loan });
+            let _ = self.control.send(ControlRequest::GrantLoan { to, loan });
         }
     }
 }
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -66,7 +66,7 @@
         let start = self.started(target);
         if let Some(news) = self.notices.news_of(target, start, now) {
             let ask = PermitAsk { id, news };
-            let _ = self.control.send(ControlRequest::WantPermit(ask));
+            let _ = self.control.send(ControlRequest::RequestPermit(ask));
         }
     }
 }
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -145,7 +145,7 @@
         &self,
         report: PoisonReport,
     ) {
-        let _ = self.control.send(ControlRequest::Poison(report));
+        let _ = self.control.send(ControlRequest::ReportPoison(report));
     }
 
     /// Queries an engine's status from its holder; returns false if it has none.
@@ -157,7 +157,9 @@
         let Some(holder) = link.and_then(|link| link.view.holder) else {
             return false;
         };
-        let _ = self.control.send(ControlRequest::Query { holder, query });
+        let _ = self
+            .control
+            .send(ControlRequest::QueryEngine { holder, query });
         true
     }
 
@@ -388,5 +390,5 @@
         tokens: u32::try_from(link.tokens).unwrap_or(u32::MAX),
         unread_tokens: u32::try_from(link.unread_tokens).unwrap_or(u32::MAX),
     };
-    let _ = control.send(ControlRequest::Usage { holder, usage });
+    let _ = control.send(ControlRequest::ReportUsage { holder, usage });
 }
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -191,71 +191,73 @@
     ) -> Vec<ControlAction> {
         let me = self.hosts.me().peer;
         match request {
-            ControlRequest::Want { holder, want } if holder == me => self.on_want(me, &want, now),
-            ControlRequest::Want { holder, want } => vec![ControlAction::Send {
+            ControlRequest::RequestAdapter { holder, want } if holder == me => {
+                self.on_want(me, &want, now)
+            }
+            ControlRequest::RequestAdapter { holder, want } => vec![ControlAction::Send {
                 to: holder,
                 message: Message::Want(want),
             }],
-            ControlRequest::Usage { holder, usage } if holder == me => {
+            ControlRequest::ReportUsage { holder, usage } if holder == me => {
                 if let Some(desk) = self.desks.get_mut(&usage.target) {
                     desk.on_usage(me, &usage, now);
                 }
                 Vec::new()
             }
-            ControlRequest::Usage { holder, usage } => vec![ControlAction::Send {
+            ControlRequest::ReportUsage { holder, usage } => vec![ControlAction::Send {
                 to: holder,
                 message: Message::Usage(usage),
             }],
-            ControlRequest::Query { holder, query } if holder == me => {
+            ControlRequest::QueryEngine { holder, query } if holder == me => {
                 self.on_query(me, &query, now).into_iter().collect()
             }
-            ControlRequest::Query { holder, query } => vec![ControlAction::Send {
+            ControlRequest::QueryEngine { holder, query } => vec![ControlAction::Send {
                 to: holder,
                 message: Message::EngineQuery(query),
             }],
-            ControlRequest::Missing { target, adapter } => {
+            ControlRequest::ReportMissing { target, adapter } => {
                 if let Some(desk) = self.desks.get_mut(&target) {
                     desk.on_missing(&adapter, now);
                 }
                 Vec::new()
             }
-            ControlRequest::Poison(report) => self.on_poison_report(report, now),
-            ControlRequest::Charge { to, ask } if to == me => {
+            ControlRequest::ReportPoison(report) => self.on_poison_report(report, now),
+            ControlRequest::RequestCharge { to, ask } if to == me => {
                 vec![self.on_charge_ask(me, &ask, now)]
             }
-            ControlRequest::Charge { to, ask } => vec![ControlAction::Send {
+            ControlRequest::RequestCharge { to, ask } => vec![ControlAction::Send {
                 to,
                 message: Message::ChargeAsk(ask),
             }],
-            ControlRequest::WantPlace { to, wanted } if to == me => {
+            ControlRequest::RequestSlot { to, wanted } if to == me => {
                 vec![self.on_place_wanted(me, &wanted, now)]
             }
-            ControlRequest::WantPlace { to, wanted } => vec![ControlAction::Send {
+            ControlRequest::RequestSlot { to, wanted } => vec![ControlAction::Send {
                 to,
                 message: Message::PlaceWanted(wanted),
             }],
-            ControlRequest::Heard { target, notices } => {
+            ControlRequest::PublishNotices { target, notices } => {
                 self.on_notice_heard(&target, &notices, now)
             }
-            ControlRequest::WantPermit(ask) => self.want_permit(ask, now),
-            ControlRequest::EndPlace { to, ended } if to == me => {
+            ControlRequest::RequestPermit(ask) => self.want_permit(ask, now),
+            ControlRequest::ReleaseSlot { to, ended } if to == me => {
                 self.on_place_ended(&ended);
                 Vec::new()
             }
-            ControlRequest::EndPlace { to, ended } => vec![ControlAction::Send {
+            ControlRequest::ReleaseSlot { to, ended } => vec![ControlAction::Send {
                 to,
                 message: Message::PlaceEnded(ended),
             }],
-            ControlRequest::Refund { to, refund } if to == me => {
+            ControlRequest::RefundCharge { to, refund } if to == me => {
                 self.on_charge_refund(&refund, now);
                 Vec::new()
             }
-            ControlRequest::Refund { to, refund } => vec![ControlAction::Send {
+            ControlRequest::RefundCharge { to, refund } => vec![ControlAction::Send {
                 to,
                 message: Message::ChargeRefund(refund),
             }],
-            ControlRequest::AskLoan(ask) => self.ask_loan(ask).into_iter().collect(),
-            ControlRequest::GiveLoan { to, loan } => vec![ControlAction::Send {
+            ControlRequest::RequestLoan(ask) => self.ask_loan(ask).into_iter().collect(),
+            ControlRequest::GrantLoan { to, loan } => vec![ControlAction::Send {
                 to,
                 message: Message::Loan(loan),
             }],
--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -112,7 +112,7 @@
             return page(StatusCode::NOT_FOUND, Vec::new());
         };
         let report = PoisonReport::Cleared { fingerprint };
-        let _ = self.requests.send(ControlRequest::Poison(report));
+        let _ = self.requests.send(ControlRequest::ReportPoison(report));
         page(StatusCode::ACCEPTED, Vec::new())
     }
 
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -115,7 +115,7 @@
             self.board.report_usage(self.now);
         }
         let usage = |request| match request {
-            ControlRequest::Usage { holder, usage } => Some((holder, usage)),
+            ControlRequest::ReportUsage { holder, usage } => Some((holder, usage)),
             _ => None,
         };
         self.told.drain().filter_map(usage).collect()
