--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -7,7 +7,7 @@
 mod fleet_view;
 mod key_status;
 mod notice_tracker;
-mod open_asks;
+mod pending_replies;
 mod quota_book;
 mod reading_speed;
 mod repeat_budgets;
@@ -31,7 +31,7 @@
     fleet_view::{FleetView, TargetView},
     key_status::KeyStatus,
     notice_tracker::{NoticeTracker, Unavailability},
-    open_asks::{OpenAsk, OpenAsks},
+    pending_replies::{PendingReplies, PendingReply},
     quota_book::{QuotaBook, count_ask},
     reading_speed::ReadingSpeed,
     repeat_budgets::RepeatBudgets,
--- a/src/connection/targets/open_asks.rs
+++ b/src/connection/targets/pending_replies.rs
@@ -5,11 +5,11 @@
 
 /// Replies that are awaited from other hosts, by request id; cheap to clone.
 #[derive(Debug)]
-pub struct OpenAsks<A> {
+pub struct PendingReplies<A> {
     waiting: Rc<RefCell<HashMap<u64, oneshot::Sender<A>>>>,
 }
 
-impl<A> Default for OpenAsks<A> {
+impl<A> Default for PendingReplies<A> {
     fn default() -> Self {
         Self {
             waiting: Rc::default(),
@@ -17,15 +17,15 @@
     }
 }
 
-impl<A> OpenAsks<A> {
+impl<A> PendingReplies<A> {
     /// Registers a request whose reply is awaited.
     pub fn start(
         &self,
         id: u64,
-    ) -> OpenAsk<A> {
+    ) -> PendingReply<A> {
         let (waiting, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(id, waiting);
-        OpenAsk {
+        PendingReply {
             id,
             answer,
             all: self.waiting.clone(),
@@ -44,20 +44,20 @@
 }
 
 /// A reply that is awaited; unregistered when dropped.
-pub struct OpenAsk<A> {
+pub struct PendingReply<A> {
     id: u64,
     answer: oneshot::Receiver<A>,
     all: Rc<RefCell<HashMap<u64, oneshot::Sender<A>>>>,
 }
 
-impl<A> OpenAsk<A> {
+impl<A> PendingReply<A> {
     /// Returns the reply; `None` if it can no longer arrive.
     pub async fn answer(&mut self) -> Option<A> {
         (&mut self.answer).await.ok()
     }
 }
 
-impl<A> Drop for OpenAsk<A> {
+impl<A> Drop for PendingReply<A> {
     fn drop(&mut self) {
         self.all.borrow_mut().remove(&self.id);
     }
--- a/src/connection/targets/quota_book.rs
+++ b/src/connection/targets/quota_book.rs
@@ -1,5 +1,5 @@
 use {
-    super::OpenAsks,
+    super::PendingReplies,
     crate::{
         connection::datagram::ChargeAnswer,
         metrics::{StateLabels, metrics},
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub struct QuotaBook {
     customers: BTreeMap<String, CustomerUse>,
-    pub asks: OpenAsks<ChargeAnswer>,
+    pub asks: PendingReplies<ChargeAnswer>,
 }
 
 impl QuotaBook {
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AdapterDemand, AdapterMap, ControlRequest, CrashTracker, FleetView, NoticeTracker,
-        OpenAsks, QuotaBook, ReadingSpeed, RepeatBudgets, ReplicaFreshness, RequestTokens,
+        PendingReplies, QuotaBook, ReadingSpeed, RepeatBudgets, ReplicaFreshness, RequestTokens,
         StalenessBounds, StalenessMonitor, TargetLink, TargetView,
     },
     crate::{
@@ -59,9 +59,9 @@
     pub notices: NoticeTracker,
     pub quotas: QuotaBook,
     /// Awaited concurrency slots at targets of plain services.
-    pub places: OpenAsks<PlaceGiven>,
+    pub places: PendingReplies<PlaceGiven>,
     /// Awaited permits to send to rate-limited targets.
-    pub permits: OpenAsks<PermitAnswer>,
+    pub permits: PendingReplies<PermitAnswer>,
     pub(super) control: flume::Sender<ControlRequest>,
 }
 
@@ -102,8 +102,8 @@
             crashes: CrashTracker::default(),
             notices: NoticeTracker::new(control.clone()),
             quotas: QuotaBook::default(),
-            places: OpenAsks::default(),
-            permits: OpenAsks::default(),
+            places: PendingReplies::default(),
+            permits: PendingReplies::default(),
             control,
         }
     }
