--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -30,7 +30,7 @@
             Openness::Closed => return false,
             Openness::Limited => {}
         }
-        let ask = board.permits.start(id);
+        let ask = board.pending_permits.register(id);
         board.ask_permit(id, target, begun);
         ask
     };
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -61,7 +61,7 @@
     };
     let mut ask = {
         let board = board.borrow();
-        let ask = board.places.start(id);
+        let ask = board.pending_slots.register(id);
         if !board.ask_place(wanted) {
             return PlaceFound::Unknown;
         }
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -191,7 +191,7 @@
                 return None;
             }
             count_ask("asked");
-            board.quotas.asks.start(charge.id)
+            board.quotas.pending_charges.register(charge.id)
         };
         timeout_at(until, ask.answer()).await.ok().flatten()
     }
--- a/src/connection/targets/pending_replies.rs
+++ b/src/connection/targets/pending_replies.rs
@@ -19,7 +19,7 @@
 
 impl<A> PendingReplies<A> {
     /// Registers a request whose reply is awaited.
-    pub fn start(
+    pub fn register(
         &self,
         id: u64,
     ) -> PendingReply<A> {
--- a/src/connection/targets/quota_book.rs
+++ b/src/connection/targets/quota_book.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub struct QuotaBook {
     customers: BTreeMap<String, CustomerUse>,
-    pub asks: PendingReplies<ChargeAnswer>,
+    pub pending_charges: PendingReplies<ChargeAnswer>,
 }
 
 impl QuotaBook {
@@ -34,7 +34,7 @@
         &self,
         answer: ChargeAnswer,
     ) {
-        if !self.asks.on_answer(answer.id, answer) {
+        if !self.pending_charges.on_answer(answer.id, answer) {
             count_ask("late");
         }
     }
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -59,9 +59,9 @@
     pub notices: NoticeTracker,
     pub quotas: QuotaBook,
     /// Awaited concurrency slots at targets of plain services.
-    pub places: PendingReplies<PlaceGiven>,
+    pub pending_slots: PendingReplies<PlaceGiven>,
     /// Awaited permits to send to rate-limited targets.
-    pub permits: PendingReplies<PermitAnswer>,
+    pub pending_permits: PendingReplies<PermitAnswer>,
     pub(super) control: flume::Sender<ControlRequest>,
 }
 
@@ -102,8 +102,8 @@
             crashes: CrashTracker::default(),
             notices: NoticeTracker::new(control.clone()),
             quotas: QuotaBook::default(),
-            places: PendingReplies::default(),
-            permits: PendingReplies::default(),
+            pending_slots: PendingReplies::default(),
+            pending_permits: PendingReplies::default(),
             control,
         }
     }
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -181,10 +181,10 @@
             standing,
         } => board.crashes.set_standing(fingerprint, standing),
         TrafficInput::PlaceGiven(given) => {
-            board.places.on_answer(given.id, given);
+            board.pending_slots.on_answer(given.id, given);
         }
         TrafficInput::Permit(answer) => {
-            board.permits.on_answer(answer.id, answer);
+            board.pending_permits.on_answer(answer.id, answer);
         }
         TrafficInput::TargetNews { target, notices } => {
             board.notices.take(&target, &notices, Instant::now());
