--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -6,7 +6,7 @@
         connection::{
             datagram::{ChargeAnswer, ChargeAsk, ChargeRefund},
             front::{OwnAnswer, OwnCause},
-            targets::{TargetTable, count_ask},
+            targets::{TargetTable, count_charge_request},
         },
         request::{
             direct::CallRequest,
@@ -187,10 +187,10 @@
         let mut ask = {
             let board = self.board.borrow();
             if !board.ask_charge(asked) {
-                count_ask("nobody");
+                count_charge_request("nobody");
                 return None;
             }
-            count_ask("asked");
+            count_charge_request("asked");
             board.quotas.pending_charges.register(charge.id)
         };
         timeout_at(until, ask.answer()).await.ok().flatten()
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -8,7 +8,7 @@
 mod key_status;
 mod notice_tracker;
 mod pending_replies;
-mod quota_book;
+mod quota_table;
 mod reading_speed;
 mod repeat_budgets;
 mod replica_freshness;
@@ -32,7 +32,7 @@
     key_status::KeyStatus,
     notice_tracker::{NoticeTracker, Unavailability},
     pending_replies::{PendingReplies, PendingReply},
-    quota_book::{QuotaBook, count_ask},
+    quota_table::{QuotaTable, count_charge_request},
     reading_speed::ReadingSpeed,
     repeat_budgets::RepeatBudgets,
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
--- a/src/connection/targets/quota_book.rs
+++ b/src/connection/targets/quota_table.rs
@@ -10,12 +10,12 @@
 
 /// Customers' quota usage through this host, and the charges it awaits from other hosts.
 #[derive(Debug, Default)]
-pub struct QuotaBook {
+pub struct QuotaTable {
     customers: BTreeMap<String, CustomerUse>,
     pub pending_charges: PendingReplies<ChargeAnswer>,
 }
 
-impl QuotaBook {
+impl QuotaTable {
     /// Returns the usage of a customer.
     pub fn of(
         &mut self,
@@ -35,13 +35,13 @@
         answer: ChargeAnswer,
     ) {
         if !self.pending_charges.on_answer(answer.id, answer) {
-            count_ask("late");
+            count_charge_request("late");
         }
     }
 }
 
 /// Counts a charge request by its outcome.
-pub fn count_ask(state: &'static str) {
+pub fn count_charge_request(state: &'static str) {
     let labels = StateLabels { state };
     metrics().quota_asks.get_or_create(&labels).inc();
 }
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AdapterDemand, AdapterMap, ControlRequest, CrashTracker, FleetView, NoticeTracker,
-        PendingReplies, QuotaBook, ReadingSpeed, RepeatBudgets, ReplicaFreshness, RequestTokens,
+        PendingReplies, QuotaTable, ReadingSpeed, RepeatBudgets, ReplicaFreshness, RequestTokens,
         StalenessBounds, StalenessMonitor, TargetLink, TargetView,
     },
     crate::{
@@ -57,7 +57,7 @@
     pub(super) staleness_monitor: StalenessMonitor,
     pub crashes: CrashTracker,
     pub notices: NoticeTracker,
-    pub quotas: QuotaBook,
+    pub quotas: QuotaTable,
     /// Awaited concurrency slots at targets of plain services.
     pub pending_slots: PendingReplies<PlaceGiven>,
     /// Awaited permits to send to rate-limited targets.
@@ -101,7 +101,7 @@
             staleness_monitor: StalenessMonitor::new(settings.bounds, Instant::now()),
             crashes: CrashTracker::default(),
             notices: NoticeTracker::new(control.clone()),
-            quotas: QuotaBook::default(),
+            quotas: QuotaTable::default(),
             pending_slots: PendingReplies::default(),
             pending_permits: PendingReplies::default(),
             control,
