--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -2,7 +2,7 @@
     super::tries::Tries,
     crate::{
         clock::Instant,
-        connection::targets::{ReadingSpeed, TargetLink, TargetTable},
+        connection::targets::{PrefillThroughput, TargetLink, TargetTable},
         request::direct::{CallRequest, CopyState, EngineCandidate, Policy, USUAL_LOAD},
     },
     std::{sync::Arc, time::Duration},
@@ -16,7 +16,7 @@
 
 /// What all candidates for one request are measured with.
 pub(super) struct EngineOutlook<'a> {
-    speed: ReadingSpeed,
+    speed: PrefillThroughput,
     policy: Policy,
     /// Tokens that run at an engine of the service, in the mean.
     mean_tokens: f64,
@@ -101,7 +101,7 @@
     ) -> u64 {
         let backlog = link.backlog_tokens();
         match self.policy.ranks_backlog && request.urgency == MOST_URGENT {
-            true => backlog.min(self.speed.prompt_in_reading()),
+            true => backlog.min(self.speed.mean_prompt_in_prefill()),
             false => backlog,
         }
     }
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -143,11 +143,11 @@
     }
 
     /// The first of the answer has come, or none will.
-    fn on_prompt_read(&self) {
+    fn on_prefill_done(&self) {
         if !self.unread.replace(false) {
             return;
         }
-        self.with_link(|link| link.on_prompt_read(self.tokens));
+        self.with_link(|link| link.on_prefill_done(self.tokens));
     }
 
     /// Keeps the connection of an exchange that is over.
@@ -162,7 +162,7 @@
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        self.on_prompt_read();
+        self.on_prefill_done();
         self.with_link(|link| link.end(self.adapter.as_deref(), self.tokens));
     }
 }
@@ -318,7 +318,7 @@
         }
     }
     trust(&source.flight);
-    source.flight.on_prompt_read();
+    source.flight.on_prefill_done();
     if no_backlog {
         let time = begun.elapsed();
         let tokens = source.flight.tokens.prompt;
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -8,8 +8,8 @@
 mod key_status;
 mod notice_tracker;
 mod pending_replies;
+mod prefill_throughput;
 mod quota_table;
-mod reading_speed;
 mod repeat_budgets;
 mod replica_freshness;
 mod serves_until;
@@ -32,8 +32,8 @@
     key_status::KeyStatus,
     notice_tracker::{NoticeTracker, Unavailability},
     pending_replies::{PendingReplies, PendingReply},
+    prefill_throughput::PrefillThroughput,
     quota_table::{QuotaTable, count_charge_request},
-    reading_speed::ReadingSpeed,
     repeat_budgets::RepeatBudgets,
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
     serves_until::ServesUntil,
--- a/src/connection/targets/reading_speed.rs
+++ b/src/connection/targets/prefill_throughput.rs
@@ -19,14 +19,14 @@
 
 /// Prefill throughput of a service's engines, estimated from requests that found no backlog.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReadingSpeed {
+pub struct PrefillThroughput {
     tokens_per_ms: f64,
     /// Moving averages of prompt sizes and of their squares, in tokens.
     mean_tokens: f64,
     mean_square: f64,
 }
 
-impl Default for ReadingSpeed {
+impl Default for PrefillThroughput {
     fn default() -> Self {
         Self {
             tokens_per_ms: ASSUMED,
@@ -36,7 +36,7 @@
     }
 }
 
-impl ReadingSpeed {
+impl PrefillThroughput {
     /// Samples a prompt that found no backlog and whose first event came after `time`.
     pub fn on_first_event(
         &mut self,
@@ -68,7 +68,7 @@
     /// Returns the expected size of the prompt in prefill when another request arrives, in tokens.
     ///
     /// The mean is weighted by size, as long prompts are met more often than short ones.
-    pub fn prompt_in_reading(&self) -> u64 {
+    pub fn mean_prompt_in_prefill(&self) -> u64 {
         match self.mean_tokens {
             0.0 => u64::MAX,
             mean => (self.mean_square / mean) as u64,
--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -169,7 +169,7 @@
     }
 
     /// Records that a request's prefill is over: its first event has come, or it has ended without one.
-    pub fn on_prompt_read(
+    pub fn on_prefill_done(
         &mut self,
         tokens: RequestTokens,
     ) {
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         AdapterDemand, AdapterMap, ControlRequest, CrashTracker, FleetView, NoticeTracker,
-        PendingReplies, QuotaTable, ReadingSpeed, RepeatBudgets, ReplicaFreshness, RequestTokens,
-        StalenessBounds, StalenessMonitor, TargetLink, TargetView,
+        PendingReplies, PrefillThroughput, QuotaTable, RepeatBudgets, ReplicaFreshness,
+        RequestTokens, StalenessBounds, StalenessMonitor, TargetLink, TargetView,
     },
     crate::{
         clock::Instant,
@@ -44,7 +44,7 @@
     pub(super) by_service: HashMap<String, Vec<ServiceTarget>>,
     pub adapters: AdapterMap,
     pub demand: AdapterDemand,
-    pub(super) speeds: HashMap<String, ReadingSpeed>,
+    pub(super) speeds: HashMap<String, PrefillThroughput>,
     pub(super) budgets: RepeatBudgets,
     /// Requests that wait for an adapter.
     pub(super) waiting: HashMap<String, Waiting>,
@@ -320,10 +320,10 @@
     pub fn speed(
         &mut self,
         service: &str,
-    ) -> &mut ReadingSpeed {
+    ) -> &mut PrefillThroughput {
         if !self.speeds.contains_key(service) {
             self.speeds
-                .insert(service.to_string(), ReadingSpeed::default());
+                .insert(service.to_string(), PrefillThroughput::default());
         }
         self.speeds.get_mut(service).expect("inserted above")
     }
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -3,7 +3,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        connection::targets::ReadingSpeed,
+        connection::targets::PrefillThroughput,
         request::{
             direct::{
                 AttemptEnd, ChoiceTerms, CopyState, EngineCandidate, EngineChoice, Generation,
@@ -440,13 +440,13 @@
 /// An urgent request passes prompts that wait, so a long one is met more often than a short one.
 #[test]
 fn the_prompt_in_reading_is_larger_than_the_mean() {
-    let mut speed = ReadingSpeed::default();
-    assert_eq!(speed.prompt_in_reading(), u64::MAX);
+    let mut speed = PrefillThroughput::default();
+    assert_eq!(speed.mean_prompt_in_prefill(), u64::MAX);
     for _ in 0..500 {
         speed.on_prompt(1_000);
         speed.on_prompt(9_000);
     }
-    let tokens = speed.prompt_in_reading();
+    let tokens = speed.mean_prompt_in_prefill();
     assert!((7_700..8_700).contains(&tokens), "{tokens}");
 }
 
