--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -234,7 +234,7 @@
             return;
         };
         board
-            .speed(&request.service.name)
+            .prefill_throughput(&request.service.name)
             .on_prompt(generation.tokens_in);
         if let Some(adapter) = generation.adapter() {
             board.demand.on_request(adapter, request.arrived);
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -40,7 +40,7 @@
             false => board.mean_tokens(board.engines_of(service).iter()),
         };
         Self {
-            speed: *board.speed(service),
+            speed: *board.prefill_throughput(service),
             policy: board.policy(),
             mean_tokens,
             hall,
@@ -68,7 +68,7 @@
             copy,
             wait: self
                 .speed
-                .time_for(self.backlog_before(link, request) + prompt),
+                .prefill_time(self.backlog_before(link, request) + prompt),
             load: link.load_time(self.now).unwrap_or(USUAL_LOAD),
             memory: tokens as f64 / memory as f64,
             batch: f64::from(link.running() + 1) / f64::from(link.view.record.slots.max(1)),
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -324,7 +324,7 @@
         let tokens = source.flight.tokens.prompt;
         let mut board = board.borrow_mut();
         board
-            .speed(&request.service.name)
+            .prefill_throughput(&request.service.name)
             .on_first_event(tokens, time);
     }
     Sent::Open(Box::new(OpenAnswer {
--- a/src/connection/targets/prefill_throughput.rs
+++ b/src/connection/targets/prefill_throughput.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the expected time to the first event of a prompt of this many tokens.
-    pub fn time_for(
+    pub fn prefill_time(
         &self,
         tokens: u64,
     ) -> Duration {
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -44,7 +44,7 @@
     pub(super) by_service: HashMap<String, Vec<ServiceTarget>>,
     pub adapters: AdapterMap,
     pub demand: AdapterDemand,
-    pub(super) speeds: HashMap<String, PrefillThroughput>,
+    pub(super) prefill_throughputs: HashMap<String, PrefillThroughput>,
     pub(super) budgets: RepeatBudgets,
     /// Requests that wait for an adapter.
     pub(super) waiting: HashMap<String, Waiting>,
@@ -92,7 +92,7 @@
             by_service: HashMap::new(),
             adapters: AdapterMap::default(),
             demand: AdapterDemand::default(),
-            speeds: HashMap::new(),
+            prefill_throughputs: HashMap::new(),
             budgets: RepeatBudgets::new(&settings, Instant::now()),
             waiting: HashMap::new(),
             standing_news: Rc::default(),
@@ -317,15 +317,17 @@
     }
 
     /// Returns the prefill throughput of a service's engines.
-    pub fn speed(
+    pub fn prefill_throughput(
         &mut self,
         service: &str,
     ) -> &mut PrefillThroughput {
-        if !self.speeds.contains_key(service) {
-            self.speeds
+        if !self.prefill_throughputs.contains_key(service) {
+            self.prefill_throughputs
                 .insert(service.to_string(), PrefillThroughput::default());
         }
-        self.speeds.get_mut(service).expect("inserted above")
+        self.prefill_throughputs
+            .get_mut(service)
+            .expect("inserted above")
     }
 
     /// Sends the usage reports that are due to holders.
