--- a/src/connection/targets/prefill_throughput.rs
+++ b/src/connection/targets/prefill_throughput.rs
@@ -1,21 +1,21 @@
 use std::time::Duration;
 
 /// Initial estimate, in tokens per millisecond.
-const ASSUMED: f64 = 15.0;
+const INITIAL_TOKENS_PER_MS: f64 = 15.0;
 
-const LEAST: f64 = 0.5;
+const MIN_TOKENS_PER_MS: f64 = 0.5;
 
 /// Weight of a new sample in the moving average.
-const WEIGHT: f64 = 0.05;
+const SAMPLE_WEIGHT: f64 = 0.05;
 
 /// Fixed time to the first event besides the prefill, in milliseconds.
 const FIXED_MS: f64 = 15.0;
 
 /// Shorter prompts are not sampled, as the fixed time dominates them.
-const LEAST_TOKENS: u64 = 400;
+const MIN_SAMPLE_TOKENS: u64 = 400;
 
 /// Weight of a new prompt in the moving averages of prompt sizes.
-const SIZE_WEIGHT: f64 = 0.01;
+const PROMPT_SIZE_WEIGHT: f64 = 0.01;
 
 /// Prefill throughput of a service's engines, estimated from requests that found no backlog.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -29,7 +29,7 @@
 impl Default for PrefillThroughput {
     fn default() -> Self {
         Self {
-            tokens_per_ms: ASSUMED,
+            tokens_per_ms: INITIAL_TOKENS_PER_MS,
             mean_tokens: 0.0,
             mean_square: 0.0,
         }
@@ -43,12 +43,12 @@
         tokens: u64,
         time: Duration,
     ) {
-        if tokens < LEAST_TOKENS {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
-        let reading_ms = (time.as_secs_f64() * 1000.0 - FIXED_MS).max(1.0);
-        let speed = (tokens as f64 / reading_ms).max(LEAST);
-        self.tokens_per_ms += (speed - self.tokens_per_ms) * WEIGHT;
+        let prefill_ms = (time.as_secs_f64() * 1000.0 - FIXED_MS).max(1.0);
+        let speed = (tokens as f64 / prefill_ms).max(MIN_TOKENS_PER_MS);
+        self.tokens_per_ms += (speed - self.tokens_per_ms) * SAMPLE_WEIGHT;
     }
 
     /// Records the size of a request's prompt, in tokens.
@@ -59,7 +59,7 @@
         let tokens = f64::from(tokens);
         let weight = match self.mean_tokens {
             0.0 => 1.0,
-            _ => SIZE_WEIGHT,
+            _ => PROMPT_SIZE_WEIGHT,
         };
         self.mean_tokens += (tokens - self.mean_tokens) * weight;
         self.mean_square += (tokens * tokens - self.mean_square) * weight;
