--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -12,7 +12,6 @@
 mod quota_table;
 mod repeat_budgets;
 mod replica_freshness;
-mod serves_until;
 mod staleness_monitor;
 mod table_adapters;
 mod table_counting;
@@ -21,6 +20,7 @@
 mod target_health;
 mod target_link;
 mod target_table;
+mod version_deadline;
 mod version_history;
 
 pub use {
@@ -36,10 +36,10 @@
     quota_table::{QuotaTable, count_charge_request},
     repeat_budgets::RepeatBudgets,
     replica_freshness::{ReplicaFreshness, SEND_MARGIN, TableFreshness},
-    serves_until::ServesUntil,
     staleness_monitor::{MaxStaleness, StalenessBounds, StalenessMonitor},
     target_health::TargetHealth,
     target_link::{IdleConnection, RequestTokens, TargetLink},
     target_table::{MAX_TOLD_HOSTS, ServiceTarget, TargetTable, TargetTableSettings},
+    version_deadline::VersionDeadline,
     version_history::{Succession, VersionHistory},
 };
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        KeyStatus, MaxStaleness, ReplicaFreshness, ServesUntil, Succession, TargetTable,
+        KeyStatus, MaxStaleness, ReplicaFreshness, Succession, TargetTable, VersionDeadline,
         VersionHistory,
     },
     crate::{
@@ -111,24 +111,24 @@
         &self,
         adapter: &str,
         version: u64,
-    ) -> ServesUntil {
+    ) -> VersionDeadline {
         let bound = self.settings.bounds.version;
         let history = self.view.versions.get(adapter);
         match history.map_or(Succession::Newest, |history| history.succession(version)) {
-            Succession::ReplacedAfter(after) => ServesUntil::Time(after + bound),
-            Succession::ReplacedBefore => ServesUntil::Never,
+            Succession::ReplacedAfter(after) => VersionDeadline::Time(after + bound),
+            Succession::ReplacedBefore => VersionDeadline::Never,
             Succession::Newest => self.newest_serves_until(),
         }
     }
 
     /// Returns the deadline for the newest known version: a newer one may have been published right after the
     /// configuration was last confirmed.
-    fn newest_serves_until(&self) -> ServesUntil {
+    fn newest_serves_until(&self) -> VersionDeadline {
         let bound = self.settings.bounds.version;
         let declared = &self.confirmation.declared;
         match declared.right_at {
-            Some(right_at) if !declared.store_failed => ServesUntil::Time(right_at + bound),
-            _ => ServesUntil::Open,
+            Some(right_at) if !declared.store_failed => VersionDeadline::Time(right_at + bound),
+            _ => VersionDeadline::Open,
         }
     }
 
--- a/src/connection/targets/serves_until.rs
+++ b/src/connection/targets/version_deadline.rs
@@ -2,11 +2,11 @@
 
 /// Margin for requests that begin at their engine later than estimated, because of concurrent sends by other hosts or
 /// prompts of higher priority.
-const WAIT_ERROR: Duration = Duration::from_millis(1_500);
+const WAIT_ESTIMATE_MARGIN: Duration = Duration::from_millis(1_500);
 
 /// Deadline for requests to begin on a version of an adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServesUntil {
+pub enum VersionDeadline {
     /// No newer version is known, and the store is unreachable or not yet read.
     Open,
     Time(Instant),
@@ -14,7 +14,7 @@
     Never,
 }
 
-impl ServesUntil {
+impl VersionDeadline {
     /// Returns true if a request that is sent now begins in time, after an estimated `wait` in the engine's queue.
     pub fn allows(
         self,
@@ -23,7 +23,7 @@
     ) -> bool {
         match self {
             Self::Open => true,
-            Self::Time(until) => now + SEND_MARGIN + wait + WAIT_ERROR <= until,
+            Self::Time(until) => now + SEND_MARGIN + wait + WAIT_ESTIMATE_MARGIN <= until,
             Self::Never => false,
         }
     }
