--- a/src/connection/front/adapter_standing.rs
+++ b/src/connection/front/adapter_standing.rs
@@ -61,7 +61,7 @@
     ) -> Option<u64> {
         let held = board.adapters.get(self.adapter, target)?.held()?;
         let serves = board.serves_until(self.adapter, held);
-        serves.allows(wait, self.now).then_some(held)
+        serves.can_begin(wait, self.now).then_some(held)
     }
 
     /// A copy that can't serve now.
@@ -78,7 +78,7 @@
             CopyState::Ready if !is_old => CopyState::Full {
                 until: self.now + LOOK_AGAIN,
             },
-            CopyState::Coming { due } if is_old && !serves.allows(wait, due.max(self.now)) => {
+            CopyState::Coming { due } if is_old && !serves.can_begin(wait, due.max(self.now)) => {
                 CopyState::Unknown
             }
             CopyState::Ready | CopyState::Remembered if is_old => CopyState::Unknown,
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -350,7 +350,7 @@
         .zip(destination.version)
         .is_none_or(|(adapter, sent)| {
             let until = board.serves_until(adapter, sent.version);
-            until.allows(sent.wait, now)
+            until.can_begin(sent.wait, now)
         });
     // A stream that goes on elsewhere began while its key stood.
     let resumes = destination.resume_after.is_some();
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -59,7 +59,7 @@
         &self,
         now: Instant,
     ) -> bool {
-        self.newest_serves_until().allows(Duration::ZERO, now)
+        self.newest_serves_until().can_begin(Duration::ZERO, now)
     }
 
     /// Returns true if the configuration is fresh enough to accept a customer's key as valid.
@@ -115,8 +115,8 @@
         let bound = self.settings.bounds.version;
         let history = self.view.versions.get(adapter);
         match history.map_or(Succession::Newest, |history| history.succession(version)) {
-            Succession::ReplacedAfter(after) => VersionDeadline::Time(after + bound),
-            Succession::ReplacedBefore => VersionDeadline::Never,
+            Succession::ReplacedAfter(after) => VersionDeadline::At(after + bound),
+            Succession::ReplacedBefore => VersionDeadline::Passed,
             Succession::Newest => self.newest_serves_until(),
         }
     }
@@ -127,8 +127,8 @@
         let bound = self.settings.bounds.version;
         let declared = &self.confirmation.declared;
         match declared.right_at {
-            Some(right_at) if !declared.store_failed => VersionDeadline::Time(right_at + bound),
-            _ => VersionDeadline::Open,
+            Some(right_at) if !declared.store_failed => VersionDeadline::At(right_at + bound),
+            _ => VersionDeadline::Unlimited,
         }
     }
 
--- a/src/connection/targets/version_deadline.rs
+++ b/src/connection/targets/version_deadline.rs
@@ -8,23 +8,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionDeadline {
     /// No newer version is known, and the store is unreachable or not yet read.
-    Open,
-    Time(Instant),
+    Unlimited,
+    At(Instant),
     /// Replaced at an unknown time.
-    Never,
+    Passed,
 }
 
 impl VersionDeadline {
     /// Returns true if a request that is sent now begins in time, after an estimated `wait` in the engine's queue.
-    pub fn allows(
+    pub fn can_begin(
         self,
         wait: Duration,
         now: Instant,
     ) -> bool {
         match self {
-            Self::Open => true,
-            Self::Time(until) => now + SEND_MARGIN + wait + WAIT_ESTIMATE_MARGIN <= until,
-            Self::Never => false,
+            Self::Unlimited => true,
+            Self::At(until) => now + SEND_MARGIN + wait + WAIT_ESTIMATE_MARGIN <= until,
+            Self::Passed => false,
         }
     }
 }
