--- a/src/connection/front/adapter_standing.rs
+++ b/src/connection/front/adapter_standing.rs
@@ -60,7 +60,7 @@
         wait: Duration,
     ) -> Option<u64> {
         let held = board.adapters.get(self.adapter, target)?.held()?;
-        let serves = board.serves_until(self.adapter, held);
+        let serves = board.version_deadline(self.adapter, held);
         serves.can_begin(wait, self.now).then_some(held)
     }
 
@@ -71,7 +71,7 @@
         copy: &AdapterCopy,
         wait: Duration,
     ) -> CopyState {
-        let serves = board.serves_until(self.adapter, copy.version);
+        let serves = board.version_deadline(self.adapter, copy.version);
         let is_old = copy.version < self.newest;
         match copy.state {
             // A request would wait there for longer than versions that are replaced meanwhile may serve.
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -349,7 +349,7 @@
     let serves = adapter
         .zip(destination.version)
         .is_none_or(|(adapter, sent)| {
-            let until = board.serves_until(adapter, sent.version);
+            let until = board.version_deadline(adapter, sent.version);
             until.can_begin(sent.wait, now)
         });
     // A stream that goes on elsewhere began while its key stood.
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -59,7 +59,8 @@
         &self,
         now: Instant,
     ) -> bool {
-        self.newest_serves_until().can_begin(Duration::ZERO, now)
+        self.newest_version_deadline()
+            .can_begin(Duration::ZERO, now)
     }
 
     /// Returns true if the configuration is fresh enough to accept a customer's key as valid.
@@ -107,7 +108,7 @@
     }
 
     /// Returns the deadline for requests to begin on a version of an adapter.
-    pub fn serves_until(
+    pub fn version_deadline(
         &self,
         adapter: &str,
         version: u64,
@@ -117,13 +118,13 @@
         match history.map_or(Succession::Newest, |history| history.succession(version)) {
             Succession::ReplacedAfter(after) => VersionDeadline::At(after + bound),
             Succession::ReplacedBefore => VersionDeadline::Passed,
-            Succession::Newest => self.newest_serves_until(),
+            Succession::Newest => self.newest_version_deadline(),
         }
     }
 
     /// Returns the deadline for the newest known version: a newer one may have been published right after the
     /// configuration was last confirmed.
-    fn newest_serves_until(&self) -> VersionDeadline {
+    fn newest_version_deadline(&self) -> VersionDeadline {
         let bound = self.settings.bounds.version;
         let declared = &self.confirmation.declared;
         match declared.right_at {
