--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -41,5 +41,5 @@
     target_link::{IdleConnection, RequestTokens, TargetLink},
     target_table::{MAX_TOLD_HOSTS, ServiceTarget, TargetTable, TargetTableSettings},
     version_deadline::VersionDeadline,
-    version_history::{Succession, VersionHistory},
+    version_history::{VersionHistory, VersionStatus},
 };
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        KeyStatus, MaxStaleness, ReplicaFreshness, Succession, TargetTable, VersionDeadline,
-        VersionHistory,
+        KeyStatus, MaxStaleness, ReplicaFreshness, TargetTable, VersionDeadline, VersionHistory,
+        VersionStatus,
     },
     crate::{
         clock::Instant,
@@ -115,10 +115,10 @@
     ) -> VersionDeadline {
         let bound = self.settings.bounds.version;
         let history = self.view.versions.get(adapter);
-        match history.map_or(Succession::Newest, |history| history.succession(version)) {
-            Succession::ReplacedAfter(after) => VersionDeadline::At(after + bound),
-            Succession::ReplacedBefore => VersionDeadline::Passed,
-            Succession::Newest => self.newest_version_deadline(),
+        match history.map_or(VersionStatus::Newest, |history| history.status_of(version)) {
+            VersionStatus::ReplacedAfter(after) => VersionDeadline::At(after + bound),
+            VersionStatus::ReplacedBefore => VersionDeadline::Passed,
+            VersionStatus::Newest => self.newest_version_deadline(),
         }
     }
 
--- a/src/connection/targets/version_history.rs
+++ b/src/connection/targets/version_history.rs
@@ -15,7 +15,7 @@
 
 /// Status of a version among the known ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Succession {
+pub enum VersionStatus {
     /// No newer one is known.
     Newest,
     /// Its direct successor was acknowledged after this time, possibly right after it.
@@ -75,15 +75,15 @@
         true
     }
 
-    pub fn succession(
+    pub fn status_of(
         &self,
         version: u64,
-    ) -> Succession {
+    ) -> VersionStatus {
         let step = self.steps.iter().find(|step| version < step.below);
         match step.map(|step| step.after) {
-            None => Succession::Newest,
-            Some(Some(after)) => Succession::ReplacedAfter(after),
-            Some(None) => Succession::ReplacedBefore,
+            None => VersionStatus::Newest,
+            Some(Some(after)) => VersionStatus::ReplacedAfter(after),
+            Some(None) => VersionStatus::ReplacedBefore,
         }
     }
 }
