--- a/src/connection/targets/version_history.rs
+++ b/src/connection/targets/version_history.rs
@@ -54,7 +54,7 @@
     ///
     /// `after` is the last time at which the previously known version was the newest one. Versions in between may
     /// have been published as well, each after that time.
-    pub fn on_named(
+    pub fn on_published(
         &mut self,
         version: u64,
         after: Option<Instant>,
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -380,7 +380,7 @@
         }
         let versions = Arc::make_mut(&mut self.versions);
         let history = versions.entry(adapter).or_default();
-        history.on_named(version, news.before.right_at);
+        history.on_published(version, news.before.right_at);
         self.changed = true;
     }
 }
