--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -34,7 +34,7 @@
         now: Instant,
     ) -> Self {
         let service = &request.service.name;
-        let mean_tokens = match board.asks_before_sends() {
+        let mean_tokens = match board.is_large_site() {
             // Of other engines too little is known.
             true => board.mean_tokens(targets.iter()),
             false => board.mean_tokens(board.engines_of(service).iter()),
@@ -89,7 +89,7 @@
         link: &TargetLink,
     ) -> bool {
         let since = self.now.checked_sub(LOAD_KNOWN);
-        board.asks_before_sends() && since.is_some_and(|since| !link.told_since(since))
+        board.is_large_site() && since.is_some_and(|since| !link.told_since(since))
     }
 
     /// Tokens of prompts that are read at an engine before that of a request. Engines admit the most
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -36,7 +36,7 @@
     now: Instant,
 ) -> Vec<Arc<str>> {
     let engines = board.engines_of(&request.service.name);
-    if !board.asks_before_sends() {
+    if !board.is_large_site() {
         return engines;
     }
     let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
@@ -56,7 +56,7 @@
     now: Instant,
 ) -> Vec<Arc<str>> {
     let service = &request.service.name;
-    if !board.asks_before_sends() {
+    if !board.is_large_site() {
         return board.settle_order(service, adapter, SETTLING_PLACES, now);
     }
     let places = SETTLING_PLACES + board.adapters.known(adapter);
@@ -89,7 +89,7 @@
     draw: impl Fn(&TargetTable) -> Vec<Arc<str>>,
     now: Instant,
 ) -> Result<Vec<Arc<str>>, Instant> {
-    if !board.asks_before_sends() {
+    if !board.is_large_site() {
         return Ok(draw(board));
     }
     if let Some(round) = &tries.query
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -39,7 +39,7 @@
     staleness_monitor::{MaxStaleness, StalenessBounds, StalenessMonitor},
     target_health::TargetHealth,
     target_link::{IdleConnection, RequestTokens, TargetLink},
-    target_table::{MAX_TOLD_HOSTS, ServiceTarget, TargetTable, TargetTableSettings},
+    target_table::{MAX_BROADCAST_HOSTS, ServiceTarget, TargetTable, TargetTableSettings},
     version_deadline::VersionDeadline,
     version_history::{VersionHistory, VersionStatus},
 };
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -41,7 +41,7 @@
         let may_load = |target: &ServiceTarget| {
             let view = &self.links[&target.id].view;
             // A large site broadcasts no adapter states, so that engines without a holder are candidates too.
-            let loads = view.holder.is_some() || self.asks_before_sends();
+            let loads = view.holder.is_some() || self.is_large_site();
             let in_need = self.openness(&target.id, now) != Openness::Open;
             loads && !in_need && !view.record.is_empty
         };
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -19,7 +19,7 @@
 };
 
 /// Hosts up to which adapter states and engine loads are broadcast; on larger sites holders are queried instead.
-pub const MAX_TOLD_HOSTS: usize = 24;
+pub const MAX_BROADCAST_HOSTS: usize = 24;
 
 /// Maximum adapters in one usage report.
 const MAX_USES: usize = 512;
@@ -136,8 +136,8 @@
     }
 
     /// Returns true if the site is so large that loads are not broadcast, and holders are queried before each send.
-    pub fn asks_before_sends(&self) -> bool {
-        self.view.hosts > MAX_TOLD_HOSTS
+    pub fn is_large_site(&self) -> bool {
+        self.view.hosts > MAX_BROADCAST_HOSTS
     }
 
     /// Reports to the control thread whether a request crashed targets.
@@ -352,7 +352,7 @@
         adapter: Option<&str>,
         tokens: RequestTokens,
     ) {
-        let tells_at_once = self.settings.policy.tells_sends_at_once || self.asks_before_sends();
+        let tells_at_once = self.settings.policy.tells_sends_at_once || self.is_large_site();
         let Some(link) = self.links.get_mut(target) else {
             return;
         };
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -8,7 +8,7 @@
             datagram::{
                 EngineLoad, EngineQuery, EngineStanding, Message, Placement, PlacementState, Want,
             },
-            targets::MAX_TOLD_HOSTS,
+            targets::MAX_BROADCAST_HOSTS,
         },
         formats::{Order, OrderKind, OrderReply},
         metrics::{WaitLabels, metrics},
@@ -20,7 +20,7 @@
 };
 
 /// Hosts up to which all are told where adapters stand and how busy engines are.
-const MAX_ANNOUNCED: usize = MAX_TOLD_HOSTS;
+const MAX_ANNOUNCED: usize = MAX_BROADCAST_HOSTS;
 
 impl HostControl {
     /// Leases, takeovers, and the desks of the engines held here.
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -138,7 +138,7 @@
             _ = usage.tick() => {
                 period = period.wrapping_add(1);
                 let mut board = board.borrow_mut();
-                if !board.asks_before_sends() || period.is_multiple_of(LARGE_SITE_PERIODS) {
+                if !board.is_large_site() || period.is_multiple_of(LARGE_SITE_PERIODS) {
                     board.report_usage(Instant::now());
                 }
                 tell_ages(&mut board, bounds);
