--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -307,7 +307,7 @@
         board.set_view(Arc::new(view));
     });
     let settling = timed(20, || {
-        black_box(board.settle_order("models", "m0/a1", 8, Instant::now()));
+        black_box(board.placement_order("models", "m0/a1", 8, Instant::now()));
     });
     (same, moved, settling)
 }
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -57,10 +57,10 @@
 ) -> Vec<Arc<str>> {
     let service = &request.service.name;
     if !board.is_large_site() {
-        return board.settle_order(service, adapter, SETTLING_PLACES, now);
+        return board.placement_order(service, adapter, SETTLING_PLACES, now);
     }
     let places = SETTLING_PLACES + board.adapters.known(adapter);
-    let order = board.settle_order(service, adapter, places, now);
+    let order = board.placement_order(service, adapter, places, now);
     let copy = |at: &usize| board.adapters.get(adapter, &order[*at]);
     let state = |at: &usize| copy(at).map(|copy| copy.state);
     let is_held = |at: &usize| copy(at).is_some_and(|copy| copy.held().is_some());
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -24,7 +24,7 @@
     ///
     /// At most `places` of them don't hold it. Engines that are limited or unavailable or have no base model, and on a
     /// small site those without a holder, are skipped unless there are no others.
-    pub fn settle_order(
+    pub fn placement_order(
         &self,
         service: &str,
         adapter: &str,
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -172,7 +172,7 @@
     world.board.set_view(view);
     let order = world
         .board
-        .settle_order("models", "m0/a1", 3, Instant::now());
+        .placement_order("models", "m0/a1", 3, Instant::now());
     let number = |id: &Arc<str>| id[1..].parse().unwrap();
     order.iter().map(number).collect()
 }
@@ -213,7 +213,7 @@
     world.board.set_view(Arc::new(view));
     let order = world
         .board
-        .settle_order("models", "m0/a1", 3, Instant::now());
+        .placement_order("models", "m0/a1", 3, Instant::now());
     let full = world.board.engines_of("models");
     assert_eq!(full.len(), 4);
     assert!(order.len() == 3 && order.iter().all(|engine| full.contains(engine)));
