--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -31,7 +31,7 @@
             Openness::Limited => {}
         }
         let ask = board.pending_permits.register(id);
-        board.ask_permit(id, target, begun);
+        board.request_permit(id, target, begun);
         ask
     };
     let answer = timeout_at(begun + ASK_LIMIT, ask.answer()).await;
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -39,7 +39,7 @@
 impl Drop for HeldPlace {
     fn drop(&mut self) {
         let ended = PlaceEnded::new(&self.service, &self.target, self.id, self.end);
-        self.board.borrow().end_place(ended);
+        self.board.borrow().release_slot(ended);
     }
 }
 
@@ -62,7 +62,7 @@
     let mut ask = {
         let board = board.borrow();
         let ask = board.pending_slots.register(id);
-        if !board.ask_place(wanted) {
+        if !board.request_slot(wanted) {
             return PlaceFound::Unknown;
         }
         ask
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -186,7 +186,7 @@
         };
         let mut ask = {
             let board = self.board.borrow();
-            if !board.ask_charge(asked) {
+            if !board.request_charge(asked) {
                 count_charge_request("nobody");
                 return None;
             }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -498,7 +498,7 @@
                 if now == begun {
                     board.budget(service).on_wanted(now);
                 }
-                board.ask_for_loans(service, now);
+                board.request_loans(service, now);
                 if now >= until || !board.budget(service).awaits_loans(now) {
                     return false;
                 }
--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the loan requests that are due, each for a different host.
-    pub fn loan_asks(
+    pub fn loan_requests(
         &mut self,
         service: &str,
         now: Instant,
--- a/src/connection/targets/table_counting.rs
+++ b/src/connection/targets/table_counting.rs
@@ -13,11 +13,11 @@
 impl TargetTable {
     /// Requests a charge from the host that counts a part of a customer's usage; returns false if no such host is
     /// known.
-    pub fn ask_charge(
+    pub fn request_charge(
         &self,
         ask: ChargeAsk,
     ) -> bool {
-        let Some(to) = self.slot_holder(ask.slot as usize) else {
+        let Some(to) = self.hash_slot_holder(ask.slot as usize) else {
             return false;
         };
         let _ = self.control.send(ControlRequest::RequestCharge { to, ask });
@@ -25,11 +25,11 @@
     }
 
     /// Requests a concurrency slot at a target of a plain service; returns false if no allocating host is known.
-    pub fn ask_place(
+    pub fn request_slot(
         &self,
         wanted: PlaceWanted,
     ) -> bool {
-        let Some(to) = self.place_giver(&wanted.service) else {
+        let Some(to) = self.slot_allocator(&wanted.service) else {
             return false;
         };
         let _ = self
@@ -39,11 +39,11 @@
     }
 
     /// Returns a concurrency slot to the host that allocated it.
-    pub fn end_place(
+    pub fn release_slot(
         &self,
         ended: PlaceEnded,
     ) {
-        if let Some(to) = self.place_giver(&ended.service) {
+        if let Some(to) = self.slot_allocator(&ended.service) {
             let _ = self.control.send(ControlRequest::ReleaseSlot { to, ended });
         }
     }
@@ -53,22 +53,22 @@
         &self,
         refund: ChargeRefund,
     ) {
-        if let Some(to) = self.slot_holder(refund.slot as usize) {
+        if let Some(to) = self.hash_slot_holder(refund.slot as usize) {
             let _ = self
                 .control
                 .send(ControlRequest::RefundCharge { to, refund });
         }
     }
 
-    fn place_giver(
+    fn slot_allocator(
         &self,
         service: &str,
     ) -> Option<SocketAddr> {
-        self.slot_holder(slot_for(service, 0))
+        self.hash_slot_holder(slot_for(service, 0))
     }
 
     /// Returns the host that holds a hash slot, if one does and is reachable.
-    fn slot_holder(
+    fn hash_slot_holder(
         &self,
         slot: usize,
     ) -> Option<SocketAddr> {
@@ -85,23 +85,23 @@
     }
 
     /// Requests loans of repeat budget from other hosts if this host's budget for a service runs low.
-    pub fn ask_for_loans(
+    pub fn request_loans(
         &mut self,
         service: &str,
         now: Instant,
     ) {
-        for ask in self.budgets.loan_asks(service, now) {
+        for ask in self.budgets.loan_requests(service, now) {
             let _ = self.control.send(ControlRequest::RequestLoan(ask));
         }
     }
 
     /// Requests the loans that repeat budgets need, and reports the state of the budgets when that is due.
-    pub fn look_at_budgets(
+    pub fn maintain_budgets(
         &mut self,
         now: Instant,
     ) {
         for service in self.budgets.services() {
-            self.ask_for_loans(&service, now);
+            self.request_loans(&service, now);
         }
         self.budgets.tell(now);
     }
@@ -116,7 +116,7 @@
     }
 
     /// Handles another host's request for a loan of repeat budget.
-    pub fn on_loan_ask(
+    pub fn on_loan_request(
         &mut self,
         to: SocketAddr,
         ask: &LoanAsk,
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -57,7 +57,7 @@
     }
 
     /// Requests a permit to send one request to a target from the host that allocates its permits.
-    pub fn ask_permit(
+    pub fn request_permit(
         &self,
         id: u64,
         target: &str,
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -142,7 +142,7 @@
                     board.report_usage(Instant::now());
                 }
                 tell_ages(&mut board, bounds);
-                board.look_at_budgets(Instant::now());
+                board.maintain_budgets(Instant::now());
             }
         }
     }
@@ -191,6 +191,6 @@
         }
         TrafficInput::Charged(answer) => board.quotas.on_answer(answer),
         TrafficInput::Borrowed(loan) => board.on_loan(&loan, Instant::now()),
-        TrafficInput::LoanAsked { to, ask } => board.on_loan_ask(to, &ask, Instant::now()),
+        TrafficInput::LoanAsked { to, ask } => board.on_loan_request(to, &ask, Instant::now()),
     }
 }
