--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -277,7 +277,7 @@
         flight.keep(connection, None);
         return Sent::Unconfirmed;
     }
-    board.borrow_mut().note_sent(now);
+    board.borrow_mut().record_send_staleness(now);
     let bytes = request_bytes(names, request, destination, now);
     let is_ours = |head: &ResponseHead| head.headers.get(&names.request_id) == request.id.as_ref();
     let exchange = connection.exchange(&bytes, &request.method, is_ours);
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -138,7 +138,9 @@
         if !wait_until_confirmed(&self.board, Belief::Declared, id_text).await {
             return Ok(own(OwnAnswer::after(OwnCause::Unconfirmed, HELD_COME_BACK)));
         }
-        self.board.borrow_mut().note_routed(Instant::now());
+        self.board
+            .borrow_mut()
+            .record_routing_staleness(Instant::now());
         let routing = self.board.borrow().routing().clone();
         let draw = rand::rng().random::<f64>();
         match self.reader.read(request, &routing, arrived, draw).await {
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -134,7 +134,7 @@
     }
 
     /// Records the staleness of the configuration for a request that is routed.
-    pub fn note_routed(
+    pub fn record_routing_staleness(
         &mut self,
         now: Instant,
     ) {
@@ -145,7 +145,7 @@
     }
 
     /// Records the staleness of the list of targets for a request that is sent.
-    pub fn note_sent(
+    pub fn record_send_staleness(
         &mut self,
         now: Instant,
     ) {
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -270,10 +270,10 @@
         targets,
         ..ReplicaFreshness::default()
     });
-    world.board.note_sent(right_at + ms(400));
+    world.board.record_send_staleness(right_at + ms(400));
     assert_eq!(world.board.take_max_staleness(right_at + ms(1_100)), None);
-    world.board.note_sent(right_at + ms(1_500));
-    world.board.note_sent(right_at + ms(1_300));
+    world.board.record_send_staleness(right_at + ms(1_500));
+    world.board.record_send_staleness(right_at + ms(1_300));
     let told = world
         .board
         .take_max_staleness(right_at + ms(2_200))
