--- a/src/connection/front/admission/belief_gate.rs
+++ b/src/connection/front/admission/belief_gate.rs
@@ -47,10 +47,10 @@
         now: Instant,
     ) -> bool {
         match self {
-            Self::Declared => board.allows_routing(now),
-            Self::Keys => board.allows_keys(now),
-            Self::Targets => board.allows_sends(now),
-            Self::Versions => board.allows_versions(now),
+            Self::Declared => board.can_route(now),
+            Self::Keys => board.can_accept_keys(now),
+            Self::Targets => board.can_send(now),
+            Self::Versions => board.can_use_versions(now),
         }
     }
 }
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -360,7 +360,7 @@
             .as_ref()
             .is_none_or(|credential| board.key_status(credential, now) == KeyStatus::Valid);
     let forbidden = board.forbids(&destination.target, now);
-    serves && key_stands && !forbidden && board.allows_sends(now)
+    serves && key_stands && !forbidden && board.can_send(now)
 }
 
 fn backlog(
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -168,7 +168,7 @@
         let now = Instant::now();
         let board = self.board.borrow();
         let answer = match cause {
-            OwnCause::UnknownKey if !board.allows_unknown_keys(now) => {
+            OwnCause::UnknownKey if !board.can_reject_unknown_keys(now) => {
                 OwnAnswer::after(OwnCause::Unconfirmed, HELD_COME_BACK)
             }
             cause => OwnAnswer::new(cause),
--- a/src/connection/targets/replica_freshness.rs
+++ b/src/connection/targets/replica_freshness.rs
@@ -24,7 +24,7 @@
 
     /// Returns true if a request that depends on the replica may be sent: it arrives within `bound`, or the store
     /// is unreachable or not yet read.
-    pub fn allows_sends(
+    pub fn can_send(
         &self,
         bound: Duration,
         now: Instant,
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -37,25 +37,25 @@
     }
 
     /// Returns true if the configuration is fresh enough to route requests.
-    pub fn allows_routing(
+    pub fn can_route(
         &self,
         now: Instant,
     ) -> bool {
         let bound = self.settings.bounds.declared;
-        self.confirmation.declared.allows_sends(bound, now)
+        self.confirmation.declared.can_send(bound, now)
     }
 
     /// Returns true if the list of targets is fresh enough to send requests.
-    pub fn allows_sends(
+    pub fn can_send(
         &self,
         now: Instant,
     ) -> bool {
         let bound = self.settings.bounds.targets;
-        self.confirmation.targets.allows_sends(bound, now)
+        self.confirmation.targets.can_send(bound, now)
     }
 
     /// Returns true if the known adapter versions are fresh enough to send requests.
-    pub fn allows_versions(
+    pub fn can_use_versions(
         &self,
         now: Instant,
     ) -> bool {
@@ -66,7 +66,7 @@
     /// Returns true if the configuration is fresh enough to accept a customer's key as valid.
     ///
     /// Unlike the other bounds, this one also holds during an outage of the store.
-    pub fn allows_keys(
+    pub fn can_accept_keys(
         &self,
         now: Instant,
     ) -> bool {
@@ -75,7 +75,7 @@
     }
 
     /// Returns true if the configuration is fresh enough to reject an unknown key, which may have been added since.
-    pub fn allows_unknown_keys(
+    pub fn can_reject_unknown_keys(
         &self,
         now: Instant,
     ) -> bool {
@@ -91,7 +91,7 @@
     ) -> KeyStatus {
         let customers = &self.view.routing.customers;
         match customers.of_key(&credential.key) {
-            _ if !self.allows_keys(now) => KeyStatus::Unconfirmed,
+            _ if !self.can_accept_keys(now) => KeyStatus::Unconfirmed,
             None => KeyStatus::Revoked,
             Some(customer) if customer.name != credential.customer.name => KeyStatus::Reassigned,
             Some(_) => KeyStatus::Valid,
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -251,9 +251,9 @@
         ..ReplicaFreshness::default()
     });
     let now = world.now + ms(age_ms.unwrap_or(0));
-    assert_eq!(world.board.allows_sends(now), allowed);
+    assert_eq!(world.board.can_send(now), allowed);
     assert!(
-        world.board.allows_routing(now),
+        world.board.can_route(now),
         "the configuration has a bound of its own"
     );
 }
