--- a/src/connection/front/admission/belief_gate.rs
+++ b/src/connection/front/admission/belief_gate.rs
@@ -90,5 +90,5 @@
 ) -> Option<Rc<Notify>> {
     let board = board.borrow();
     let confirmed = belief.is_confirmed(&board, Instant::now());
-    (!confirmed).then(|| board.confirmation_news())
+    (!confirmed).then(|| board.freshness_updates())
 }
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -84,7 +84,7 @@
                 sleep_until(Instant::now() + come_back).await;
             }
             Err(Uncharged::Uncounted) if Instant::now() < counted_by => {
-                let news = board.borrow().confirmation_news();
+                let news = board.borrow().freshness_updates();
                 let _ = timeout_at(counted_by, news.notified()).await;
             }
             Err(uncharged) => return Err(uncharged.answer()),
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -561,7 +561,7 @@
         &self,
         until: Instant,
     ) {
-        let news = self.board.borrow().standing_news();
+        let news = self.board.borrow().engine_status_updates();
         tokio::select! {
             _ = news.notified() => {}
             _ = sleep_until(until) => {}
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -19,12 +19,12 @@
 const KEY_MARGIN: Duration = Duration::from_millis(1_000);
 
 impl TargetTable {
-    pub fn set_confirmation(
+    pub fn set_freshness(
         &mut self,
         confirmation: ReplicaFreshness,
     ) {
         self.confirmation = confirmation;
-        self.confirmation_news.notify_waiters();
+        self.freshness_updates.notify_waiters();
     }
 
     pub fn confirmation(&self) -> &ReplicaFreshness {
@@ -32,8 +32,8 @@
     }
 
     /// Returns the `Notify` that wakes waiters when the freshness of the replicas has been updated.
-    pub fn confirmation_news(&self) -> Rc<Notify> {
-        self.confirmation_news.clone()
+    pub fn freshness_updates(&self) -> Rc<Notify> {
+        self.freshness_updates.clone()
     }
 
     /// Returns true if the configuration is fresh enough to route requests.
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -49,11 +49,11 @@
     /// Requests that wait for an adapter.
     pub(super) waiting: HashMap<String, Waiting>,
     /// Wakes requests that wait for an engine's status.
-    pub(super) standing_news: Rc<Notify>,
+    pub(super) engine_status_updates: Rc<Notify>,
     /// Freshness of the table replicas behind the view.
     pub(super) confirmation: ReplicaFreshness,
     /// Wakes requests that wait for fresh replicas.
-    pub(super) confirmation_news: Rc<Notify>,
+    pub(super) freshness_updates: Rc<Notify>,
     pub(super) staleness_monitor: StalenessMonitor,
     pub crashes: CrashTracker,
     pub notices: NoticeTracker,
@@ -95,9 +95,9 @@
             prefill_throughputs: HashMap::new(),
             budgets: RepeatBudgets::new(&settings, Instant::now()),
             waiting: HashMap::new(),
-            standing_news: Rc::default(),
+            engine_status_updates: Rc::default(),
             confirmation: ReplicaFreshness::default(),
-            confirmation_news: Rc::default(),
+            freshness_updates: Rc::default(),
             staleness_monitor: StalenessMonitor::new(settings.bounds, Instant::now()),
             crashes: CrashTracker::default(),
             notices: NoticeTracker::new(control.clone()),
@@ -164,7 +164,7 @@
     }
 
     /// Handles a holder's report of its engine's status.
-    pub fn on_standing(
+    pub fn on_engine_status(
         &mut self,
         standing: &EngineStanding,
         now: Instant,
@@ -173,12 +173,12 @@
         if let Some(placement) = &standing.placement {
             self.on_placement(placement, now);
         }
-        self.standing_news.notify_waiters();
+        self.engine_status_updates.notify_waiters();
     }
 
     /// Returns the `Notify` that wakes waiters when a holder has reported its engine's status.
-    pub fn standing_news(&self) -> Rc<Notify> {
-        self.standing_news.clone()
+    pub fn engine_status_updates(&self) -> Rc<Notify> {
+        self.engine_status_updates.clone()
     }
 
     pub fn targets_of(
@@ -223,7 +223,7 @@
         for (id, target) in &view.targets {
             regroups |= self.set_target(id, target);
         }
-        self.set_confirmation(view.confirmation);
+        self.set_freshness(view.confirmation);
         self.budgets.set_hosts(view.known_hosts);
         self.view = view;
         if regroups {
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -172,10 +172,10 @@
     let mut board = board.borrow_mut();
     match input {
         TrafficInput::View(view) => board.set_view(view),
-        TrafficInput::Confirmed(confirmation) => board.set_confirmation(confirmation),
+        TrafficInput::Confirmed(confirmation) => board.set_freshness(confirmation),
         TrafficInput::Placement(placement) => board.on_placement(&placement, Instant::now()),
         TrafficInput::Load(load) => board.on_engine_load(&load, Instant::now()),
-        TrafficInput::Standing(standing) => board.on_standing(&standing, Instant::now()),
+        TrafficInput::Standing(standing) => board.on_engine_status(&standing, Instant::now()),
         TrafficInput::Stands {
             fingerprint,
             standing,
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -246,7 +246,7 @@
         right_at: age_ms.map(|_| world.now),
         store_failed,
     };
-    world.board.set_confirmation(ReplicaFreshness {
+    world.board.set_freshness(ReplicaFreshness {
         targets,
         ..ReplicaFreshness::default()
     });
@@ -266,7 +266,7 @@
         right_at: Some(right_at),
         store_failed: false,
     };
-    world.board.set_confirmation(ReplicaFreshness {
+    world.board.set_freshness(ReplicaFreshness {
         targets,
         ..ReplicaFreshness::default()
     });
