--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -287,7 +287,7 @@
             .others_told
             .map(|told| now.saturating_duration_since(told)),
         version,
-        declared_age: board.confirmation().declared.age(now),
+        declared_age: board.freshness().declared.age(now),
     };
     tries.trace.add(step, now);
     Choice::Send(Destination {
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -173,7 +173,7 @@
             }
             cause => OwnAnswer::new(cause),
         };
-        let age = board.confirmation().declared.age(now);
+        let age = board.freshness().declared.age(now);
         note!(
             Event::RequestRejected,
             id = id,
--- a/src/connection/targets/fleet_view.rs
+++ b/src/connection/targets/fleet_view.rs
@@ -31,5 +31,5 @@
     /// Recently known hosts, including unreachable ones.
     pub known_hosts: usize,
     /// Freshness of the table replicas behind this snapshot.
-    pub confirmation: ReplicaFreshness,
+    pub freshness: ReplicaFreshness,
 }
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -21,14 +21,14 @@
 impl TargetTable {
     pub fn set_freshness(
         &mut self,
-        confirmation: ReplicaFreshness,
+        freshness: ReplicaFreshness,
     ) {
-        self.confirmation = confirmation;
+        self.freshness = freshness;
         self.freshness_updates.notify_waiters();
     }
 
-    pub fn confirmation(&self) -> &ReplicaFreshness {
-        &self.confirmation
+    pub fn freshness(&self) -> &ReplicaFreshness {
+        &self.freshness
     }
 
     /// Returns the `Notify` that wakes waiters when the freshness of the replicas has been updated.
@@ -42,7 +42,7 @@
         now: Instant,
     ) -> bool {
         let bound = self.settings.bounds.declared;
-        self.confirmation.declared.can_send(bound, now)
+        self.freshness.declared.can_send(bound, now)
     }
 
     /// Returns true if the list of targets is fresh enough to send requests.
@@ -51,7 +51,7 @@
         now: Instant,
     ) -> bool {
         let bound = self.settings.bounds.targets;
-        self.confirmation.targets.can_send(bound, now)
+        self.freshness.targets.can_send(bound, now)
     }
 
     /// Returns true if the known adapter versions are fresh enough to send requests.
@@ -70,7 +70,7 @@
         &self,
         now: Instant,
     ) -> bool {
-        let age = self.confirmation.declared.age(now);
+        let age = self.freshness.declared.age(now);
         age.is_some_and(|age| age + KEY_MARGIN <= self.settings.bounds.revoke)
     }
 
@@ -79,7 +79,7 @@
         &self,
         now: Instant,
     ) -> bool {
-        let age = self.confirmation.declared.age(now);
+        let age = self.freshness.declared.age(now);
         age.is_some_and(|age| age <= self.settings.bounds.declared)
     }
 
@@ -126,7 +126,7 @@
     /// configuration was last confirmed.
     fn newest_version_deadline(&self) -> VersionDeadline {
         let bound = self.settings.bounds.version;
-        let declared = &self.confirmation.declared;
+        let declared = &self.freshness.declared;
         match declared.right_at {
             Some(right_at) if !declared.store_failed => VersionDeadline::At(right_at + bound),
             _ => VersionDeadline::Unlimited,
@@ -138,7 +138,7 @@
         &mut self,
         now: Instant,
     ) {
-        if let Some(age) = self.confirmation.declared.age(now) {
+        if let Some(age) = self.freshness.declared.age(now) {
             self.staleness_monitor.on_routed(age);
             observe_age("declared", age);
         }
@@ -149,7 +149,7 @@
         &mut self,
         now: Instant,
     ) {
-        if let Some(age) = self.confirmation.targets.age(now) {
+        if let Some(age) = self.freshness.targets.age(now) {
             self.staleness_monitor.on_sent(age);
             observe_age("targets", age);
         }
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -51,7 +51,7 @@
     /// Wakes requests that wait for an engine's status.
     pub(super) engine_status_updates: Rc<Notify>,
     /// Freshness of the table replicas behind the view.
-    pub(super) confirmation: ReplicaFreshness,
+    pub(super) freshness: ReplicaFreshness,
     /// Wakes requests that wait for fresh replicas.
     pub(super) freshness_updates: Rc<Notify>,
     pub(super) staleness_monitor: StalenessMonitor,
@@ -96,7 +96,7 @@
             budgets: RepeatBudgets::new(&settings, Instant::now()),
             waiting: HashMap::new(),
             engine_status_updates: Rc::default(),
-            confirmation: ReplicaFreshness::default(),
+            freshness: ReplicaFreshness::default(),
             freshness_updates: Rc::default(),
             staleness_monitor: StalenessMonitor::new(settings.bounds, Instant::now()),
             crashes: CrashTracker::default(),
@@ -223,7 +223,7 @@
         for (id, target) in &view.targets {
             regroups |= self.set_target(id, target);
         }
-        self.set_freshness(view.confirmation);
+        self.set_freshness(view.freshness);
         self.budgets.set_hosts(view.known_hosts);
         self.view = view;
         if regroups {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -106,7 +106,7 @@
     /// Another view must be published.
     pub(super) changed: bool,
     /// How well what requests see is known to be right, as they were last told.
-    told_confirmation: ReplicaFreshness,
+    told_freshness: ReplicaFreshness,
     /// No other view is published before; many hosts may become known at the same moment.
     pub(super) next_publish: Instant,
     /// What requests see.
@@ -189,7 +189,7 @@
             routing: Arc::default(),
             versions: Arc::default(),
             changed: true,
-            told_confirmation: ReplicaFreshness::default(),
+            told_freshness: ReplicaFreshness::default(),
             next_publish: now,
             published: Arc::default(),
             empty_seeds: BTreeSet::new(),
@@ -519,7 +519,7 @@
             slot_holders: self.slot_holders(&holders),
             hosts: self.hosts.up_count(),
             known_hosts: self.hosts.known_count(),
-            confirmation: self.told_confirmation,
+            freshness: self.told_confirmation,
         }
     }
 }
