--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -106,7 +106,7 @@
     /// Another view must be published.
     pub(super) changed: bool,
     /// How well what requests see is known to be right, as they were last told.
-    told_freshness: ReplicaFreshness,
+    told_confirmation: ReplicaFreshness,
     /// No other view is published before; many hosts may become known at the same moment.
     pub(super) next_publish: Instant,
     /// What requests see.
@@ -189,7 +189,7 @@
             routing: Arc::default(),
             versions: Arc::default(),
             changed: true,
-            told_freshness: ReplicaFreshness::default(),
+            told_confirmation: ReplicaFreshness::default(),
             next_publish: now,
             published: Arc::default(),
             empty_seeds: BTreeSet::new(),
