--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -25,7 +25,7 @@
     let id = rand::random();
     let mut ask = {
         let board = board.borrow();
-        match board.openness(target, begun) {
+        match board.availability(target, begun) {
             Openness::Open => return true,
             Openness::Closed => return false,
             Openness::Limited => {}
@@ -49,6 +49,6 @@
         return true;
     };
     let until = Instant::now() + pause;
-    board.borrow_mut().close(target, until);
+    board.borrow_mut().mark_unavailable(target, until);
     false
 }
--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -113,7 +113,7 @@
         passed.clear();
     }
     let targets = board.targets_of(service).iter();
-    let closed = targets.filter(|target| board.openness(&target.id, now) == Openness::Closed);
+    let closed = targets.filter(|target| board.availability(&target.id, now) == Openness::Closed);
     passed.extend(closed.map(|target| target.id.to_string()));
     passed.extend(tried.iter().cloned());
     passed
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -112,7 +112,7 @@
                     near: link.view.record.hall == self.hall,
                     avoided_for: link.avoided_for(now),
                     tried: tries.has_tried(&target.id),
-                    openness: board.openness(&target.id, now),
+                    openness: board.availability(&target.id, now),
                 }
             })
             .collect();
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -78,7 +78,7 @@
             avoided: !link.avoided_for(self.now).is_zero(),
             has_holder: link.view.holder.is_some(),
             tried: tries.has_tried(target),
-            openness: board.openness(target, self.now),
+            openness: board.availability(target, self.now),
         }
     }
 
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -39,7 +39,7 @@
     if !board.is_large_site() {
         return engines;
     }
-    let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
+    let is_closed = |engine: &Arc<str>| board.availability(engine, now) == Openness::Closed;
     let engines = without_closed(engines, is_closed);
     engines
         .sample(&mut rand::rng(), QUERIED_READY)
@@ -72,7 +72,7 @@
     // Where it was lately it comes back much faster.
     open.sort_by_key(|at| state(at) != Some(CopyState::Remembered));
     open.truncate(QUERIED_OTHERS);
-    let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
+    let is_closed = |engine: &Arc<str>| board.availability(engine, now) == Openness::Closed;
     let ready = without_closed(ready, |at| is_closed(&order[*at]));
     let ready = ready.sample(&mut rand::rng(), QUERIED_READY).copied();
     let mut chosen: Vec<usize> = ready.chain(coming).chain(open).collect();
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -359,7 +359,7 @@
             .credential
             .as_ref()
             .is_none_or(|credential| board.key_status(credential, now) == KeyStatus::Valid);
-    let forbidden = board.forbids(&destination.target, now);
+    let forbidden = board.is_rejecting_requests(&destination.target, now);
     serves && key_stands && !forbidden && board.can_send(now)
 }
 
--- a/src/connection/targets/notice_tracker.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -53,13 +53,13 @@
     }
 
     /// Returns the availability of a target to this host.
-    pub fn openness(
+    pub fn availability(
         &self,
         target: &str,
         start: Option<TargetStart>,
         now: Instant,
     ) -> Openness {
-        if self.closing(target, start, now).is_some() {
+        if self.unavailability(target, start, now).is_some() {
             return Openness::Closed;
         }
         let said = self.book.get(target, start);
@@ -70,7 +70,7 @@
     }
 
     /// Returns true if a target's notices forbid requests now.
-    pub fn forbids(
+    pub fn is_rejecting_requests(
         &self,
         target: &str,
         start: Option<TargetStart>,
@@ -81,7 +81,7 @@
     }
 
     /// Returns how long a target is unavailable to this host; `None` if it is available.
-    pub fn closing(
+    pub fn unavailability(
         &self,
         target: &str,
         start: Option<TargetStart>,
@@ -100,7 +100,7 @@
     }
 
     /// Marks a target as unavailable to this host until a time.
-    pub fn close(
+    pub fn mark_unavailable(
         &mut self,
         target: &Arc<str>,
         start: Option<TargetStart>,
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -42,7 +42,7 @@
             let view = &self.links[&target.id].view;
             // A large site broadcasts no adapter states, so that engines without a holder are candidates too.
             let loads = view.holder.is_some() || self.is_large_site();
-            let in_need = self.openness(&target.id, now) != Openness::Open;
+            let in_need = self.availability(&target.id, now) != Openness::Open;
             loads && !in_need && !view.record.is_empty
         };
         let any_may = ranked.iter().any(|(_, target)| may_load(target));
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -8,24 +8,27 @@
 
 impl TargetTable {
     /// Returns a target's availability to this host by its notices.
-    pub fn openness(
+    pub fn availability(
         &self,
         target: &str,
         now: Instant,
     ) -> Openness {
         match self.notices.is_quiet() {
             true => Openness::Open,
-            false => self.notices.openness(target, self.started(target), now),
+            false => self.notices.availability(target, self.started(target), now),
         }
     }
 
     /// Returns true if a target's notices forbid requests now, even with a permit.
-    pub fn forbids(
+    pub fn is_rejecting_requests(
         &self,
         target: &str,
         now: Instant,
     ) -> bool {
-        !self.notices.is_quiet() && self.notices.forbids(target, self.started(target), now)
+        !self.notices.is_quiet()
+            && self
+                .notices
+                .is_rejecting_requests(target, self.started(target), now)
     }
 
     /// Returns when the first of these targets becomes available; `None` if one is available now or none will be.
@@ -36,7 +39,7 @@
     ) -> Option<Instant> {
         let closing = |target: &Arc<str>| {
             let start = self.started(target);
-            self.notices.closing(target, start, now)
+            self.notices.unavailability(target, start, now)
         };
         let closings: Option<Vec<Unavailability>> = targets.map(closing).collect();
         let opening = |closing| match closing {
@@ -47,13 +50,13 @@
     }
 
     /// Marks a target as unavailable to this host until a time.
-    pub fn close(
+    pub fn mark_unavailable(
         &mut self,
         target: &Arc<str>,
         until: Instant,
     ) {
         let start = self.started(target);
-        self.notices.close(target, start, until);
+        self.notices.mark_unavailable(target, start, until);
     }
 
     /// Requests a permit to send one request to a target from the host that allocates its permits.
