--- a/src/connection/targets/notice_tracker.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -15,7 +15,7 @@
 };
 
 /// Minimum time between log lines about unreadable headers of one target.
-const UNREADABLE_PAUSE: Duration = Duration::from_secs(60);
+const UNREADABLE_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Targets for which these log lines are rate-limited; beyond it each unreadable header is logged.
 const MAX_UNREADABLE: usize = 1024;
@@ -29,9 +29,9 @@
 
 /// Tracks the notices of targets in the answers to this host's requests.
 pub struct NoticeTracker {
-    book: NoticeBook,
+    registry: NoticeBook,
     /// Targets that this host avoids: the incarnation and the end of the backoff.
-    closed: HashMap<Arc<str>, (Option<TargetStart>, Instant)>,
+    backoffs: HashMap<Arc<str>, (Option<TargetStart>, Instant)>,
     control: flume::Sender<ControlRequest>,
     /// Targets with unreadable headers, and when that was last logged.
     unreadable: HashMap<Arc<str>, Instant>,
@@ -40,8 +40,8 @@
 impl NoticeTracker {
     pub fn new(control: flume::Sender<ControlRequest>) -> Self {
         Self {
-            book: NoticeBook::default(),
-            closed: HashMap::new(),
+            registry: NoticeBook::default(),
+            backoffs: HashMap::new(),
             control,
             unreadable: HashMap::new(),
         }
@@ -49,7 +49,7 @@
 
     /// Returns true if no target has notices.
     pub fn is_quiet(&self) -> bool {
-        self.book.is_empty()
+        self.registry.is_empty()
     }
 
     /// Returns the availability of a target to this host.
@@ -62,8 +62,8 @@
         if self.unavailability(target, start, now).is_some() {
             return Openness::Closed;
         }
-        let said = self.book.get(target, start);
-        match said.is_some_and(|said| said.is_limited(now)) {
+        let notices = self.registry.get(target, start);
+        match notices.is_some_and(|notices| notices.is_limited(now)) {
             true => Openness::Limited,
             false => Openness::Open,
         }
@@ -76,8 +76,8 @@
         start: Option<TargetStart>,
         now: Instant,
     ) -> bool {
-        let said = self.book.get(target, start);
-        said.is_some_and(|said| said.leaves || said.rests(now).is_some())
+        let notices = self.registry.get(target, start);
+        notices.is_some_and(|notices| notices.leaves || notices.rests(now).is_some())
     }
 
     /// Returns how long a target is unavailable to this host; `None` if it is available.
@@ -87,16 +87,16 @@
         start: Option<TargetStart>,
         now: Instant,
     ) -> Option<Unavailability> {
-        let said = self.book.get(target, start);
-        if said.is_some_and(|said| said.leaves) {
+        let notices = self.registry.get(target, start);
+        if notices.is_some_and(|notices| notices.leaves) {
             return Some(Unavailability::Permanent);
         }
-        let rests = said.and_then(|said| said.rests(now));
-        let closed = self.closed.get(target);
-        let closed = closed.filter(|(of, _)| *of == start);
-        let until = closed.map(|(_, until)| *until);
-        let closed = until.filter(|until| now < *until);
-        rests.max(closed).map(Unavailability::Until)
+        let rests = notices.and_then(|notices| notices.rests(now));
+        let backoffs = self.backoffs.get(target);
+        let backoffs = backoffs.filter(|(of, _)| *of == start);
+        let until = backoffs.map(|(_, until)| *until);
+        let backoffs = until.filter(|until| now < *until);
+        rests.max(backoffs).map(Unavailability::Until)
     }
 
     /// Marks a target as unavailable to this host until a time.
@@ -107,8 +107,8 @@
         until: Instant,
     ) {
         let now = Instant::now();
-        self.closed.retain(|_, (_, until)| now < *until);
-        self.closed.insert(target.clone(), (start, until));
+        self.backoffs.retain(|_, (_, until)| now < *until);
+        self.backoffs.insert(target.clone(), (start, until));
     }
 
     /// Returns the notices of a target's incarnation as a message to another host; `None` if there are none.
@@ -118,8 +118,8 @@
         start: Option<TargetStart>,
         now: Instant,
     ) -> Option<TargetNews> {
-        let said = self.book.get(target, start)?;
-        Some(TargetNews::of(target, said, now))
+        let notices = self.registry.get(target, start)?;
+        Some(TargetNews::of(target, notices, now))
     }
 
     /// Merges notices of a target that another host received.
@@ -129,7 +129,7 @@
         notices: &TargetNotices,
         now: Instant,
     ) {
-        self.book.take(target, notices, now);
+        self.registry.take(target, notices, now);
     }
 
     /// Reads the notices in an answer's head; `sent` is when the request was sent.
@@ -143,14 +143,14 @@
     ) {
         let (notice, unreadable) = head.read();
         for problem in &unreadable {
-            self.tell_unreadable(target, problem, now);
+            self.log_unreadable(target, problem, now);
         }
-        let news = self.book.hear(target, start, &notice, sent, now);
-        for news in &news {
-            tell(target, news, now);
+        let changes = self.registry.hear(target, start, &notice, sent, now);
+        for changes in &changes {
+            log_change(target, changes, now);
         }
-        if news.iter().any(NoticeNews::concerns_all_hosts)
-            && let Some(notices) = self.book.get(target, start)
+        if changes.iter().any(NoticeNews::concerns_all_hosts)
+            && let Some(notices) = self.registry.get(target, start)
         {
             let _ = self.control.send(ControlRequest::PublishNotices {
                 target: target.to_string(),
@@ -159,14 +159,14 @@
         }
     }
 
-    fn tell_unreadable(
+    fn log_unreadable(
         &mut self,
         target: &Arc<str>,
         problem: &UnreadableNotice,
         now: Instant,
     ) {
         count("unreadable");
-        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < UNREADABLE_PAUSE;
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < UNREADABLE_LOG_INTERVAL;
         if self.unreadable.get(target).is_some_and(is_recent) {
             return;
         }
@@ -183,12 +183,12 @@
 }
 
 /// Logs and counts a changed notice.
-fn tell(
+fn log_change(
     target: &str,
-    news: &NoticeNews,
+    changes: &NoticeNews,
     now: Instant,
 ) {
-    match news {
+    match changes {
         NoticeNews::Limited { rate } => {
             count("limited");
             note!(Event::TargetLimited, target = target, rate = rate);
