--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -374,7 +374,7 @@
         &self,
         target: &Arc<str>,
     ) -> TargetIncarnation {
-        (target.clone(), self.board.borrow().started(target))
+        (target.clone(), self.board.borrow().incarnation(target))
     }
 
     /// A stream was broken off; its request is accused if its answer had just begun.
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -86,7 +86,7 @@
             all: u64::from(generation.tokens_in) + u64::from(generation.tokens_out),
             prompt: u64::from(generation.tokens_in),
         });
-        let started = board.borrow().started(target);
+        let started = board.borrow().incarnation(target);
         board.borrow_mut().start_request(target, adapter, tokens);
         Self {
             board: board.clone(),
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -15,7 +15,9 @@
     ) -> Openness {
         match self.notices.is_quiet() {
             true => Openness::Open,
-            false => self.notices.availability(target, self.started(target), now),
+            false => self
+                .notices
+                .availability(target, self.incarnation(target), now),
         }
     }
 
@@ -28,7 +30,7 @@
         !self.notices.is_quiet()
             && self
                 .notices
-                .is_rejecting_requests(target, self.started(target), now)
+                .is_rejecting_requests(target, self.incarnation(target), now)
     }
 
     /// Returns when the first of these targets becomes available; `None` if one is available now or none will be.
@@ -38,7 +40,7 @@
         now: Instant,
     ) -> Option<Instant> {
         let closing = |target: &Arc<str>| {
-            let start = self.started(target);
+            let start = self.incarnation(target);
             self.notices.unavailability(target, start, now)
         };
         let closings: Option<Vec<Unavailability>> = targets.map(closing).collect();
@@ -55,7 +57,7 @@
         target: &Arc<str>,
         until: Instant,
     ) {
-        let start = self.started(target);
+        let start = self.incarnation(target);
         self.notices.mark_unavailable(target, start, until);
     }
 
@@ -66,7 +68,7 @@
         target: &str,
         now: Instant,
     ) {
-        let start = self.started(target);
+        let start = self.incarnation(target);
         if let Some(news) = self.notices.news_of(target, start, now) {
             let ask = PermitAsk { id, news };
             let _ = self.control.send(ControlRequest::RequestPermit(ask));
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -128,7 +128,7 @@
     }
 
     /// Returns the known incarnation of a target.
-    pub fn started(
+    pub fn incarnation(
         &self,
         target: &str,
     ) -> Option<TargetStart> {
