--- a/src/connection/targets/notice_tracker.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -56,13 +56,13 @@
     pub fn availability(
         &self,
         target: &str,
-        start: Option<TargetStart>,
+        incarnation: Option<TargetStart>,
         now: Instant,
     ) -> Openness {
-        if self.unavailability(target, start, now).is_some() {
+        if self.unavailability(target, incarnation, now).is_some() {
             return Openness::Closed;
         }
-        let notices = self.registry.get(target, start);
+        let notices = self.registry.get(target, incarnation);
         match notices.is_some_and(|notices| notices.is_limited(now)) {
             true => Openness::Limited,
             false => Openness::Open,
@@ -73,10 +73,10 @@
     pub fn is_rejecting_requests(
         &self,
         target: &str,
-        start: Option<TargetStart>,
+        incarnation: Option<TargetStart>,
         now: Instant,
     ) -> bool {
-        let notices = self.registry.get(target, start);
+        let notices = self.registry.get(target, incarnation);
         notices.is_some_and(|notices| notices.leaves || notices.rests(now).is_some())
     }
 
@@ -84,16 +84,16 @@
     pub fn unavailability(
         &self,
         target: &str,
-        start: Option<TargetStart>,
+        incarnation: Option<TargetStart>,
         now: Instant,
     ) -> Option<Unavailability> {
-        let notices = self.registry.get(target, start);
+        let notices = self.registry.get(target, incarnation);
         if notices.is_some_and(|notices| notices.leaves) {
             return Some(Unavailability::Permanent);
         }
         let rests = notices.and_then(|notices| notices.rests(now));
         let backoffs = self.backoffs.get(target);
-        let backoffs = backoffs.filter(|(of, _)| *of == start);
+        let backoffs = backoffs.filter(|(of, _)| *of == incarnation);
         let until = backoffs.map(|(_, until)| *until);
         let backoffs = until.filter(|until| now < *until);
         rests.max(backoffs).map(Unavailability::Until)
@@ -103,22 +103,22 @@
     pub fn mark_unavailable(
         &mut self,
         target: &Arc<str>,
-        start: Option<TargetStart>,
+        incarnation: Option<TargetStart>,
         until: Instant,
     ) {
         let now = Instant::now();
         self.backoffs.retain(|_, (_, until)| now < *until);
-        self.backoffs.insert(target.clone(), (start, until));
+        self.backoffs.insert(target.clone(), (incarnation, until));
     }
 
     /// Returns the notices of a target's incarnation as a message to another host; `None` if there are none.
     pub fn news_of(
         &self,
         target: &str,
-        start: Option<TargetStart>,
+        incarnation: Option<TargetStart>,
         now: Instant,
     ) -> Option<TargetNews> {
-        let notices = self.registry.get(target, start)?;
+        let notices = self.registry.get(target, incarnation)?;
         Some(TargetNews::of(target, notices, now))
     }
 
@@ -136,7 +136,7 @@
     pub fn on_answer(
         &mut self,
         target: &Arc<str>,
-        start: Option<TargetStart>,
+        incarnation: Option<TargetStart>,
         head: &NoticeHeaders,
         sent: Instant,
         now: Instant,
@@ -145,12 +145,12 @@
         for problem in &unreadable {
             self.log_unreadable(target, problem, now);
         }
-        let changes = self.registry.hear(target, start, &notice, sent, now);
+        let changes = self.registry.hear(target, incarnation, &notice, sent, now);
         for changes in &changes {
             log_change(target, changes, now);
         }
         if changes.iter().any(NoticeNews::concerns_all_hosts)
-            && let Some(notices) = self.registry.get(target, start)
+            && let Some(notices) = self.registry.get(target, incarnation)
         {
             let _ = self.control.send(ControlRequest::PublishNotices {
                 target: target.to_string(),
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -40,8 +40,8 @@
         now: Instant,
     ) -> Option<Instant> {
         let closing = |target: &Arc<str>| {
-            let start = self.incarnation(target);
-            self.notices.unavailability(target, start, now)
+            let incarnation = self.incarnation(target);
+            self.notices.unavailability(target, incarnation, now)
         };
         let closings: Option<Vec<Unavailability>> = targets.map(closing).collect();
         let opening = |closing| match closing {
@@ -57,8 +57,8 @@
         target: &Arc<str>,
         until: Instant,
     ) {
-        let start = self.incarnation(target);
-        self.notices.mark_unavailable(target, start, until);
+        let incarnation = self.incarnation(target);
+        self.notices.mark_unavailable(target, incarnation, until);
     }
 
     /// Requests a permit to send one request to a target from the host that allocates its permits.
@@ -68,8 +68,8 @@
         target: &str,
         now: Instant,
     ) {
-        let start = self.incarnation(target);
-        if let Some(news) = self.notices.news_of(target, start, now) {
+        let incarnation = self.incarnation(target);
+        if let Some(news) = self.notices.news_of(target, incarnation, now) {
             let ask = PermitAsk { id, news };
             let _ = self.control.send(ControlRequest::RequestPermit(ask));
         }
