--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -137,11 +137,11 @@
     request: &CallRequest,
 ) {
     let board = board.borrow();
-    if board.crashes.is_quiet() {
+    if board.crashes.is_empty() {
         return;
     }
     let fingerprint = request.fingerprint();
-    if board.crashes.standing(&fingerprint).is_some() {
+    if board.crashes.status(&fingerprint).is_some() {
         board.report_poison(PoisonReport::Cleared { fingerprint });
     }
 }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -190,9 +190,9 @@
         request: &CallRequest,
     ) -> Option<Standing> {
         let board = self.board.borrow();
-        match board.crashes.is_quiet() {
+        match board.crashes.is_empty() {
             true => None,
-            false => board.crashes.standing(&request.fingerprint()),
+            false => board.crashes.status(&request.fingerprint()),
         }
     }
 
@@ -219,7 +219,7 @@
         request: &CallRequest,
     ) -> bool {
         let board = self.board.borrow();
-        !board.crashes.is_quiet() && board.crashes.is_suspected(&request.fingerprint())
+        !board.crashes.is_empty() && board.crashes.is_suspected(&request.fingerprint())
     }
 
     fn note_demand(
--- a/src/connection/targets/crash_tracker.rs
+++ b/src/connection/targets/crash_tracker.rs
@@ -41,7 +41,7 @@
 /// Tracks targets that crash, and the requests that may have crashed them.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
-    standings: HashMap<Fingerprint, Standing>,
+    statuses: HashMap<Fingerprint, Standing>,
     /// Targets that broke off an answer, oldest first.
     losses: VecDeque<(Instant, Arc<str>)>,
     /// Suspect requests of the targets that are being probed.
@@ -50,8 +50,8 @@
 
 impl CrashTracker {
     /// Returns true if no request is suspected, so that none need be looked up.
-    pub fn is_quiet(&self) -> bool {
-        self.standings.is_empty() && self.accused.is_empty()
+    pub fn is_empty(&self) -> bool {
+        self.statuses.is_empty() && self.accused.is_empty()
     }
 
     /// Returns true if a request has crashed targets, or is suspected of it.
@@ -61,25 +61,25 @@
     ) -> bool {
         let is_it = |accused: &SuspectRequest| accused.fingerprint == *fingerprint;
         let mut accused = self.accused.values().flatten();
-        self.standings.contains_key(fingerprint) || accused.any(is_it)
+        self.statuses.contains_key(fingerprint) || accused.any(is_it)
     }
 
     /// Returns the status of a request; `None` if it has crashed no target.
-    pub fn standing(
+    pub fn status(
         &self,
         fingerprint: &Fingerprint,
     ) -> Option<Standing> {
-        self.standings.get(fingerprint).copied()
+        self.statuses.get(fingerprint).copied()
     }
 
-    pub fn set_standing(
+    pub fn set_status(
         &mut self,
         fingerprint: Fingerprint,
         standing: Option<Standing>,
     ) {
         match standing {
-            Some(standing) => self.standings.insert(fingerprint, standing),
-            None => self.standings.remove(&fingerprint),
+            Some(standing) => self.statuses.insert(fingerprint, standing),
+            None => self.statuses.remove(&fingerprint),
         };
     }
 
--- a/src/connection/targets/notice_tracker.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns true if no target has notices.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.registry.is_empty()
     }
 
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -13,7 +13,7 @@
         target: &str,
         now: Instant,
     ) -> Openness {
-        match self.notices.is_quiet() {
+        match self.notices.is_empty() {
             true => Openness::Open,
             false => self
                 .notices
@@ -27,7 +27,7 @@
         target: &str,
         now: Instant,
     ) -> bool {
-        !self.notices.is_quiet()
+        !self.notices.is_empty()
             && self
                 .notices
                 .is_rejecting_requests(target, self.incarnation(target), now)
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -179,7 +179,7 @@
         TrafficInput::Stands {
             fingerprint,
             standing,
-        } => board.crashes.set_standing(fingerprint, standing),
+        } => board.crashes.set_status(fingerprint, standing),
         TrafficInput::PlaceGiven(given) => {
             board.pending_slots.on_answer(given.id, given);
         }
