--- a/src/connection/targets/notice_tracker.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns the notices of a target's incarnation as a message to another host; `None` if there are none.
-    pub fn news_of(
+    pub fn message_for_peer(
         &self,
         target: &str,
         incarnation: Option<TargetStart>,
@@ -123,7 +123,7 @@
     }
 
     /// Merges notices of a target that another host received.
-    pub fn take(
+    pub fn on_peer_notices(
         &mut self,
         target: &str,
         notices: &TargetNotices,
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -69,7 +69,7 @@
         now: Instant,
     ) {
         let incarnation = self.incarnation(target);
-        if let Some(news) = self.notices.news_of(target, incarnation, now) {
+        if let Some(news) = self.notices.message_for_peer(target, incarnation, now) {
             let ask = PermitAsk { id, news };
             let _ = self.control.send(ControlRequest::RequestPermit(ask));
         }
