--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -284,7 +284,7 @@
         running: link.running(),
         unread_tokens: link.backlog_tokens(),
         load_age: link
-            .others_told
+            .others_reported_at
             .map(|told| now.saturating_duration_since(told)),
         version,
         declared_age: board.freshness().declared.age(now),
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -89,7 +89,7 @@
         link: &TargetLink,
     ) -> bool {
         let since = self.now.checked_sub(LOAD_KNOWN);
-        board.is_large_site() && since.is_some_and(|since| !link.told_since(since))
+        board.is_large_site() && since.is_some_and(|since| !link.has_report_since(since))
     }
 
     /// Tokens of prompts that are read at an engine before that of a request. Engines admit the most
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -97,7 +97,7 @@
     {
         let present = |target: &&Arc<str>| board.links.contains_key(*target);
         let targets: Vec<Arc<str>> = round.targets.iter().filter(present).cloned().collect();
-        let told = |target: &Arc<str>| board.links[target].told_since(round.since);
+        let told = |target: &Arc<str>| board.links[target].has_report_since(round.since);
         let until = round.since + QUERY_WAIT;
         return match now >= until || targets.iter().all(told) {
             true => Ok(targets),
--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -45,7 +45,7 @@
 
 /// Usage of one adapter on an engine through this host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct UseCount {
+pub struct AdapterUseCount {
     pub in_flight: u32,
     /// Requests sent since the last report to the holder.
     pub started: u32,
@@ -67,17 +67,17 @@
     pub others_tokens: u64,
     pub others_unread_tokens: u64,
     /// When the holder last reported.
-    pub others_told: Option<Instant>,
+    pub others_reported_at: Option<Instant>,
     /// Time that an adapter load takes, and when the holder reported it.
-    load_told: Option<(Duration, Instant)>,
+    reported_load_time: Option<(Duration, Instant)>,
     /// When data last came from the target.
     pub heard: Option<Instant>,
     /// Lower bound of the send time of the oldest request that runs there: when the target last became busy.
     busy_since: Option<Instant>,
     /// Usage by adapter, for reports to the holder.
-    pub uses: HashMap<String, UseCount>,
+    pub uses: HashMap<String, AdapterUseCount>,
     /// Reports of the last change that are still to be sent.
-    pub reports_due: u8,
+    pub due_reports: u8,
     /// When usage was last reported to a holder.
     told: Option<Instant>,
     idle: Vec<IdleConnection>,
@@ -94,12 +94,12 @@
             others_in_flight: 0,
             others_tokens: 0,
             others_unread_tokens: 0,
-            others_told: None,
-            load_told: None,
+            others_reported_at: None,
+            reported_load_time: None,
             heard: None,
             busy_since: None,
             uses: HashMap::new(),
-            reports_due: 0,
+            due_reports: 0,
             told: None,
             idle: Vec::new(),
         }
@@ -107,9 +107,9 @@
 
     /// Creates the link to a new incarnation of a target. A report is due, so that the holder does not go on counting
     /// the requests of the previous incarnation.
-    pub fn new_start(view: Arc<TargetView>) -> Self {
+    pub fn new_incarnation(view: Arc<TargetView>) -> Self {
         Self {
-            reports_due: REPORTS,
+            due_reports: REPORTS,
             ..Self::new(view)
         }
     }
@@ -157,7 +157,7 @@
         self.in_flight += 1;
         self.tokens += tokens.all;
         self.unread_tokens += tokens.prompt;
-        self.reports_due = REPORTS;
+        self.due_reports = REPORTS;
         if let Some(adapter) = adapter {
             let count = match self.uses.get_mut(adapter) {
                 Some(count) => count,
@@ -174,7 +174,7 @@
         tokens: RequestTokens,
     ) {
         self.unread_tokens = self.unread_tokens.saturating_sub(tokens.prompt);
-        self.reports_due = REPORTS;
+        self.due_reports = REPORTS;
     }
 
     /// Uncounts a request that has ended.
@@ -185,14 +185,14 @@
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(tokens.all);
-        self.reports_due = REPORTS;
+        self.due_reports = REPORTS;
         if let Some(count) = adapter.and_then(|adapter| self.uses.get_mut(adapter)) {
             count.in_flight = count.in_flight.saturating_sub(1);
         }
     }
 
     /// Returns true if `view` is of the same incarnation of the target.
-    pub fn is_same_start(
+    pub fn is_same_incarnation(
         &self,
         view: &TargetView,
     ) -> bool {
@@ -205,28 +205,28 @@
         view: Arc<TargetView>,
     ) {
         if view.holder != self.view.holder {
-            self.reports_due = REPORTS;
+            self.due_reports = REPORTS;
         }
         self.view = view;
     }
 
     /// Takes a due report: returns true if usage must be reported to the holder now, which is after a change and
     /// periodically while requests run, as a restarted holder has lost earlier reports.
-    pub fn takes_report(
+    pub fn take_due_report(
         &mut self,
         now: Instant,
     ) -> bool {
         let since = |told| now.saturating_duration_since(told);
         let old = self.told.is_none_or(|told| since(told) >= REPORT_AGAIN);
-        if self.reports_due == 0 && !(old && self.in_flight > 0) {
+        if self.due_reports == 0 && !(old && self.in_flight > 0) {
             return false;
         }
-        self.reports_due = self.reports_due.saturating_sub(1);
+        self.due_reports = self.due_reports.saturating_sub(1);
         true
     }
 
     /// Records that usage was reported to a holder.
-    pub fn on_told(
+    pub fn on_reported(
         &mut self,
         now: Instant,
     ) {
@@ -239,7 +239,7 @@
         time: Duration,
         now: Instant,
     ) {
-        self.load_told = Some((time, now));
+        self.reported_load_time = Some((time, now));
     }
 
     /// Returns the time that an adapter load takes, if it was reported recently.
@@ -248,17 +248,17 @@
         now: Instant,
     ) -> Option<Duration> {
         let is_fresh = |told: Instant| now.saturating_duration_since(told) < LOAD_TIME_FRESH;
-        self.load_told
+        self.reported_load_time
             .filter(|(_, told)| is_fresh(*told))
             .map(|(time, _)| time)
     }
 
     /// Returns true if the holder has reported the load of other hosts since then.
-    pub fn told_since(
+    pub fn has_report_since(
         &self,
         since: Instant,
     ) -> bool {
-        self.others_told.is_some_and(|told| told >= since)
+        self.others_reported_at.is_some_and(|told| told >= since)
     }
 
     /// Returns true if requests run there and no data has come for `time`.
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -267,9 +267,9 @@
         if Arc::ptr_eq(&link.view, target) {
             return false;
         }
-        if !link.is_same_start(target) {
+        if !link.is_same_incarnation(target) {
             // Adapters, connections, loads and failures belong to the previous incarnation.
-            *link = TargetLink::new_start(target.clone());
+            *link = TargetLink::new_incarnation(target.clone());
             self.adapters.forget_target(id);
             self.adapters.assume_held(id, &target.record.models);
             return true;
@@ -312,7 +312,7 @@
             link.others_in_flight = load.in_flight;
             link.others_tokens = u64::from(load.tokens);
             link.others_unread_tokens = u64::from(load.unread_tokens);
-            link.others_told = Some(now);
+            link.others_reported_at = Some(now);
         }
     }
 
@@ -336,7 +336,7 @@
         now: Instant,
     ) {
         for (id, link) in &mut self.links {
-            if link.takes_report(now) {
+            if link.take_due_report(now) {
                 report(&self.control, id, link, now);
             }
         }
@@ -373,7 +373,7 @@
     let Some(holder) = link.view.holder else {
         return;
     };
-    link.on_told(now);
+    link.on_reported(now);
     let mut adapters = Vec::new();
     for (adapter, count) in &mut link.uses {
         adapters.push(AdapterUsage {
