--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -8,25 +8,25 @@
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Lifetime of an idle connection when the target announces no keep-alive timeout.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Maximum idle connections to one target.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A target with requests in flight that sends nothing for this long counts as silent.
-const SILENCE: Duration = Duration::from_millis(1200);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Backoff of a silent target.
-const SILENCE_PAUSE: Duration = Duration::from_millis(200);
+const SILENCE_BACKOFF: Duration = Duration::from_millis(200);
 
 /// How long a reported load time is used: the queue at the weight store changes quickly.
-const LOAD_TIME_FRESH: Duration = Duration::from_millis(400);
+const LOAD_TIME_TTL: Duration = Duration::from_millis(400);
 
 /// Number of reports sent to the holder after a change of usage, as reports may be lost.
-const REPORTS: u8 = 2;
+const REPORTS_PER_CHANGE: u8 = 2;
 
 /// Maximum time between reports to the holder while requests run.
-const REPORT_AGAIN: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An idle connection and when it expires.
 #[derive(Debug)]
@@ -79,7 +79,7 @@
     /// Reports of the last change that are still to be sent.
     pub due_reports: u8,
     /// When usage was last reported to a holder.
-    told: Option<Instant>,
+    reported_at: Option<Instant>,
     idle: Vec<IdleConnection>,
 }
 
@@ -100,7 +100,7 @@
             busy_since: None,
             uses: HashMap::new(),
             due_reports: 0,
-            told: None,
+            reported_at: None,
             idle: Vec::new(),
         }
     }
@@ -109,7 +109,7 @@
     /// the requests of the previous incarnation.
     pub fn new_incarnation(view: Arc<TargetView>) -> Self {
         Self {
-            due_reports: REPORTS,
+            due_reports: REPORTS_PER_CHANGE,
             ..Self::new(view)
         }
     }
@@ -134,8 +134,10 @@
         idle_limit: Option<Duration>,
         now: Instant,
     ) {
-        let limit = idle_limit.map_or(IDLE_DEFAULT, |limit| limit.saturating_sub(IDLE_MARGIN));
-        if limit.is_zero() || self.idle.len() >= MAX_IDLE {
+        let limit = idle_limit.map_or(DEFAULT_IDLE_TIMEOUT, |limit| {
+            limit.saturating_sub(IDLE_MARGIN)
+        });
+        if limit.is_zero() || self.idle.len() >= MAX_IDLE_CONNECTIONS {
             return;
         }
         connection.rest();
@@ -157,7 +159,7 @@
         self.in_flight += 1;
         self.tokens += tokens.all;
         self.unread_tokens += tokens.prompt;
-        self.due_reports = REPORTS;
+        self.due_reports = REPORTS_PER_CHANGE;
         if let Some(adapter) = adapter {
             let count = match self.uses.get_mut(adapter) {
                 Some(count) => count,
@@ -174,7 +176,7 @@
         tokens: RequestTokens,
     ) {
         self.unread_tokens = self.unread_tokens.saturating_sub(tokens.prompt);
-        self.due_reports = REPORTS;
+        self.due_reports = REPORTS_PER_CHANGE;
     }
 
     /// Uncounts a request that has ended.
@@ -185,7 +187,7 @@
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(tokens.all);
-        self.due_reports = REPORTS;
+        self.due_reports = REPORTS_PER_CHANGE;
         if let Some(count) = adapter.and_then(|adapter| self.uses.get_mut(adapter)) {
             count.in_flight = count.in_flight.saturating_sub(1);
         }
@@ -205,7 +207,7 @@
         view: Arc<TargetView>,
     ) {
         if view.holder != self.view.holder {
-            self.due_reports = REPORTS;
+            self.due_reports = REPORTS_PER_CHANGE;
         }
         self.view = view;
     }
@@ -216,8 +218,10 @@
         &mut self,
         now: Instant,
     ) -> bool {
-        let since = |told| now.saturating_duration_since(told);
-        let old = self.told.is_none_or(|told| since(told) >= REPORT_AGAIN);
+        let elapsed = |reported_at| now.saturating_duration_since(reported_at);
+        let old = self
+            .reported_at
+            .is_none_or(|reported_at| elapsed(reported_at) >= REPORT_INTERVAL);
         if self.due_reports == 0 && !(old && self.in_flight > 0) {
             return false;
         }
@@ -230,7 +234,7 @@
         &mut self,
         now: Instant,
     ) {
-        self.told = Some(now);
+        self.reported_at = Some(now);
     }
 
     /// Records the load time that the holder reported.
@@ -247,18 +251,20 @@
         &self,
         now: Instant,
     ) -> Option<Duration> {
-        let is_fresh = |told: Instant| now.saturating_duration_since(told) < LOAD_TIME_FRESH;
+        let is_fresh =
+            |reported_at: Instant| now.saturating_duration_since(reported_at) < LOAD_TIME_TTL;
         self.reported_load_time
-            .filter(|(_, told)| is_fresh(*told))
+            .filter(|(_, reported_at)| is_fresh(*reported_at))
             .map(|(time, _)| time)
     }
 
     /// Returns true if the holder has reported the load of other hosts since then.
     pub fn has_report_since(
         &self,
-        since: Instant,
+        elapsed: Instant,
     ) -> bool {
-        self.others_reported_at.is_some_and(|told| told >= since)
+        self.others_reported_at
+            .is_some_and(|reported_at| reported_at >= elapsed)
     }
 
     /// Returns true if requests run there and no data has come for `time`.
@@ -267,9 +273,10 @@
         time: Duration,
         now: Instant,
     ) -> bool {
-        let since = self.heard.max(self.busy_since);
-        let quiet = since.is_some_and(|since| now.saturating_duration_since(since) >= time);
-        self.in_flight > 0 && quiet
+        let elapsed = self.heard.max(self.busy_since);
+        let is_silent_since =
+            elapsed.is_some_and(|elapsed| now.saturating_duration_since(elapsed) >= time);
+        self.in_flight > 0 && is_silent_since
     }
 
     /// Returns the remaining backoff of the target after failures or while it is silent, zero if there is none.
@@ -278,8 +285,8 @@
         now: Instant,
     ) -> Duration {
         let after_failures = self.health.avoided_for(now);
-        match self.is_silent(SILENCE, now) {
-            true => after_failures.max(SILENCE_PAUSE),
+        match self.is_silent(SILENCE_TIMEOUT, now) {
+            true => after_failures.max(SILENCE_BACKOFF),
             false => after_failures,
         }
     }
