--- a/src/connection/front/admission/place_gate.rs
+++ b/src/connection/front/admission/place_gate.rs
@@ -107,7 +107,8 @@
     now: Instant,
 ) -> Vec<String> {
     let targets = board.targets_of(service).iter();
-    let avoided = targets.filter(|target| !board.links[&target.id].avoided_for(now).is_zero());
+    let avoided =
+        targets.filter(|target| !board.links[&target.id].remaining_backoff(now).is_zero());
     let mut passed: Vec<String> = avoided.map(|target| target.id.to_string()).collect();
     if passed.len() == board.targets_of(service).len() {
         passed.clear();
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -110,7 +110,7 @@
                     in_flight: link.in_flight,
                     slots: link.view.record.slots,
                     near: link.view.record.hall == self.hall,
-                    avoided_for: link.avoided_for(now),
+                    avoided_for: link.remaining_backoff(now),
                     tried: tries.has_tried(&target.id),
                     openness: board.availability(&target.id, now),
                 }
--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -218,7 +218,7 @@
     fn was_heard(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.run.0);
-        link.and_then(|link| link.heard)
+        link.and_then(|link| link.last_received)
             .is_some_and(|at| at > self.lost)
     }
 }
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -75,7 +75,7 @@
             crowd: tokens as f64 / (self.mean_tokens + (prompt + answer) as f64).max(1.0),
             near: link.view.record.hall == self.hall,
             unknown: self.is_unknown(board, link),
-            avoided: !link.avoided_for(self.now).is_zero(),
+            avoided: !link.remaining_backoff(self.now).is_zero(),
             has_holder: link.view.holder.is_some(),
             tried: tries.has_tried(target),
             openness: board.availability(target, self.now),
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -120,7 +120,7 @@
 
     /// Something came from the target.
     fn on_heard(&self) {
-        self.with_link(|link| link.heard = Some(Instant::now()));
+        self.with_link(|link| link.last_received = Some(Instant::now()));
     }
 
     /// The head of the answer to a request that was sent at `sent` has come.
--- a/src/connection/targets/target_health.rs
+++ b/src/connection/targets/target_health.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the remaining backoff, zero if there is none.
-    pub fn avoided_for(
+    pub fn remaining_backoff(
         &self,
         now: Instant,
     ) -> Duration {
--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -71,11 +71,11 @@
     /// Time that an adapter load takes, and when the holder reported it.
     reported_load_time: Option<(Duration, Instant)>,
     /// When data last came from the target.
-    pub heard: Option<Instant>,
+    pub last_received: Option<Instant>,
     /// Lower bound of the send time of the oldest request that runs there: when the target last became busy.
     busy_since: Option<Instant>,
     /// Usage by adapter, for reports to the holder.
-    pub uses: HashMap<String, AdapterUseCount>,
+    pub adapter_usage: HashMap<String, AdapterUseCount>,
     /// Reports of the last change that are still to be sent.
     pub due_reports: u8,
     /// When usage was last reported to a holder.
@@ -96,9 +96,9 @@
             others_unread_tokens: 0,
             others_reported_at: None,
             reported_load_time: None,
-            heard: None,
+            last_received: None,
             busy_since: None,
-            uses: HashMap::new(),
+            adapter_usage: HashMap::new(),
             due_reports: 0,
             reported_at: None,
             idle: Vec::new(),
@@ -161,9 +161,9 @@
         self.unread_tokens += tokens.prompt;
         self.due_reports = REPORTS_PER_CHANGE;
         if let Some(adapter) = adapter {
-            let count = match self.uses.get_mut(adapter) {
+            let count = match self.adapter_usage.get_mut(adapter) {
                 Some(count) => count,
-                None => self.uses.entry(adapter.to_string()).or_default(),
+                None => self.adapter_usage.entry(adapter.to_string()).or_default(),
             };
             count.in_flight += 1;
             count.started += 1;
@@ -188,7 +188,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(tokens.all);
         self.due_reports = REPORTS_PER_CHANGE;
-        if let Some(count) = adapter.and_then(|adapter| self.uses.get_mut(adapter)) {
+        if let Some(count) = adapter.and_then(|adapter| self.adapter_usage.get_mut(adapter)) {
             count.in_flight = count.in_flight.saturating_sub(1);
         }
     }
@@ -273,18 +273,18 @@
         time: Duration,
         now: Instant,
     ) -> bool {
-        let elapsed = self.heard.max(self.busy_since);
+        let elapsed = self.last_received.max(self.busy_since);
         let is_silent_since =
             elapsed.is_some_and(|elapsed| now.saturating_duration_since(elapsed) >= time);
         self.in_flight > 0 && is_silent_since
     }
 
     /// Returns the remaining backoff of the target after failures or while it is silent, zero if there is none.
-    pub fn avoided_for(
+    pub fn remaining_backoff(
         &self,
         now: Instant,
     ) -> Duration {
-        let after_failures = self.health.avoided_for(now);
+        let after_failures = self.health.remaining_backoff(now);
         match self.is_silent(SILENCE_TIMEOUT, now) {
             true => after_failures.max(SILENCE_BACKOFF),
             false => after_failures,
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -375,7 +375,7 @@
     };
     link.on_reported(now);
     let mut adapters = Vec::new();
-    for (adapter, count) in &mut link.uses {
+    for (adapter, count) in &mut link.adapter_usage {
         adapters.push(AdapterUsage {
             adapter: adapter.clone(),
             in_flight: count.in_flight,
@@ -384,7 +384,7 @@
         count.started = 0;
     }
     adapters.truncate(MAX_USES);
-    link.uses.retain(|_, count| count.in_flight > 0);
+    link.adapter_usage.retain(|_, count| count.in_flight > 0);
     let usage = Usage {
         target: target.to_string(),
         adapters,
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -326,7 +326,7 @@
     world.board.set_view(started(2, &["a1"]));
     let link = &world.board.links[ENGINE];
     assert_eq!(link.running(), 0);
-    assert_eq!(link.avoided_for(world.now), Duration::ZERO);
+    assert_eq!(link.remaining_backoff(world.now), Duration::ZERO);
     assert!(world.board.adapters.get("m0/a1", ENGINE).is_some());
     assert!(world.board.adapters.get("m0/a2", ENGINE).is_none());
     let reports = world.reports(1);
