--- a/src/connection/targets/target_health.rs
+++ b/src/connection/targets/target_health.rs
@@ -1,22 +1,22 @@
 use {crate::clock::Instant, std::time::Duration};
 
 /// Backoff after the first failure; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-const MOST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Exponential backoff of a target after failed sends.
 #[derive(Debug, Clone, Default)]
 pub struct TargetHealth {
     failures: u32,
-    avoid_until: Option<Instant>,
+    backoff_until: Option<Instant>,
 }
 
 impl TargetHealth {
     /// Records that a send got an answer.
     pub fn on_success(&mut self) {
         self.failures = 0;
-        self.avoid_until = None;
+        self.backoff_until = None;
     }
 
     /// Records that a send could not connect or got no answer.
@@ -24,9 +24,9 @@
         &mut self,
         now: Instant,
     ) {
-        let pause = FIRST_PAUSE * 2u32.saturating_pow(self.failures.min(8));
+        let backoff = INITIAL_BACKOFF * 2u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
-        self.avoid_until = Some(now + pause.min(MOST_PAUSE));
+        self.backoff_until = Some(now + backoff.min(MAX_BACKOFF));
     }
 
     /// Returns the remaining backoff, zero if there is none.
@@ -34,7 +34,7 @@
         &self,
         now: Instant,
     ) -> Duration {
-        let until = self.avoid_until.unwrap_or(now);
+        let until = self.backoff_until.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 }
