--- a/src/connection/targets/adapter_map.rs
+++ b/src/connection/targets/adapter_map.rs
@@ -7,13 +7,13 @@
 };
 
 /// Time after which an unanswered request to a holder is sent again.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Unanswered requests after which the holder counts as unresponsive.
-const MAX_ASKS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Time for which the engine of an unresponsive holder is skipped.
-const SILENT_PAUSE: Duration = Duration::from_millis(1500);
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_millis(1500);
 
 /// An adapter's copy at one engine, as last reported by the engine's holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,8 +25,8 @@
     pub older: Option<u64>,
     /// Requests for it that recently started there, through all hosts, as last reported.
     pub uses: u32,
-    asked: Option<Instant>,
-    asks: u32,
+    requested_at: Option<Instant>,
+    attempts: u32,
 }
 
 impl AdapterCopy {
@@ -59,7 +59,7 @@
     }
 
     /// Returns the number of engines whose state for the adapter is known.
-    pub fn known(
+    pub fn known_engines(
         &self,
         adapter: &str,
     ) -> usize {
@@ -82,14 +82,14 @@
             state,
             older: held.filter(|held| is_full && *held < version),
             uses,
-            asked: None,
-            asks: 0,
+            requested_at: None,
+            attempts: 0,
         };
         self.entry(adapter).insert(target.to_string(), copy);
     }
 
     /// Records that an engine has unloaded an adapter; the engine remembers up to `remembered` unloaded adapters.
-    pub fn set_gone(
+    pub fn set_unloaded(
         &mut self,
         adapter: &str,
         target: &str,
@@ -105,7 +105,7 @@
         }
         copy.state = CopyState::Remembered;
         let order = self.remembered.entry(target.to_string()).or_default();
-        order.retain(|known| known != adapter);
+        order.retain(|known_engines| known_engines != adapter);
         order.push_back(adapter.to_string());
         let dropped = match order.len() > remembered {
             true => order.pop_front(),
@@ -144,7 +144,7 @@
 
     /// Records a request to the holder for an adapter; returns false if the request must not be sent now, because
     /// one is outstanding or the holder is unresponsive.
-    pub fn ask(
+    pub fn try_request(
         &mut self,
         adapter: &str,
         target: &str,
@@ -158,26 +158,27 @@
                 state: CopyState::Asked,
                 older: None,
                 uses: 0,
-                asked: None,
-                asks: 0,
+                requested_at: None,
+                attempts: 0,
             });
-        let recent = |asked: Instant| now.saturating_duration_since(asked) < ASK_AGAIN;
-        if copy.asked.is_some_and(recent) {
+        let recent =
+            |requested_at: Instant| now.saturating_duration_since(requested_at) < RETRY_INTERVAL;
+        if copy.requested_at.is_some_and(recent) {
             return false;
         }
-        if copy.asks >= MAX_ASKS {
-            let until = now + SILENT_PAUSE;
+        if copy.attempts >= MAX_ATTEMPTS {
+            let until = now + UNRESPONSIVE_BACKOFF;
             copy.state = CopyState::Full { until };
-            copy.asks = 0;
-            copy.asked = None;
+            copy.attempts = 0;
+            copy.requested_at = None;
             return false;
         }
         if !matches!(copy.state, CopyState::Coming { .. }) {
             copy.older = copy.held();
             copy.state = CopyState::Asked;
         }
-        copy.asked = Some(now);
-        copy.asks += 1;
+        copy.requested_at = Some(now);
+        copy.attempts += 1;
         true
     }
 
