--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -59,7 +59,7 @@
     if !board.is_large_site() {
         return board.placement_order(service, adapter, SETTLING_PLACES, now);
     }
-    let places = SETTLING_PLACES + board.adapters.known(adapter);
+    let places = SETTLING_PLACES + board.adapters.known_engines(adapter);
     let order = board.placement_order(service, adapter, places, now);
     let copy = |at: &usize| board.adapters.get(adapter, &order[*at]);
     let state = |at: &usize| copy(at).map(|copy| copy.state);
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -115,7 +115,7 @@
         let slots = service
             .and_then(|service| service.engine.as_ref())
             .map_or(0, |engine| engine.adapter_slots);
-        self.adapters.set_gone(
+        self.adapters.set_unloaded(
             &placement.adapter,
             &placement.target,
             slots * REMEMBERED_PER_SLOT,
@@ -139,7 +139,7 @@
         let Some(holder) = holder else {
             return false;
         };
-        if !self.adapters.ask(adapter, target, now) {
+        if !self.adapters.try_request(adapter, target, now) {
             return false;
         }
         let (waiting, priority) = self
