--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -303,10 +303,10 @@
     ask: &AdapterRequest,
     now: Instant,
 ) {
-    if board.ask(ask, now) {
+    if board.request_adapter(ask, now) {
         let step = TraceStep::Asks {
             target: ask.target.into(),
-            spare: ask.spare,
+            spare: request.spare,
         };
         tries.trace.add(step, now);
     }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -552,7 +552,7 @@
         let copy = board.adapters.get(adapter, &destination.target);
         let coming = copy.is_some_and(|copy| matches!(copy.state, CopyState::Coming { .. }));
         if !coming {
-            board.on_missing(adapter, &destination.target);
+            board.on_adapter_missing(adapter, &destination.target);
         }
     }
 
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -127,14 +127,14 @@
 
     /// Requests an adapter from the holder of an engine; returns false if no request was sent, because there is no
     /// holder or a request is outstanding.
-    pub fn ask(
+    pub fn request_adapter(
         &mut self,
-        ask: &AdapterRequest,
+        request: &AdapterRequest,
         now: Instant,
     ) -> bool {
         let AdapterRequest {
             adapter, target, ..
-        } = *ask;
+        } = *request;
         let holder = self.links.get(target).and_then(|link| link.view.holder);
         let Some(holder) = holder else {
             return false;
@@ -149,11 +149,11 @@
         let want = Want {
             target: target.to_string(),
             adapter: adapter.to_string(),
-            version: ask.version,
+            version: request.version,
             waiting,
             priority: u32::from(priority),
-            spare: ask.spare,
-            patience_ms: u32::try_from(ask.patience.as_millis()).unwrap_or(u32::MAX),
+            spare: request.spare,
+            patience_ms: u32::try_from(request.patience.as_millis()).unwrap_or(u32::MAX),
         };
         let _ = self
             .control
@@ -162,7 +162,7 @@
     }
 
     /// Handles an engine's answer that it does not hold an adapter.
-    pub fn on_missing(
+    pub fn on_adapter_missing(
         &mut self,
         adapter: &str,
         target: &str,
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -363,7 +363,7 @@
         spare: false,
         patience: ms(500),
     };
-    assert!(world.board.ask(&ask, world.now));
+    assert!(world.board.request_adapter(&ask, world.now));
     if let Some(answer) = answer {
         world.board.on_placement(&placement(answer), world.now);
     }
