--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -16,19 +16,19 @@
 const REMEMBERED_PER_SLOT: usize = 4;
 
 /// Time for which an engine without a free adapter slot is not asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(400);
+const FULL_BACKOFF: Duration = Duration::from_millis(400);
 
 impl TargetTable {
     /// Returns the engines that hold an adapter or should load it, in rendezvous-hash order, which is the same on
     /// every host.
     ///
-    /// At most `places` of them don't hold it. Engines that are limited or unavailable or have no base model, and on a
+    /// At most `count` of them don't hold it. Engines that are limited or unavailable or have no base model, and on a
     /// small site those without a holder, are skipped unless there are no others.
     pub fn placement_order(
         &self,
         service: &str,
         adapter: &str,
-        places: usize,
+        count: usize,
         now: Instant,
     ) -> Vec<Arc<str>> {
         let seed = xxh3_64(adapter.as_bytes());
@@ -38,20 +38,20 @@
             .map(|target| (xxh3_64_with_seed(&target.key.to_le_bytes(), seed), target))
             .collect();
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-        let may_load = |target: &ServiceTarget| {
+        let can_load = |target: &ServiceTarget| {
             let view = &self.links[&target.id].view;
             // A large site broadcasts no adapter states, so that engines without a holder are candidates too.
             let loads = view.holder.is_some() || self.is_large_site();
-            let in_need = self.availability(&target.id, now) != Openness::Open;
-            loads && !in_need && !view.record.is_empty
+            let is_limited = self.availability(&target.id, now) != Openness::Open;
+            loads && !is_limited && !view.record.is_empty
         };
-        let any_may = ranked.iter().any(|(_, target)| may_load(target));
-        let mut open = places;
+        let any_can_load = ranked.iter().any(|(_, target)| can_load(target));
+        let mut remaining = count;
         let mut order = Vec::new();
         for (_, target) in ranked {
-            let settles = open > 0 && (may_load(target) || !any_may);
-            open -= usize::from(settles);
-            if settles || self.adapters.get(adapter, &target.id).is_some() {
+            let is_preferred = remaining > 0 && (can_load(target) || !any_can_load);
+            remaining -= usize::from(is_preferred);
+            if is_preferred || self.adapters.get(adapter, &target.id).is_some() {
                 order.push(target.id.clone());
             }
         }
@@ -64,16 +64,16 @@
         placement: &Placement,
         now: Instant,
     ) {
-        self.note_load_time(placement, now);
+        self.record_load_time(placement, now);
         let state = match placement.state() {
             PlacementState::Ready => CopyState::Ready,
             PlacementState::Coming => CopyState::Coming {
                 due: now + Duration::from_millis(u64::from(placement.due_ms)),
             },
             PlacementState::Remembered => CopyState::Remembered,
-            PlacementState::Absent => return self.on_gone(placement),
+            PlacementState::Absent => return self.on_adapter_absent(placement),
             PlacementState::Full | PlacementState::NotHolder => CopyState::Full {
-                until: now + FULL_PAUSE,
+                until: now + FULL_BACKOFF,
             },
         };
         self.adapters.set(
@@ -89,7 +89,7 @@
     }
 
     /// Records the load time that a holder estimated for an adapter that is not loaded.
-    fn note_load_time(
+    fn record_load_time(
         &mut self,
         placement: &Placement,
         now: Instant,
@@ -106,7 +106,7 @@
     }
 
     /// Handles a holder's report that its engine does not hold an adapter.
-    fn on_gone(
+    fn on_adapter_absent(
         &mut self,
         placement: &Placement,
     ) {
