--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -1,7 +1,9 @@
 //! Adapter placement: preferred engines, and load requests to the holders of engines.
 
 use {
-    super::{AdapterRequest, ControlRequest, ServiceTarget, TargetTable, target_table::Waiting},
+    super::{
+        AdapterRequest, ControlRequest, ServiceTarget, TargetTable, target_table::AdapterWaiters,
+    },
     crate::{
         clock::Instant,
         connection::datagram::{Placement, PlacementState, Want},
@@ -180,11 +182,14 @@
         adapter: &str,
         priority: u8,
     ) -> Rc<Notify> {
-        let waiting = self.waiting.entry(adapter.to_string()).or_insert(Waiting {
-            count: 0,
-            priority,
-            news: Rc::default(),
-        });
+        let waiting = self
+            .waiting
+            .entry(adapter.to_string())
+            .or_insert(AdapterWaiters {
+                count: 0,
+                priority,
+                news: Rc::default(),
+            });
         waiting.count += 1;
         waiting.priority = waiting.priority.min(priority);
         waiting.news.clone()
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -47,7 +47,7 @@
     pub(super) prefill_throughputs: HashMap<String, PrefillThroughput>,
     pub(super) budgets: RepeatBudgets,
     /// Requests that wait for an adapter.
-    pub(super) waiting: HashMap<String, Waiting>,
+    pub(super) waiting: HashMap<String, AdapterWaiters>,
     /// Wakes requests that wait for an engine's status.
     pub(super) engine_status_updates: Rc<Notify>,
     /// Freshness of the table replicas behind the view.
@@ -74,7 +74,7 @@
 }
 
 /// The requests that wait for one adapter.
-pub(super) struct Waiting {
+pub(super) struct AdapterWaiters {
     pub(super) count: u32,
     pub(super) priority: u8,
     pub(super) news: Rc<Notify>,
