--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -86,7 +86,7 @@
             placement.uses,
         );
         if let Some(waiting) = self.waiting.get(&placement.adapter) {
-            waiting.news.notify_waiters();
+            waiting.updates.notify_waiters();
         }
     }
 
@@ -123,7 +123,7 @@
             slots * REMEMBERED_PER_SLOT,
         );
         if let Some(waiting) = self.waiting.get(&placement.adapter) {
-            waiting.news.notify_waiters();
+            waiting.updates.notify_waiters();
         }
     }
 
@@ -188,11 +188,11 @@
             .or_insert(AdapterWaiters {
                 count: 0,
                 priority,
-                news: Rc::default(),
+                updates: Rc::default(),
             });
         waiting.count += 1;
         waiting.priority = waiting.priority.min(priority);
-        waiting.news.clone()
+        waiting.updates.clone()
     }
 
     /// Unregisters a request that waited for an adapter.
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -77,7 +77,7 @@
 pub(super) struct AdapterWaiters {
     pub(super) count: u32,
     pub(super) priority: u8,
-    pub(super) news: Rc<Notify>,
+    pub(super) updates: Rc<Notify>,
 }
 
 impl TargetTable {
@@ -230,7 +230,7 @@
             self.group_by_service();
         }
         for waiting in self.waiting.values() {
-            waiting.news.notify_waiters();
+            waiting.updates.notify_waiters();
         }
     }
 
