--- a/src/connection/targets/staleness_monitor.rs
+++ b/src/connection/targets/staleness_monitor.rs
@@ -1,9 +1,9 @@
 use {crate::clock::Instant, std::time::Duration};
 
-const PERIOD: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Fraction of its bound above which a staleness is reported.
-const TOLD_SHARE: f64 = 0.6;
+const REPORT_THRESHOLD: f64 = 0.6;
 
 /// Maximum staleness of the table replicas that requests depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,8 +31,8 @@
         &self,
         bounds: &StalenessBounds,
     ) -> bool {
-        self.declared > bounds.declared.mul_f64(TOLD_SHARE)
-            || self.targets > bounds.targets.mul_f64(TOLD_SHARE)
+        self.declared > bounds.declared.mul_f64(REPORT_THRESHOLD)
+            || self.targets > bounds.targets.mul_f64(REPORT_THRESHOLD)
     }
 }
 
@@ -77,7 +77,7 @@
         &mut self,
         now: Instant,
     ) -> Option<MaxStaleness> {
-        if now.saturating_duration_since(self.since) < PERIOD {
+        if now.saturating_duration_since(self.since) < REPORT_INTERVAL {
             return None;
         }
         self.since = now;
