--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -11,10 +11,10 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-const TELL_PERIOD: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Units per repeat in messages: on a large site a host's share is less than one repeat.
-const PARTS: f64 = 1000.0;
+const UNITS_PER_REPEAT: f64 = 1000.0;
 
 /// This host's repeat budgets of all services.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     share_from: Instant,
     hosts: usize,
     services: BTreeMap<String, RepeatBudget>,
-    next_tell: Instant,
+    next_report: Instant,
 }
 
 impl RepeatBudgets {
@@ -43,7 +43,7 @@
             share_from: now + terms.share_after(settings.first_start),
             hosts: 0,
             services: BTreeMap::new(),
-            next_tell: now + TELL_PERIOD,
+            next_report: now + REPORT_INTERVAL,
         }
     }
 
@@ -86,11 +86,11 @@
         let ask = |id| LoanAsk {
             service: service.to_string(),
             id,
-            amount: (amount * PARTS).ceil() as u32,
+            amount: (amount * UNITS_PER_REPEAT).ceil() as u32,
         };
-        let asks: Vec<LoanAsk> = ids.into_iter().map(ask).collect();
-        count_loans("asked", asks.len());
-        asks
+        let requests: Vec<LoanAsk> = ids.into_iter().map(ask).collect();
+        count_loans("asked", requests.len());
+        requests
     }
 
     /// Grants another host's loan request; returns `None` if there is nothing to lend.
@@ -101,8 +101,8 @@
     ) -> Option<Loan> {
         let lent = self
             .of(&ask.service)
-            .lend(f64::from(ask.amount) / PARTS, now);
-        let amount = (lent * PARTS).floor() as u32;
+            .lend(f64::from(ask.amount) / UNITS_PER_REPEAT, now);
+        let amount = (lent * UNITS_PER_REPEAT).floor() as u32;
         if amount == 0 {
             return None;
         }
@@ -123,30 +123,30 @@
         let Some(budget) = self.services.get_mut(&loan.service) else {
             return;
         };
-        let in_time = budget.on_loan(loan.id, f64::from(loan.amount) / PARTS, now);
+        let in_time = budget.on_loan(loan.id, f64::from(loan.amount) / UNITS_PER_REPEAT, now);
         count_loans(if in_time { "borrowed" } else { "late" }, 1);
     }
 
     /// Logs the budgets that were used and updates their metrics, once per interval.
-    pub fn tell(
+    pub fn report(
         &mut self,
         now: Instant,
     ) {
-        if now < self.next_tell {
+        if now < self.next_report {
             return;
         }
-        self.next_tell = now + TELL_PERIOD;
+        self.next_report = now + REPORT_INTERVAL;
         let mut sum = RepeatUsage::default();
         for (service, budget) in &mut self.services {
             let usage = budget.take_usage(now);
-            tell_usage(service, &usage);
+            log_usage(service, &usage);
             sum.add(&usage);
         }
-        set_figures(self.hosts, &sum);
+        update_metrics(self.hosts, &sum);
     }
 }
 
-fn tell_usage(
+fn log_usage(
     service: &str,
     usage: &RepeatUsage,
 ) {
@@ -168,10 +168,10 @@
 }
 
 fn thousandths(amount: f64) -> f64 {
-    (amount * PARTS).round() / PARTS
+    (amount * UNITS_PER_REPEAT).round() / UNITS_PER_REPEAT
 }
 
-fn set_figures(
+fn update_metrics(
     hosts: usize,
     sum: &RepeatUsage,
 ) {
