--- a/src/connection/targets/table_counting.rs
+++ b/src/connection/targets/table_counting.rs
@@ -103,7 +103,7 @@
         for service in self.budgets.services() {
             self.request_loans(&service, now);
         }
-        self.budgets.tell(now);
+        self.budgets.report(now);
     }
 
     /// Handles another host's loan of repeat budget.
