--- a/src/connection/targets/adapter_demand.rs
+++ b/src/connection/targets/adapter_demand.rs
@@ -10,7 +10,7 @@
 const MAX_ADAPTERS: usize = 4096;
 
 /// Counts below this are evicted when the table is full.
-const QUIET: f64 = 0.25;
+const MIN_RETAINED_COUNT: f64 = 0.25;
 
 #[derive(Debug, Clone, Copy)]
 struct Count {
@@ -32,7 +32,8 @@
         now: Instant,
     ) {
         if self.counts.len() >= MAX_ADAPTERS {
-            self.counts.retain(|_, count| decayed(count, now) >= QUIET);
+            self.counts
+                .retain(|_, count| decayed(count, now) >= MIN_RETAINED_COUNT);
         }
         let requests = self.recent(adapter, now) + 1.0;
         let count = Count { requests, at: now };
