--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -379,7 +379,7 @@
     now: Instant,
 ) -> Duration {
     // One request here tells nothing of the other hosts; several do.
-    let here = (board.demand.recent(adapter, now) - 1.0).max(0.0);
+    let here = (board.demand.recent_requests(adapter, now) - 1.0).max(0.0);
     let told = f64::from(board.adapters.uses(adapter));
     if !board.policy().shares_copy_price {
         return COPY_PRICE;
--- a/src/connection/targets/adapter_demand.rs
+++ b/src/connection/targets/adapter_demand.rs
@@ -35,7 +35,7 @@
             self.counts
                 .retain(|_, count| decayed(count, now) >= MIN_RETAINED_COUNT);
         }
-        let requests = self.recent(adapter, now) + 1.0;
+        let requests = self.recent_requests(adapter, now) + 1.0;
         let count = Count { requests, at: now };
         match self.counts.get_mut(adapter) {
             Some(known) => *known = count,
@@ -46,7 +46,7 @@
     }
 
     /// Returns the decayed number of recent requests for an adapter.
-    pub fn recent(
+    pub fn recent_requests(
         &self,
         adapter: &str,
         now: Instant,
