--- a/src/connection/targets/fleet_view.rs
+++ b/src/connection/targets/fleet_view.rs
@@ -25,7 +25,7 @@
     pub versions: Arc<HashMap<String, VersionHistory>>,
     /// By hash slot, the hosts that count customers' usage and allocate concurrency slots of plain targets; empty if
     /// no customer has a limit.
-    pub slot_holders: Vec<Option<SocketAddr>>,
+    pub hash_slot_holders: Vec<Option<SocketAddr>>,
     /// Reachable hosts, including this one.
     pub hosts: usize,
     /// Recently known hosts, including unreachable ones.
--- a/src/connection/targets/table_counting.rs
+++ b/src/connection/targets/table_counting.rs
@@ -72,7 +72,7 @@
         &self,
         slot: usize,
     ) -> Option<SocketAddr> {
-        let holder = self.view.slot_holders.get(slot);
+        let holder = self.view.hash_slot_holders.get(slot);
         holder.copied().flatten()
     }
 
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -516,7 +516,7 @@
             routing: self.routing.clone(),
             targets: targets.collect(),
             versions: self.versions.clone(),
-            slot_holders: self.slot_holders(&holders),
+            hash_slot_holders: self.slot_holders(&holders),
             hosts: self.hosts.up_count(),
             known_hosts: self.hosts.known_count(),
             freshness: self.told_confirmation,
