--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -143,9 +143,11 @@
     /// Reports to the control thread whether a request crashed targets.
     pub fn report_poison(
         &self,
-        report: PoisonReport,
+        report_usage_to_holder: PoisonReport,
     ) {
-        let _ = self.control.send(ControlRequest::ReportPoison(report));
+        let _ = self
+            .control
+            .send(ControlRequest::ReportPoison(report_usage_to_holder));
     }
 
     /// Queries an engine's status from its holder; returns false if it has none.
@@ -201,7 +203,7 @@
     }
 
     /// Returns the mean running tokens of these engines.
-    pub fn mean_tokens<'a>(
+    pub fn mean_running_tokens<'a>(
         &self,
         targets: impl Iterator<Item = &'a Arc<str>>,
     ) -> f64 {
@@ -337,7 +339,7 @@
     ) {
         for (id, link) in &mut self.links {
             if link.take_due_report(now) {
-                report(&self.control, id, link, now);
+                report_usage_to_holder(&self.control, id, link, now);
             }
         }
     }
@@ -358,13 +360,13 @@
         };
         link.start(adapter, tokens);
         if tells_at_once {
-            report(&self.control, target, link, Instant::now());
+            report_usage_to_holder(&self.control, target, link, Instant::now());
         }
     }
 }
 
 /// Reports this host's usage of an engine to its holder.
-fn report(
+fn report_usage_to_holder(
     control: &flume::Sender<ControlRequest>,
     target: &str,
     link: &mut TargetLink,
