--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -306,7 +306,7 @@
     if board.request_adapter(ask, now) {
         let step = TraceStep::Asks {
             target: ask.target.into(),
-            spare: request.spare,
+            spare: ask.spare,
         };
         tries.trace.add(step, now);
     }
--- a/src/connection/front/engine_outlook.rs
+++ b/src/connection/front/engine_outlook.rs
@@ -19,7 +19,7 @@
     speed: PrefillThroughput,
     policy: Policy,
     /// Tokens that run at an engine of the service, in the mean.
-    mean_running_tokens: f64,
+    mean_tokens: f64,
     /// The hall of this host.
     hall: &'a str,
     now: Instant,
@@ -34,7 +34,7 @@
         now: Instant,
     ) -> Self {
         let service = &request.service.name;
-        let mean_running_tokens = match board.is_large_site() {
+        let mean_tokens = match board.is_large_site() {
             // Of other engines too little is known.
             true => board.mean_running_tokens(targets.iter()),
             false => board.mean_running_tokens(board.engines_of(service).iter()),
@@ -42,7 +42,7 @@
         Self {
             speed: *board.prefill_throughput(service),
             policy: board.policy(),
-            mean_running_tokens,
+            mean_tokens,
             hall,
             now,
         }
@@ -72,7 +72,7 @@
             load: link.load_time(self.now).unwrap_or(USUAL_LOAD),
             memory: tokens as f64 / memory as f64,
             batch: f64::from(link.running() + 1) / f64::from(link.view.record.slots.max(1)),
-            crowd: tokens as f64 / (self.mean_running_tokens + (prompt + answer) as f64).max(1.0),
+            crowd: tokens as f64 / (self.mean_tokens + (prompt + answer) as f64).max(1.0),
             near: link.view.record.hall == self.hall,
             unknown: self.is_unknown(board, link),
             avoided: !link.remaining_backoff(self.now).is_zero(),
--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -261,10 +261,10 @@
     /// Returns true if the holder has reported the load of other hosts since then.
     pub fn has_report_since(
         &self,
-        elapsed: Instant,
+        since: Instant,
     ) -> bool {
         self.others_reported_at
-            .is_some_and(|reported_at| reported_at >= elapsed)
+            .is_some_and(|reported_at| reported_at >= since)
     }
 
     /// Returns true if requests run there and no data has come for `time`.
@@ -273,10 +273,10 @@
         time: Duration,
         now: Instant,
     ) -> bool {
-        let elapsed = self.last_received.max(self.busy_since);
-        let is_silent_since =
-            elapsed.is_some_and(|elapsed| now.saturating_duration_since(elapsed) >= time);
-        self.in_flight > 0 && is_silent_since
+        let since = self.last_received.max(self.busy_since);
+        let has_been_silent =
+            since.is_some_and(|since| now.saturating_duration_since(since) >= time);
+        self.in_flight > 0 && has_been_silent
     }
 
     /// Returns the remaining backoff of the target after failures or while it is silent, zero if there is none.
