--- a/src/connection/targets/adapter_demand.rs
+++ b/src/connection/targets/adapter_demand.rs
@@ -33,19 +33,19 @@
     ) {
         if self.counts.len() >= MAX_ADAPTERS {
             self.counts
-                .retain(|_, count| decayed(count, now) >= MIN_RETAINED_COUNT);
+                .retain(|_, count| decayed_count(count, now) >= MIN_RETAINED_COUNT);
         }
         let requests = self.recent_requests(adapter, now) + 1.0;
         let count = Count { requests, at: now };
         match self.counts.get_mut(adapter) {
-            Some(known) => *known = count,
+            Some(previous) => *previous = count,
             None => {
                 self.counts.insert(adapter.to_string(), count);
             }
         }
     }
 
-    /// Returns the decayed number of recent requests for an adapter.
+    /// Returns the decayed_count number of recent requests for an adapter.
     pub fn recent_requests(
         &self,
         adapter: &str,
@@ -53,14 +53,14 @@
     ) -> f64 {
         self.counts
             .get(adapter)
-            .map_or(0.0, |count| decayed(count, now))
+            .map_or(0.0, |count| decayed_count(count, now))
     }
 }
 
-fn decayed(
+fn decayed_count(
     count: &Count,
     now: Instant,
 ) -> f64 {
-    let passed = now.saturating_duration_since(count.at).as_secs_f64();
-    count.requests * 0.5f64.powf(passed / HALF_LIFE.as_secs_f64())
+    let elapsed = now.saturating_duration_since(count.at).as_secs_f64();
+    count.requests * 0.5f64.powf(elapsed / HALF_LIFE.as_secs_f64())
 }
--- a/src/connection/targets/adapter_map.rs
+++ b/src/connection/targets/adapter_map.rs
@@ -22,7 +22,7 @@
     pub state: CopyState,
     /// The older version that the engine still holds because it has no free slot for a newer one while streams
     /// use the older.
-    pub older: Option<u64>,
+    pub older_version: Option<u64>,
     /// Requests for it that recently started there, through all hosts, as last reported.
     pub uses: u32,
     requested_at: Option<Instant>,
@@ -34,7 +34,7 @@
     pub fn held(&self) -> Option<u64> {
         match self.state {
             CopyState::Ready => Some(self.version),
-            _ => self.older,
+            _ => self.older_version,
         }
     }
 }
@@ -80,7 +80,7 @@
         let copy = AdapterCopy {
             version,
             state,
-            older: held.filter(|held| is_full && *held < version),
+            older_version: held.filter(|held| is_full && *held < version),
             uses,
             requested_at: None,
             attempts: 0,
@@ -99,13 +99,13 @@
         let Some(copy) = copies.and_then(|copies| copies.get_mut(target)) else {
             return;
         };
-        copy.older = None;
+        copy.older_version = None;
         if !matches!(copy.state, CopyState::Ready | CopyState::Coming { .. }) {
             return;
         }
         copy.state = CopyState::Remembered;
         let order = self.remembered.entry(target.to_string()).or_default();
-        order.retain(|known_engines| known_engines != adapter);
+        order.retain(|other| other != adapter);
         order.push_back(adapter.to_string());
         let dropped = match order.len() > remembered {
             true => order.pop_front(),
@@ -156,14 +156,14 @@
             .or_insert(AdapterCopy {
                 version: 0,
                 state: CopyState::Asked,
-                older: None,
+                older_version: None,
                 uses: 0,
                 requested_at: None,
                 attempts: 0,
             });
-        let recent =
+        let is_recent =
             |requested_at: Instant| now.saturating_duration_since(requested_at) < RETRY_INTERVAL;
-        if copy.requested_at.is_some_and(recent) {
+        if copy.requested_at.is_some_and(is_recent) {
             return false;
         }
         if copy.attempts >= MAX_ATTEMPTS {
@@ -174,7 +174,7 @@
             return false;
         }
         if !matches!(copy.state, CopyState::Coming { .. }) {
-            copy.older = copy.held();
+            copy.older_version = copy.held();
             copy.state = CopyState::Asked;
         }
         copy.requested_at = Some(now);
--- a/src/connection/targets/crash_tracker.rs
+++ b/src/connection/targets/crash_tracker.rs
@@ -45,13 +45,13 @@
     /// Targets that broke off an answer, oldest first.
     losses: VecDeque<(Instant, Arc<str>)>,
     /// Suspect requests of the targets that are being probed.
-    accused: HashMap<TargetIncarnation, Vec<SuspectRequest>>,
+    suspects: HashMap<TargetIncarnation, Vec<SuspectRequest>>,
 }
 
 impl CrashTracker {
     /// Returns true if no request is suspected, so that none need be looked up.
     pub fn is_empty(&self) -> bool {
-        self.statuses.is_empty() && self.accused.is_empty()
+        self.statuses.is_empty() && self.suspects.is_empty()
     }
 
     /// Returns true if a request has crashed targets, or is suspected of it.
@@ -59,9 +59,9 @@
         &self,
         fingerprint: &Fingerprint,
     ) -> bool {
-        let is_it = |accused: &SuspectRequest| accused.fingerprint == *fingerprint;
-        let mut accused = self.accused.values().flatten();
-        self.statuses.contains_key(fingerprint) || accused.any(is_it)
+        let is_it = |suspect: &SuspectRequest| suspect.fingerprint == *fingerprint;
+        let mut suspects = self.suspects.values().flatten();
+        self.statuses.contains_key(fingerprint) || suspects.any(is_it)
     }
 
     /// Returns the status of a request; `None` if it has crashed no target.
@@ -75,10 +75,10 @@
     pub fn set_status(
         &mut self,
         fingerprint: Fingerprint,
-        standing: Option<Standing>,
+        status: Option<Standing>,
     ) {
-        match standing {
-            Some(standing) => self.statuses.insert(fingerprint, standing),
+        match status {
+            Some(status) => self.statuses.insert(fingerprint, status),
             None => self.statuses.remove(&fingerprint),
         };
     }
@@ -98,28 +98,28 @@
     /// Adds a suspect that was lost at a target; returns true if the caller must probe the target.
     pub fn add_suspect(
         &mut self,
-        run: &TargetIncarnation,
-        accused: SuspectRequest,
+        target: &TargetIncarnation,
+        suspect: SuspectRequest,
     ) -> bool {
-        if let Some(others) = self.accused.get_mut(run) {
+        if let Some(others) = self.suspects.get_mut(target) {
             if others.len() < MAX_SUSPECTS {
-                others.push(accused);
+                others.push(suspect);
             }
             return false;
         }
-        if self.accused.len() >= MAX_PROBED_TARGETS {
+        if self.suspects.len() >= MAX_PROBED_TARGETS {
             return false;
         }
-        self.accused.insert(run.clone(), vec![accused]);
+        self.suspects.insert(target.clone(), vec![suspect]);
         true
     }
 
     /// Ends the probe of a target and returns its suspects.
     pub fn take_suspects(
         &mut self,
-        run: &TargetIncarnation,
+        target: &TargetIncarnation,
     ) -> Vec<SuspectRequest> {
-        self.accused.remove(run).unwrap_or_default()
+        self.suspects.remove(target).unwrap_or_default()
     }
 
     /// Returns true if no other target broke off answers at about this time.
@@ -128,10 +128,10 @@
         target: &str,
         lost: Instant,
     ) -> bool {
-        let near = |at: Instant| {
+        let is_near = |at: Instant| {
             at.max(lost).saturating_duration_since(at.min(lost)) <= CORRELATION_WINDOW
         };
-        let mut near = self.losses.iter().filter(|(at, _)| near(*at));
+        let mut near = self.losses.iter().filter(|(at, _)| is_near(*at));
         !near.any(|(_, other)| **other != *target)
     }
 }
--- a/src/connection/targets/notice_tracker.rs
+++ b/src/connection/targets/notice_tracker.rs
@@ -91,12 +91,12 @@
         if notices.is_some_and(|notices| notices.leaves) {
             return Some(Unavailability::Permanent);
         }
-        let rests = notices.and_then(|notices| notices.rests(now));
-        let backoffs = self.backoffs.get(target);
-        let backoffs = backoffs.filter(|(of, _)| *of == incarnation);
-        let until = backoffs.map(|(_, until)| *until);
-        let backoffs = until.filter(|until| now < *until);
-        rests.max(backoffs).map(Unavailability::Until)
+        let notice_until = notices.and_then(|notices| notices.rests(now));
+        let backoff = self.backoffs.get(target);
+        let backoff = backoff.filter(|(of, _)| *of == incarnation);
+        let until = backoff.map(|(_, until)| *until);
+        let backoff_until = until.filter(|until| now < *until);
+        notice_until.max(backoff_until).map(Unavailability::Until)
     }
 
     /// Marks a target as unavailable to this host until a time.
@@ -146,8 +146,8 @@
             self.log_unreadable(target, problem, now);
         }
         let changes = self.registry.hear(target, incarnation, &notice, sent, now);
-        for changes in &changes {
-            log_change(target, changes, now);
+        for change in &changes {
+            log_change(target, change, now);
         }
         if changes.iter().any(NoticeNews::concerns_all_hosts)
             && let Some(notices) = self.registry.get(target, incarnation)
@@ -185,10 +185,10 @@
 /// Logs and counts a changed notice.
 fn log_change(
     target: &str,
-    changes: &NoticeNews,
+    change: &NoticeNews,
     now: Instant,
 ) {
-    match changes {
+    match change {
         NoticeNews::Limited { rate } => {
             count("limited");
             note!(Event::TargetLimited, target = target, rate = rate);
--- a/src/connection/targets/pending_replies.rs
+++ b/src/connection/targets/pending_replies.rs
@@ -6,13 +6,13 @@
 /// Replies that are awaited from other hosts, by request id; cheap to clone.
 #[derive(Debug)]
 pub struct PendingReplies<A> {
-    waiting: Rc<RefCell<HashMap<u64, oneshot::Sender<A>>>>,
+    senders: Rc<RefCell<HashMap<u64, oneshot::Sender<A>>>>,
 }
 
 impl<A> Default for PendingReplies<A> {
     fn default() -> Self {
         Self {
-            waiting: Rc::default(),
+            senders: Rc::default(),
         }
     }
 }
@@ -23,12 +23,12 @@
         &self,
         id: u64,
     ) -> PendingReply<A> {
-        let (waiting, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, waiting);
+        let (sender, reply) = oneshot::channel();
+        self.senders.borrow_mut().insert(id, sender);
         PendingReply {
             id,
-            answer,
-            all: self.waiting.clone(),
+            reply,
+            senders: self.senders.clone(),
         }
     }
 
@@ -36,29 +36,29 @@
     pub fn on_answer(
         &self,
         id: u64,
-        answer: A,
+        reply: A,
     ) -> bool {
-        let waiting = self.waiting.borrow_mut().remove(&id);
-        waiting.is_some_and(|waiting| waiting.send(answer).is_ok())
+        let sender = self.senders.borrow_mut().remove(&id);
+        sender.is_some_and(|sender| sender.send(reply).is_ok())
     }
 }
 
 /// A reply that is awaited; unregistered when dropped.
 pub struct PendingReply<A> {
     id: u64,
-    answer: oneshot::Receiver<A>,
-    all: Rc<RefCell<HashMap<u64, oneshot::Sender<A>>>>,
+    reply: oneshot::Receiver<A>,
+    senders: Rc<RefCell<HashMap<u64, oneshot::Sender<A>>>>,
 }
 
 impl<A> PendingReply<A> {
     /// Returns the reply; `None` if it can no longer arrive.
     pub async fn answer(&mut self) -> Option<A> {
-        (&mut self.answer).await.ok()
+        (&mut self.reply).await.ok()
     }
 }
 
 impl<A> Drop for PendingReply<A> {
     fn drop(&mut self) {
-        self.all.borrow_mut().remove(&self.id);
+        self.senders.borrow_mut().remove(&self.id);
     }
 }
--- a/src/connection/targets/quota_table.rs
+++ b/src/connection/targets/quota_table.rs
@@ -23,8 +23,8 @@
     ) -> &mut CustomerUse {
         if !self.customers.contains_key(customer) {
             let first_part = rand::random::<u32>() as usize;
-            let known = CustomerUse::new(first_part);
-            self.customers.insert(customer.to_string(), known);
+            let usage = CustomerUse::new(first_part);
+            self.customers.insert(customer.to_string(), usage);
         }
         self.customers.get_mut(customer).expect("inserted above")
     }
--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -83,12 +83,12 @@
         now: Instant,
     ) -> Vec<LoanAsk> {
         let (ids, amount) = self.of(service).loans_to_ask(now);
-        let ask = |id| LoanAsk {
+        let request = |id| LoanAsk {
             service: service.to_string(),
             id,
             amount: (amount * UNITS_PER_REPEAT).ceil() as u32,
         };
-        let requests: Vec<LoanAsk> = ids.into_iter().map(ask).collect();
+        let requests: Vec<LoanAsk> = ids.into_iter().map(request).collect();
         count_loans("asked", requests.len());
         requests
     }
@@ -96,20 +96,20 @@
     /// Grants another host's loan request; returns `None` if there is nothing to lend.
     pub fn lend(
         &mut self,
-        ask: &LoanAsk,
+        request: &LoanAsk,
         now: Instant,
     ) -> Option<Loan> {
         let lent = self
-            .of(&ask.service)
-            .lend(f64::from(ask.amount) / UNITS_PER_REPEAT, now);
+            .of(&request.service)
+            .lend(f64::from(request.amount) / UNITS_PER_REPEAT, now);
         let amount = (lent * UNITS_PER_REPEAT).floor() as u32;
         if amount == 0 {
             return None;
         }
         count_loans("lent", 1);
         Some(Loan {
-            service: ask.service.clone(),
-            id: ask.id,
+            service: request.service.clone(),
+            id: request.id,
             amount,
         })
     }
--- a/src/connection/targets/staleness_monitor.rs
+++ b/src/connection/targets/staleness_monitor.rs
@@ -73,7 +73,7 @@
     }
 
     /// Ends the interval if it is over; returns its largest staleness if that is near a bound.
-    pub fn end_period(
+    pub fn end_interval(
         &mut self,
         now: Instant,
     ) -> Option<MaxStaleness> {
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -37,15 +37,15 @@
         let mut ranked: Vec<(u64, &ServiceTarget)> = self
             .targets_of(service)
             .iter()
-            .map(|target| (xxh3_64_with_seed(&target.key.to_le_bytes(), seed), target))
+            .map(|target| (xxh3_64_with_seed(&target.hash.to_le_bytes(), seed), target))
             .collect();
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         let can_load = |target: &ServiceTarget| {
             let view = &self.links[&target.id].view;
             // A large site broadcasts no adapter states, so that engines without a holder are candidates too.
-            let loads = view.holder.is_some() || self.is_large_site();
-            let is_limited = self.availability(&target.id, now) != Openness::Open;
-            loads && !is_limited && !view.record.is_empty
+            let has_loader = view.holder.is_some() || self.is_large_site();
+            let is_restricted = self.availability(&target.id, now) != Openness::Open;
+            has_loader && !is_restricted && !view.record.is_empty
         };
         let any_can_load = ranked.iter().any(|(_, target)| can_load(target));
         let mut remaining = count;
@@ -85,8 +85,8 @@
             state,
             placement.uses,
         );
-        if let Some(waiting) = self.waiting.get(&placement.adapter) {
-            waiting.updates.notify_waiters();
+        if let Some(waiters) = self.adapter_waiters.get(&placement.adapter) {
+            waiters.updates.notify_waiters();
         }
     }
 
@@ -122,8 +122,8 @@
             &placement.target,
             slots * REMEMBERED_PER_SLOT,
         );
-        if let Some(waiting) = self.waiting.get(&placement.adapter) {
-            waiting.updates.notify_waiters();
+        if let Some(waiters) = self.adapter_waiters.get(&placement.adapter) {
+            waiters.updates.notify_waiters();
         }
     }
 
@@ -145,9 +145,9 @@
             return false;
         }
         let (waiting, priority) = self
-            .waiting
+            .adapter_waiters
             .get(adapter)
-            .map_or((0, 0), |waiting| (waiting.count, waiting.priority));
+            .map_or((0, 0), |waiters| (waiters.count, waiters.priority));
         let want = Want {
             target: target.to_string(),
             adapter: adapter.to_string(),
@@ -182,17 +182,17 @@
         adapter: &str,
         priority: u8,
     ) -> Rc<Notify> {
-        let waiting = self
-            .waiting
+        let waiters = self
+            .adapter_waiters
             .entry(adapter.to_string())
             .or_insert(AdapterWaiters {
                 count: 0,
                 priority,
                 updates: Rc::default(),
             });
-        waiting.count += 1;
-        waiting.priority = waiting.priority.min(priority);
-        waiting.updates.clone()
+        waiters.count += 1;
+        waiters.priority = waiters.priority.min(priority);
+        waiters.updates.clone()
     }
 
     /// Unregisters a request that waited for an adapter.
@@ -200,10 +200,10 @@
         &mut self,
         adapter: &str,
     ) {
-        if let Some(waiting) = self.waiting.get_mut(adapter) {
-            waiting.count -= 1;
-            if waiting.count == 0 {
-                self.waiting.remove(adapter);
+        if let Some(waiters) = self.adapter_waiters.get_mut(adapter) {
+            waiters.count -= 1;
+            if waiters.count == 0 {
+                self.adapter_waiters.remove(adapter);
             }
         }
     }
--- a/src/connection/targets/table_counting.rs
+++ b/src/connection/targets/table_counting.rs
@@ -90,8 +90,8 @@
         service: &str,
         now: Instant,
     ) {
-        for ask in self.budgets.loan_requests(service, now) {
-            let _ = self.control.send(ControlRequest::RequestLoan(ask));
+        for request in self.budgets.loan_requests(service, now) {
+            let _ = self.control.send(ControlRequest::RequestLoan(request));
         }
     }
 
@@ -119,14 +119,14 @@
     pub fn on_loan_request(
         &mut self,
         to: SocketAddr,
-        ask: &LoanAsk,
+        request: &LoanAsk,
         now: Instant,
     ) {
         // Hosts with another configuration may send services that are unknown here.
-        if self.view.routing.service(&ask.service).is_none() {
+        if self.view.routing.service(&request.service).is_none() {
             return;
         }
-        if let Some(loan) = self.budgets.lend(ask, now) {
+        if let Some(loan) = self.budgets.lend(request, now) {
             let _ = self.control.send(ControlRequest::GrantLoan { to, loan });
         }
     }
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -39,16 +39,16 @@
         targets: impl Iterator<Item = &'a Arc<str>>,
         now: Instant,
     ) -> Option<Instant> {
-        let closing = |target: &Arc<str>| {
+        let unavailability = |target: &Arc<str>| {
             let incarnation = self.incarnation(target);
             self.notices.unavailability(target, incarnation, now)
         };
-        let closings: Option<Vec<Unavailability>> = targets.map(closing).collect();
-        let opening = |closing| match closing {
+        let unavailabilities: Option<Vec<Unavailability>> = targets.map(unavailability).collect();
+        let available_at = |unavailability| match unavailability {
             Unavailability::Until(until) => Some(until),
             Unavailability::Permanent => None,
         };
-        closings?.into_iter().filter_map(opening).min()
+        unavailabilities?.into_iter().filter_map(available_at).min()
     }
 
     /// Marks a target as unavailable to this host until a time.
@@ -70,8 +70,8 @@
     ) {
         let incarnation = self.incarnation(target);
         if let Some(news) = self.notices.message_for_peer(target, incarnation, now) {
-            let ask = PermitAsk { id, news };
-            let _ = self.control.send(ControlRequest::RequestPermit(ask));
+            let request = PermitAsk { id, news };
+            let _ = self.control.send(ControlRequest::RequestPermit(request));
         }
     }
 }
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -160,7 +160,7 @@
         &mut self,
         now: Instant,
     ) -> Option<MaxStaleness> {
-        self.staleness_monitor.end_period(now)
+        self.staleness_monitor.end_interval(now)
     }
 }
 
--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct IdleConnection {
     pub connection: HttpConnection,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Token counts of a request.
@@ -120,7 +120,7 @@
         now: Instant,
     ) -> Option<HttpConnection> {
         while let Some(idle) = self.idle.pop() {
-            if idle.until > now && idle.connection.is_quiet() {
+            if idle.expires_at > now && idle.connection.is_quiet() {
                 return Some(idle.connection);
             }
         }
@@ -143,7 +143,7 @@
         connection.rest();
         self.idle.push(IdleConnection {
             connection,
-            until: now + limit,
+            expires_at: now + limit,
         });
     }
 
@@ -219,10 +219,10 @@
         now: Instant,
     ) -> bool {
         let elapsed = |reported_at| now.saturating_duration_since(reported_at);
-        let old = self
+        let is_overdue = self
             .reported_at
             .is_none_or(|reported_at| elapsed(reported_at) >= REPORT_INTERVAL);
-        if self.due_reports == 0 && !(old && self.in_flight > 0) {
+        if self.due_reports == 0 && !(is_overdue && self.in_flight > 0) {
             return false;
         }
         self.due_reports = self.due_reports.saturating_sub(1);
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -22,7 +22,7 @@
 pub const MAX_BROADCAST_HOSTS: usize = 24;
 
 /// Maximum adapters in one usage report.
-const MAX_USES: usize = 512;
+const MAX_REPORTED_ADAPTERS: usize = 512;
 
 /// Settings that do not change while the process runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -47,7 +47,7 @@
     pub(super) prefill_throughputs: HashMap<String, PrefillThroughput>,
     pub(super) budgets: RepeatBudgets,
     /// Requests that wait for an adapter.
-    pub(super) waiting: HashMap<String, AdapterWaiters>,
+    pub(super) adapter_waiters: HashMap<String, AdapterWaiters>,
     /// Wakes requests that wait for an engine's status.
     pub(super) engine_status_updates: Rc<Notify>,
     /// Freshness of the table replicas behind the view.
@@ -70,7 +70,7 @@
 pub struct ServiceTarget {
     pub id: Arc<str>,
     /// Hash of the address for adapter placement, so that a restarted target keeps its adapters.
-    pub(super) key: u64,
+    pub(super) hash: u64,
 }
 
 /// The requests that wait for one adapter.
@@ -94,7 +94,7 @@
             demand: AdapterDemand::default(),
             prefill_throughputs: HashMap::new(),
             budgets: RepeatBudgets::new(&settings, Instant::now()),
-            waiting: HashMap::new(),
+            adapter_waiters: HashMap::new(),
             engine_status_updates: Rc::default(),
             freshness: ReplicaFreshness::default(),
             freshness_updates: Rc::default(),
@@ -122,9 +122,9 @@
         target: &str,
         now: Instant,
     ) -> bool {
-        let until = |link: &TargetLink| link.view.usable_until;
+        let usable_until = |link: &TargetLink| link.view.usable_until;
         let link = self.links.get(target);
-        link.is_some_and(|link| until(link).is_none_or(|until| now < until))
+        link.is_some_and(|link| usable_until(link).is_none_or(|until| now < until))
     }
 
     /// Returns the known incarnation of a target.
@@ -143,11 +143,9 @@
     /// Reports to the control thread whether a request crashed targets.
     pub fn report_poison(
         &self,
-        report_usage_to_holder: PoisonReport,
+        report: PoisonReport,
     ) {
-        let _ = self
-            .control
-            .send(ControlRequest::ReportPoison(report_usage_to_holder));
+        let _ = self.control.send(ControlRequest::ReportPoison(report));
     }
 
     /// Queries an engine's status from its holder; returns false if it has none.
@@ -168,11 +166,11 @@
     /// Handles a holder's report of its engine's status.
     pub fn on_engine_status(
         &mut self,
-        standing: &EngineStanding,
+        status: &EngineStanding,
         now: Instant,
     ) {
-        self.on_engine_load(&standing.load, now);
-        if let Some(placement) = &standing.placement {
+        self.on_engine_load(&status.load, now);
+        if let Some(placement) = &status.placement {
             self.on_placement(placement, now);
         }
         self.engine_status_updates.notify_waiters();
@@ -221,18 +219,18 @@
         &mut self,
         view: Arc<FleetView>,
     ) {
-        let mut regroups = self.drop_links(&view);
+        let mut needs_regrouping = self.drop_links(&view);
         for (id, target) in &view.targets {
-            regroups |= self.set_target(id, target);
+            needs_regrouping |= self.set_target(id, target);
         }
         self.set_freshness(view.freshness);
         self.budgets.set_hosts(view.known_hosts);
         self.view = view;
-        if regroups {
+        if needs_regrouping {
             self.group_by_service();
         }
-        for waiting in self.waiting.values() {
-            waiting.updates.notify_waiters();
+        for waiters in self.adapter_waiters.values() {
+            waiters.updates.notify_waiters();
         }
     }
 
@@ -276,9 +274,9 @@
             self.adapters.assume_held(id, &target.record.models);
             return true;
         }
-        let regroups = !Arc::ptr_eq(&link.view.record, &target.record);
+        let needs_regrouping = !Arc::ptr_eq(&link.view.record, &target.record);
         link.set_view(target.clone());
-        regroups
+        needs_regrouping
     }
 
     /// Groups the targets by service. This is costly for thousands of targets, so it is done only when a target's
@@ -290,7 +288,7 @@
             let address = record.address.to_string();
             let target = ServiceTarget {
                 id: id.clone(),
-                key: xxh3_64(address.as_bytes()),
+                hash: xxh3_64(address.as_bytes()),
             };
             match self.by_service.get_mut(&record.service) {
                 Some(targets) => targets.push(target),
@@ -354,12 +352,12 @@
         adapter: Option<&str>,
         tokens: RequestTokens,
     ) {
-        let tells_at_once = self.settings.policy.tells_sends_at_once || self.is_large_site();
+        let reports_at_once = self.settings.policy.tells_sends_at_once || self.is_large_site();
         let Some(link) = self.links.get_mut(target) else {
             return;
         };
         link.start(adapter, tokens);
-        if tells_at_once {
+        if reports_at_once {
             report_usage_to_holder(&self.control, target, link, Instant::now());
         }
     }
@@ -385,7 +383,7 @@
         });
         count.started = 0;
     }
-    adapters.truncate(MAX_USES);
+    adapters.truncate(MAX_REPORTED_ADAPTERS);
     link.adapter_usage.retain(|_, count| count.in_flight > 0);
     let usage = Usage {
         target: target.to_string(),
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -67,14 +67,14 @@
 }
 
 struct World {
-    board: TargetTable,
-    told: flume::Receiver<ControlRequest>,
+    table: TargetTable,
+    sent: flume::Receiver<ControlRequest>,
     now: Instant,
 }
 
 impl World {
     fn new(holder: Option<SocketAddr>) -> Self {
-        let (control, told) = flume::unbounded();
+        let (control, sent) = flume::unbounded();
         let settings = TargetTableSettings {
             budget_window: ms(10_000),
             budget_ratio: 0.2,
@@ -88,11 +88,11 @@
                 version: ms(5_000),
             },
         };
-        let mut board = TargetTable::new(settings, control);
-        board.set_view(view(holder));
+        let mut table = TargetTable::new(settings, control);
+        table.set_view(view(holder));
         Self {
-            board,
-            told,
+            table,
+            sent,
             now: Instant::now(),
         }
     }
@@ -102,7 +102,7 @@
             all: 100,
             prompt: 80,
         };
-        self.board.start_request(ENGINE, Some("m0/a1"), tokens);
+        self.table.start_request(ENGINE, Some("m0/a1"), tokens);
     }
 
     /// Returns the usage reports sent to holders within some report intervals.
@@ -112,13 +112,13 @@
     ) -> Vec<(SocketAddr, Usage)> {
         for _ in 0..periods {
             self.now += ms(150);
-            self.board.report_usage(self.now);
+            self.table.report_usage(self.now);
         }
         let usage = |request| match request {
             ControlRequest::ReportUsage { holder, usage } => Some((holder, usage)),
             _ => None,
         };
-        self.told.drain().filter_map(usage).collect()
+        self.sent.drain().filter_map(usage).collect()
     }
 }
 
@@ -130,7 +130,7 @@
     let mut world = World::new(before);
     world.start_request();
     world.reports(3);
-    world.board.set_view(view(Some(holder(2))));
+    world.table.set_view(view(Some(holder(2))));
     let reports = world.reports(1);
     let (to, usage) = &reports[0];
     assert_eq!(*to, holder(2));
@@ -169,9 +169,9 @@
     let engines = (0..12).map(|at| (format!("e{at:02}"), held(at).then(|| holder(1))));
     let mut view = view_of(engines);
     Arc::get_mut(&mut view).unwrap().hosts = hosts;
-    world.board.set_view(view);
+    world.table.set_view(view);
     let order = world
-        .board
+        .table
         .placement_order("models", "m0/a1", 3, Instant::now());
     let number = |id: &Arc<str>| id[1..].parse().unwrap();
     order.iter().map(number).collect()
@@ -210,11 +210,11 @@
         hosts: 3,
         ..FleetView::default()
     };
-    world.board.set_view(Arc::new(view));
+    world.table.set_view(Arc::new(view));
     let order = world
-        .board
+        .table
         .placement_order("models", "m0/a1", 3, Instant::now());
-    let full = world.board.engines_of("models");
+    let full = world.table.engines_of("models");
     assert_eq!(full.len(), 4);
     assert!(order.len() == 3 && order.iter().all(|engine| full.contains(engine)));
 }
@@ -246,14 +246,14 @@
         right_at: age_ms.map(|_| world.now),
         store_failed,
     };
-    world.board.set_freshness(ReplicaFreshness {
+    world.table.set_freshness(ReplicaFreshness {
         targets,
         ..ReplicaFreshness::default()
     });
     let now = world.now + ms(age_ms.unwrap_or(0));
-    assert_eq!(world.board.can_send(now), allowed);
+    assert_eq!(world.table.can_send(now), allowed);
     assert!(
-        world.board.can_route(now),
+        world.table.can_route(now),
         "the configuration has a bound of its own"
     );
 }
@@ -266,21 +266,21 @@
         right_at: Some(right_at),
         store_failed: false,
     };
-    world.board.set_freshness(ReplicaFreshness {
+    world.table.set_freshness(ReplicaFreshness {
         targets,
         ..ReplicaFreshness::default()
     });
-    world.board.record_send_staleness(right_at + ms(400));
-    assert_eq!(world.board.take_max_staleness(right_at + ms(1_100)), None);
-    world.board.record_send_staleness(right_at + ms(1_500));
-    world.board.record_send_staleness(right_at + ms(1_300));
-    let told = world
-        .board
+    world.table.record_send_staleness(right_at + ms(400));
+    assert_eq!(world.table.take_max_staleness(right_at + ms(1_100)), None);
+    world.table.record_send_staleness(right_at + ms(1_500));
+    world.table.record_send_staleness(right_at + ms(1_300));
+    let largest = world
+        .table
         .take_max_staleness(right_at + ms(2_200))
         .unwrap();
-    assert_eq!(told.targets, ms(1_500));
+    assert_eq!(largest.targets, ms(1_500));
     assert_eq!(
-        world.board.take_max_staleness(right_at + ms(3_400)),
+        world.table.take_max_staleness(right_at + ms(3_400)),
         None,
         "reported once"
     );
@@ -314,21 +314,21 @@
             ..FleetView::default()
         })
     };
-    world.board.set_view(started(1, &["a1", "a2"]));
+    world.table.set_view(started(1, &["a1", "a2"]));
     world.start_request();
-    let link = world.board.links.get_mut(ENGINE).unwrap();
+    let link = world.table.links.get_mut(ENGINE).unwrap();
     link.health.on_failure(world.now);
     link.others_in_flight = 5;
-    world.board.set_view(started(1, &["a1", "a2"]));
-    let link = &world.board.links[ENGINE];
+    world.table.set_view(started(1, &["a1", "a2"]));
+    let link = &world.table.links[ENGINE];
     assert_eq!(link.running(), 6, "the same start");
-    assert!(world.board.adapters.get("m0/a2", ENGINE).is_some());
-    world.board.set_view(started(2, &["a1"]));
-    let link = &world.board.links[ENGINE];
+    assert!(world.table.adapters.get("m0/a2", ENGINE).is_some());
+    world.table.set_view(started(2, &["a1"]));
+    let link = &world.table.links[ENGINE];
     assert_eq!(link.running(), 0);
     assert_eq!(link.remaining_backoff(world.now), Duration::ZERO);
-    assert!(world.board.adapters.get("m0/a1", ENGINE).is_some());
-    assert!(world.board.adapters.get("m0/a2", ENGINE).is_none());
+    assert!(world.table.adapters.get("m0/a1", ENGINE).is_some());
+    assert!(world.table.adapters.get("m0/a2", ENGINE).is_none());
     let reports = world.reports(1);
     let (_, usage) = reports.last().expect("a report that nothing runs");
     assert_eq!((usage.in_flight, usage.adapters.len()), (0, 0));
@@ -355,19 +355,19 @@
         ..Placement::default()
     };
     let old = placement((1, PlacementState::Ready));
-    world.board.on_placement(&old, world.now);
-    let ask = AdapterRequest {
+    world.table.on_placement(&old, world.now);
+    let request = AdapterRequest {
         adapter: "m0/a1",
         target: ENGINE,
         version: 2,
         spare: false,
         patience: ms(500),
     };
-    assert!(world.board.request_adapter(&ask, world.now));
+    assert!(world.table.request_adapter(&request, world.now));
     if let Some(answer) = answer {
-        world.board.on_placement(&placement(answer), world.now);
+        world.table.on_placement(&placement(answer), world.now);
     }
-    let copy = world.board.adapters.get("m0/a1", ENGINE).unwrap();
+    let copy = world.table.adapters.get("m0/a1", ENGINE).unwrap();
     assert_eq!(copy.held(), held);
 }
 
@@ -375,14 +375,14 @@
 #[test]
 fn targets_that_change_are_found_under_their_service() {
     let mut world = World::new(None);
-    let ids = |board: &TargetTable, service: &str| -> Vec<String> {
-        let targets = board.targets_of(service).iter();
+    let ids = |table: &TargetTable, service: &str| -> Vec<String> {
+        let targets = table.targets_of(service).iter();
         targets.map(|target| target.id.to_string()).collect()
     };
     world
-        .board
+        .table
         .set_view(view_of(["a", "b"].map(|id| (id.to_string(), None))));
-    assert_eq!(ids(&world.board, "models"), ["a", "b"]);
+    assert_eq!(ids(&world.table, "models"), ["a", "b"]);
     let mut moved = target("b", None);
     Arc::get_mut(&mut moved.record).unwrap().service = "others".to_string();
     let targets = [target("c", None), moved].map(|view| (view.record.id.clone(), Arc::new(view)));
@@ -391,7 +391,7 @@
         hosts: 3,
         ..FleetView::default()
     };
-    world.board.set_view(Arc::new(view));
-    assert_eq!(ids(&world.board, "models"), ["c"]);
-    assert_eq!(ids(&world.board, "others"), ["b"]);
+    world.table.set_view(Arc::new(view));
+    assert_eq!(ids(&world.table, "models"), ["c"]);
+    assert_eq!(ids(&world.table, "others"), ["b"]);
 }
