--- a/src/connection/targets/replica_freshness.rs
+++ b/src/connection/targets/replica_freshness.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TableFreshness {
     /// When the replica was last confirmed to be current; `None` before the first read.
-    pub right_at: Option<Instant>,
+    pub confirmed_at: Option<Instant>,
     /// The store has not answered this host since then.
     pub store_failed: bool,
 }
@@ -19,7 +19,8 @@
         &self,
         now: Instant,
     ) -> Option<Duration> {
-        self.right_at.map(|at| now.saturating_duration_since(at))
+        self.confirmed_at
+            .map(|at| now.saturating_duration_since(at))
     }
 
     /// Returns true if a request that depends on the replica may be sent: it arrives within `bound`, or the store
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -127,8 +127,10 @@
     fn newest_version_deadline(&self) -> VersionDeadline {
         let bound = self.settings.bounds.version;
         let declared = &self.freshness.declared;
-        match declared.right_at {
-            Some(right_at) if !declared.store_failed => VersionDeadline::At(right_at + bound),
+        match declared.confirmed_at {
+            Some(confirmed_at) if !declared.store_failed => {
+                VersionDeadline::At(confirmed_at + bound)
+            }
             _ => VersionDeadline::Unlimited,
         }
     }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -365,7 +365,7 @@
         // How long ago the version before was known to be the newest, at the most.
         let before_age = news
             .before
-            .right_at
+            .confirmed_at
             .map(|at| now.saturating_duration_since(at));
         note!(
             Event::AdapterVersionSeen,
@@ -380,7 +380,7 @@
         }
         let versions = Arc::make_mut(&mut self.versions);
         let history = versions.entry(adapter).or_default();
-        history.on_published(version, news.before.right_at);
+        history.on_published(version, news.before.confirmed_at);
         self.changed = true;
     }
 }
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -69,11 +69,11 @@
 
 impl KeptTable {
     pub fn confirmation(&self) -> TableFreshness {
-        let right_at = self.copy.right_at();
+        let confirmed_at = self.copy.right_at();
         let failed_at = self.schedule.failed_at();
         TableFreshness {
-            right_at,
-            store_failed: failed_at.is_some_and(|at| right_at.is_none_or(|right| right < at)),
+            confirmed_at,
+            store_failed: failed_at.is_some_and(|at| confirmed_at.is_none_or(|right| right < at)),
         }
     }
 }
@@ -448,7 +448,7 @@
         let bound = self.settings.bounds.drain;
         let until = now + bound.mul_f64(VANISHED_SHARE);
         let latest = before
-            .right_at
+            .confirmed_at
             .map(|at| at + bound.saturating_sub(SEND_MARGIN));
         let was_out = before.store_failed && latest.is_some_and(|latest| latest <= now);
         match latest {
@@ -540,7 +540,7 @@
     current: &ReplicaFreshness,
 ) -> bool {
     let differs = |told: &TableFreshness, current: &TableFreshness| {
-        let step = match (told.right_at, current.right_at) {
+        let step = match (told.confirmed_at, current.confirmed_at) {
             (Some(told), Some(current)) => current.saturating_duration_since(told),
             (None, Some(_)) => CONFIRM_STEP,
             _ => Duration::ZERO,
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -243,7 +243,7 @@
 ) {
     let mut world = World::new(None);
     let targets = TableFreshness {
-        right_at: age_ms.map(|_| world.now),
+        confirmed_at: age_ms.map(|_| world.now),
         store_failed,
     };
     world.table.set_freshness(ReplicaFreshness {
@@ -261,26 +261,29 @@
 #[test]
 fn ages_are_told_of_once_a_second_if_they_come_near_their_bounds() {
     let mut world = World::new(None);
-    let right_at = world.now;
+    let confirmed_at = world.now;
     let targets = TableFreshness {
-        right_at: Some(right_at),
+        confirmed_at: Some(confirmed_at),
         store_failed: false,
     };
     world.table.set_freshness(ReplicaFreshness {
         targets,
         ..ReplicaFreshness::default()
     });
-    world.table.record_send_staleness(right_at + ms(400));
-    assert_eq!(world.table.take_max_staleness(right_at + ms(1_100)), None);
-    world.table.record_send_staleness(right_at + ms(1_500));
-    world.table.record_send_staleness(right_at + ms(1_300));
+    world.table.record_send_staleness(confirmed_at + ms(400));
+    assert_eq!(
+        world.table.take_max_staleness(confirmed_at + ms(1_100)),
+        None
+    );
+    world.table.record_send_staleness(confirmed_at + ms(1_500));
+    world.table.record_send_staleness(confirmed_at + ms(1_300));
     let largest = world
         .table
-        .take_max_staleness(right_at + ms(2_200))
+        .take_max_staleness(confirmed_at + ms(2_200))
         .unwrap();
     assert_eq!(largest.targets, ms(1_500));
     assert_eq!(
-        world.table.take_max_staleness(right_at + ms(3_400)),
+        world.table.take_max_staleness(confirmed_at + ms(3_400)),
         None,
         "reported once"
     );
