--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -203,7 +203,7 @@
             target: &targets[at],
             version: standing.newest,
             spare,
-            patience: terms.aim_left.saturating_sub(candidates[at].wait),
+            max_load_time: terms.aim_left.saturating_sub(candidates[at].wait),
         };
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. } if candidates[to].batch > 1.0 && tries.draws_again() => {
--- a/src/connection/targets/control_request.rs
+++ b/src/connection/targets/control_request.rs
@@ -60,5 +60,5 @@
     /// The adapter is loaded on another engine, which is busy: the load is optional.
     pub spare: bool,
     /// Load deadline: a slower load is of no use to the request.
-    pub patience: Duration,
+    pub max_load_time: Duration,
 }
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -155,7 +155,7 @@
             waiting,
             priority: u32::from(priority),
             spare: request.spare,
-            patience_ms: u32::try_from(request.patience.as_millis()).unwrap_or(u32::MAX),
+            patience_ms: u32::try_from(request.max_load_time.as_millis()).unwrap_or(u32::MAX),
         };
         let _ = self
             .control
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -364,7 +364,7 @@
         target: ENGINE,
         version: 2,
         spare: false,
-        patience: ms(500),
+        max_load_time: ms(500),
     };
     assert!(world.table.request_adapter(&request, world.now));
     if let Some(answer) = answer {
