--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -161,7 +161,7 @@
 
 /// Returns the numbers of the engines preferred for an adapter, on a site of `hosts` hosts where the `held` engines
 /// have a holder.
-fn settling(
+fn preferred_engines(
     hosts: usize,
     held: impl Fn(usize) -> bool,
 ) -> Vec<usize> {
@@ -179,7 +179,7 @@
 
 #[test]
 fn adapters_settle_where_somebody_can_load_them() {
-    let order = settling(3, |at| at % 3 == 0);
+    let order = preferred_engines(3, |at| at % 3 == 0);
     assert_eq!(order.len(), 3);
     assert!(order.iter().all(|at| at % 3 == 0), "{order:?}");
 }
@@ -188,12 +188,12 @@
 #[case::without_any_holder(3, false)]
 #[case::on_a_large_site(100, false)]
 #[case::with_all_holders(3, true)]
-fn the_places_are_as_ever(
+fn preferred_engines_do_not_depend_on_holders(
     #[case] hosts: usize,
     #[case] held: bool,
 ) {
-    let order = settling(hosts, |at| held || hosts > 3 && at % 3 == 0);
-    assert_eq!(order, settling(3, |_| true));
+    let order = preferred_engines(hosts, |at| held || hosts > 3 && at % 3 == 0);
+    assert_eq!(order, preferred_engines(3, |_| true));
 }
 
 #[test]
