--- a/src/connection/targets/control_request.rs
+++ b/src/connection/targets/control_request.rs
@@ -9,7 +9,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// A message from the request threads to the control thread.
+/// A message from the traffic thread to the control thread.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlRequest {
     /// Request an adapter from the holder of an engine.
@@ -59,6 +59,6 @@
     pub version: u64,
     /// The adapter is loaded on another engine, which is busy: the load is optional.
     pub spare: bool,
-    /// Load deadline: a slower load is of no use to the request.
+    /// A load that takes longer is of no use to the request.
     pub max_load_time: Duration,
 }
--- a/src/connection/targets/crash_tracker.rs
+++ b/src/connection/targets/crash_tracker.rs
@@ -15,7 +15,7 @@
 /// of power.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(300);
 
-/// Recent lost answers that are retained.
+/// Maximum retained losses of answers.
 const MAX_LOSSES: usize = 256;
 
 /// Maximum suspect requests for the crash of one target.
--- a/src/connection/targets/key_status.rs
+++ b/src/connection/targets/key_status.rs
@@ -2,7 +2,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyStatus {
     Valid,
-    /// Revoked or unknown.
+    /// No longer in the configuration.
     Revoked,
     /// Now belongs to another customer.
     Reassigned,
--- a/src/connection/targets/mod.rs
+++ b/src/connection/targets/mod.rs
@@ -1,4 +1,4 @@
-//! The request threads' view of targets: connections, requests in flight, failures and adapter placement.
+//! The traffic thread's view of targets: connections, requests in flight, failures and adapter placement.
 
 mod adapter_demand;
 mod adapter_map;
--- a/src/connection/targets/replica_freshness.rs
+++ b/src/connection/targets/replica_freshness.rs
@@ -9,7 +9,7 @@
 pub struct TableFreshness {
     /// When the replica was last confirmed to be current; `None` before the first read.
     pub confirmed_at: Option<Instant>,
-    /// The store has not answered this host since then.
+    /// True if a later read from the store has failed.
     pub store_failed: bool,
 }
 
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -128,9 +128,7 @@
         let bound = self.settings.bounds.version;
         let declared = &self.freshness.declared;
         match declared.confirmed_at {
-            Some(confirmed_at) if !declared.store_failed => {
-                VersionDeadline::At(confirmed_at + bound)
-            }
+            Some(at) if !declared.store_failed => VersionDeadline::At(at + bound),
             _ => VersionDeadline::Unlimited,
         }
     }
--- a/src/connection/targets/target_link.rs
+++ b/src/connection/targets/target_link.rs
@@ -60,7 +60,7 @@
     pub in_flight: u32,
     /// Tokens of these requests.
     pub tokens: u64,
-    /// Tokens of the prompts in queue or prefill: no event has come yet.
+    /// Tokens of the prompts that are queued or in prefill, so that no event has come yet.
     pub unread_tokens: u64,
     /// The same for other hosts, as last reported by the holder.
     pub others_in_flight: u32,
@@ -147,7 +147,7 @@
         });
     }
 
-    /// Counts a request that is sent to the target.
+    /// Adds a request that is sent to the target to the counts.
     pub fn start(
         &mut self,
         adapter: Option<&str>,
@@ -179,7 +179,7 @@
         self.due_reports = REPORTS_PER_CHANGE;
     }
 
-    /// Uncounts a request that has ended.
+    /// Removes a request that has ended from the counts.
     pub fn end(
         &mut self,
         adapter: Option<&str>,
--- a/src/connection/targets/target_table.rs
+++ b/src/connection/targets/target_table.rs
@@ -344,8 +344,8 @@
 
     /// Counts a request that is sent to a target.
     ///
-    /// Usage is reported to the holder at once where set, so that other hosts do not choose the same engine and the
-    /// adapter is not evicted as unused.
+    /// If set by the policy, and on large sites, usage is reported to the holder at once, so that other hosts do not
+    /// choose the same engine and the adapter is not evicted as unused.
     pub fn start_request(
         &mut self,
         target: &str,
--- a/src/connection/targets/version_history.rs
+++ b/src/connection/targets/version_history.rs
@@ -36,7 +36,7 @@
 }
 
 impl Default for VersionHistory {
-    /// The first version is never published, so an empty history starts at 1.
+    /// Starts at version 1, which is not published.
     fn default() -> Self {
         Self {
             newest: 1,
