--- a/src/process/engines/adapter_place.rs
+++ b/src/process/engines/adapter_place.rs
@@ -7,36 +7,36 @@
     },
 };
 
-/// Time after which half of an adapter's use is forgotten.
+/// Half-life of an adapter's request count, by which adapters are ranked for eviction.
 const USE_HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Whether an adapter can be used at its engine.
+/// State of an adapter that occupies a slot of its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlaceState {
-    /// Ordered at `since`; it should be there at `due`.
+    /// Load ordered at `since`; its completion is next checked at `due`.
     Coming {
         since: Instant,
         due: Instant,
     },
     Held,
-    /// Told to go; its last requests may still run.
+    /// Unload ordered; its last requests may still run.
     Going,
 }
 
-/// One of an engine's places for adapters, taken.
+/// An adapter that occupies a slot of its engine.
 #[derive(Debug, Clone)]
 pub struct AdapterPlace {
     pub version: u64,
     pub state: PlaceState,
-    /// When a request for it was last known to start, or when it came.
+    /// Time of the last known request for it, or of its load.
     pub last_used: Instant,
-    /// It comes, or came, from the weight store.
+    /// Loaded, or being loaded, from the weight store.
     pub from_store: bool,
     /// Hosts that may send requests for it.
     pub interested: BTreeSet<SocketAddr>,
-    /// Requests in flight through each host.
+    /// In-flight requests of each host.
     users: BTreeMap<SocketAddr, u32>,
-    /// Requests started, halved each half-life.
+    /// Exponentially decayed count of started requests, as of `uses_at`.
     uses: f64,
     uses_at: Instant,
 }
@@ -59,17 +59,17 @@
         }
     }
 
-    /// True while it is on its way from the weight store.
+    /// Returns true while it is being loaded from the weight store.
     pub fn comes_from_store(&self) -> bool {
         self.from_store && matches!(self.state, PlaceState::Coming { .. })
     }
 
-    /// Requests in flight through all hosts.
+    /// Returns the in-flight requests of all hosts.
     pub fn in_flight(&self) -> u32 {
         self.users.values().sum()
     }
 
-    /// Requests started lately; recent ones count more.
+    /// Returns the exponentially decayed number of started requests.
     pub fn recent_uses(
         &self,
         now: Instant,
@@ -79,7 +79,7 @@
         self.uses * 0.5f64.powf(half_lives)
     }
 
-    /// A host told how much it uses the adapter.
+    /// Records a host's usage report for this adapter.
     pub fn on_usage(
         &mut self,
         host: SocketAddr,
@@ -99,7 +99,7 @@
         self.uses_at = now;
     }
 
-    /// A host told what it uses, and this adapter is not among it.
+    /// Records a host's usage report that does not name this adapter.
     pub fn on_unused(
         &mut self,
         host: SocketAddr,
@@ -107,7 +107,7 @@
         self.users.remove(&host);
     }
 
-    /// A host is gone, and its requests with it.
+    /// Removes a lost host and its requests.
     pub fn on_host_gone(
         &mut self,
         host: SocketAddr,
--- a/src/process/engines/base_load_pace.rs
+++ b/src/process/engines/base_load_pace.rs
@@ -3,32 +3,29 @@
     std::{cell::RefCell, collections::VecDeque, rc::Rc, time::Duration},
 };
 
-/// Loads are counted over so long: the weight store bounds them over spans of some seconds, and a holder whose
-/// engines are replaced one after the other needs not wait within a span.
+/// Window over which loads are counted.
+/// Several seconds long, so that engines replaced in quick succession need not wait for their model.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Shared by the desks of one host, which all decide on the same thread.
+/// A limiter shared by the engine allocators of a host, all on one thread.
 pub type SharedBaseLoadPace = Rc<RefCell<BaseLoadPace>>;
 
-/// Limits the base models that the engines of this host take from the weight store.
+/// Limits the rate at which this host's engines load base models from the weight store.
 ///
-/// The store bounds the loads of the whole site. Each holder takes the part of it that its engines are of all, to
-/// the nearest load and one at the least: seven holders of twelve engines order 17 in five seconds where 21
-/// are allowed. A host that starts anew doesn't know what was ordered before, and orders one in its first window.
-/// They are counted over a window and not spaced evenly, so that engines which are replaced one a second need not wait
-/// for their model.
+/// The site-wide rate is divided by the share of engines that each host holds, rounded, with at least one load
+/// per window. Only one load is allowed in the first window after start, since earlier orders are unknown then.
 #[derive(Debug, Default)]
 pub struct BaseLoadPace {
-    /// Part of the site's engines that this host holds; none sets no limit.
+    /// Share of the site's engines that this host holds; unlimited if `None`.
     share: Option<f64>,
-    /// When the first share became known.
+    /// When `share` was first set.
     started: Option<Instant>,
-    /// Loads ordered within the window.
+    /// Times of the loads ordered within the window.
     ordered: VecDeque<Instant>,
 }
 
 impl BaseLoadPace {
-    /// This host holds so many of all engines.
+    /// Sets the share from the number of engines held and the total.
     pub fn set_share(
         &mut self,
         held: usize,
@@ -39,7 +36,7 @@
         self.started.get_or_insert(now);
     }
 
-    /// True if a load may be ordered now; it counts as ordered then.
+    /// Returns true, and counts the load, if a load may be ordered now.
     pub fn admit(
         &mut self,
         loads_per_second: f64,
--- a/src/process/engines/desk_choice.rs
+++ b/src/process/engines/desk_choice.rs
@@ -1,4 +1,4 @@
-//! The desk's part that chooses the next order.
+//! Selection of the next order to an engine.
 
 use {
     super::{
@@ -10,11 +10,10 @@
     std::time::Duration,
 };
 
-/// An adapter is dropped only if nobody has used it for this time: two periods in which hosts tell of
-/// use, since a report that was sent right away may be lost.
+/// Minimum idle time before an adapter is unloaded: two usage report periods, as one report may be lost.
 const IDLE_TIME: Duration = Duration::from_millis(100);
 
-/// Pause before a base model is ordered again.
+/// Minimum interval between two orders of a base model.
 const MODEL_RETRY: Duration = Duration::from_secs(2);
 
 impl EngineDesk {
@@ -35,7 +34,7 @@
         self.choose_drop(&model, sequence, now)
     }
 
-    /// An empty engine gets the first base model that fits, if it is at hand there or needed.
+    /// Chooses the first base model that fits an empty engine, if it is locally available or another engine is needed.
     pub(super) fn choose_model(
         &mut self,
         sequence: u64,
@@ -70,7 +69,7 @@
         })
     }
 
-    /// The load that should be over by now.
+    /// Chooses a probe for the load that has been due the longest.
     pub(super) fn choose_look(
         &self,
         model: &str,
@@ -98,7 +97,7 @@
         })
     }
 
-    /// The most urgent wish for which there is a place.
+    /// Chooses the highest-ranked pending load for which there is a slot.
     pub(super) fn choose_load(
         &mut self,
         model: &str,
@@ -163,7 +162,7 @@
         })
     }
 
-    /// Drops what is least used when places run short, and old versions when they are idle.
+    /// Chooses an idle outdated version, or the least used idle adapter if slots are short.
     pub(super) fn choose_drop(
         &mut self,
         model: &str,
@@ -190,7 +189,7 @@
         })
     }
 
-    /// Places that are neither taken nor may be taken by an order that has no answer.
+    /// Returns the slots that are neither occupied nor may be taken by an unanswered order.
     pub(super) fn free_places(
         &self,
         now: Instant,
@@ -206,7 +205,7 @@
             .saturating_sub(self.places.len() + unsettled + late)
     }
 
-    /// The idle adapter that was used least.
+    /// Returns the idle adapter with the fewest recent requests.
     pub(super) fn victim(
         &self,
         now: Instant,
--- a/src/process/engines/desk_order.rs
+++ b/src/process/engines/desk_order.rs
@@ -4,16 +4,16 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Why an order is given.
+/// Purpose of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderPurpose {
-    /// Something is to change at the engine.
+    /// Changes what the engine holds.
     Change,
-    /// A load is ordered again only to learn whether it is over; engines take that for no new order.
+    /// Repeats a load only to learn whether it has completed; engines do not count it as a new order.
     Look,
 }
 
-/// An order as the desk wants it; whoever sends it adds the holder and the fence.
+/// An order to an engine, without the holder and the fence, which the sender adds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeskOrder {
     pub purpose: OrderPurpose,
@@ -22,33 +22,33 @@
     pub adapter: Option<String>,
     pub version: Option<u64>,
     pub expected_sequence: u64,
-    /// Why, for logs.
+    /// Reason that is logged.
     pub reason: &'static str,
-    /// How often it was sent, this time included.
+    /// Number of the attempt, from 1.
     pub tries: u32,
 }
 
-/// What the desk wants done.
+/// An action that an engine allocator requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DeskAction {
     Order(DeskOrder),
     AskReport,
-    /// Tell one host, which asked.
+    /// Sends a placement to the host that requested it.
     Tell {
         host: SocketAddr,
         placement: Placement,
     },
-    /// Tell every host, or at least those that may send requests for the adapter.
+    /// Sends a placement to all hosts, or on a large site to the interested ones.
     Announce {
         interested: Vec<SocketAddr>,
         placement: Placement,
     },
-    /// A host was told that the engine can't take an adapter; for logs and figures.
+    /// Logs and counts a load request that was rejected.
     TurnedAway {
         adapter: String,
         reason: NoProspect,
     },
-    /// A load that was ordered is over, after this time; for logs.
+    /// Logs a completed load and its duration.
     LoadOver {
         adapter: String,
         time: Duration,
--- a/src/process/engines/desk_outcomes.rs
+++ b/src/process/engines/desk_outcomes.rs
@@ -1,4 +1,4 @@
-//! The desk's part that takes in what orders and reports have brought.
+//! Handling of order replies and engine reports.
 
 use {
     super::{
@@ -14,31 +14,31 @@
     std::time::Duration,
 };
 
-/// Pause before a load that was found not to be over is looked at again, as a share of its time so far.
+/// Interval between probes of a load, as a share of its duration so far.
 const LOOK_SHARE: f64 = 0.08;
 
 const LEAST_LOOK_PAUSE: Duration = Duration::from_millis(14);
 
-/// A load that is not over after so long is looked up in the engine's report.
+/// Loads that take longer are looked up in the engine's report.
 const LOAD_OVERDUE: Duration = Duration::from_millis(1500);
 
-/// Sends of one order that gets no answer, before the engine's report is asked for.
+/// Attempts to send one order before a report is requested.
 const MAX_TRIES: u32 = 4;
 
-/// Sends of one order that get no answer, after which the engine is thought to leave more unanswered.
+/// Unanswered attempts of one order after which the engine counts as unresponsive.
 const UNANSWERED_TRIES: u32 = 2;
 
-/// An engine that leaves orders unanswered is not asked for adapters for so long.
+/// Time for which load requests to an unresponsive engine are rejected.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(2);
 
-/// Pause before a report is asked for again that did not come.
+/// Interval before a missing report is requested again.
 const REPORT_RETRY: Duration = Duration::from_millis(500);
 
-/// Time that an adapter takes which the engine held lately.
+/// Load time of an adapter that the engine still caches.
 const RELOAD_TIME: Duration = Duration::from_millis(27);
 
 impl EngineDesk {
-    /// The engine's report was asked for at `asked`; `None` if none came.
+    /// Handles the engine's report, or `None` if none arrived.
     pub fn on_report(
         &mut self,
         report: Option<TargetReport>,
@@ -57,7 +57,7 @@
             true => self.begin_anew(now),
             false => Vec::new(),
         };
-        // An order since then would make the report contradict what is known.
+        // The report may not include an order that was sent in the meantime.
         if self.under_way.is_some() || asked.is_none() {
             self.report_due = Some(now + REPORT_LAG);
             return actions;
@@ -65,7 +65,7 @@
         self.sequence = Some(report.sequence);
         self.busy = report.busy;
         self.models_at_hand.clone_from(&report.at_hand);
-        // Once the engine has taken another order, one from before is void.
+        // An unanswered order is void once the engine has accepted another one.
         self.unsettled = self
             .unsettled
             .take()
@@ -84,7 +84,7 @@
         actions
     }
 
-    /// The order under way was answered; `None` if it was not.
+    /// Handles the reply to the order in flight, or `None` if none arrived.
     pub fn on_order_end(
         &mut self,
         reply: Option<OrderReply>,
@@ -110,8 +110,10 @@
         }
     }
 
-    /// An order without an answer may be carried out at any time, as long as the engine has taken no
-    /// other since. The same order again settles that: if it is accepted, the first is void.
+    /// Sends an unanswered order again, up to `MAX_TRIES` attempts.
+    ///
+    /// An unanswered order can take effect until the engine accepts another one. Once the repeated order is
+    /// accepted, the first one is void.
     pub(super) fn on_unanswered(
         &mut self,
         order: DeskOrder,
@@ -141,7 +143,7 @@
         actions
     }
 
-    /// Tells all who wait for adapters that are not ordered yet to ask elsewhere.
+    /// Rejects all pending loads, so that the waiting hosts try other engines.
     pub(super) fn turn_wishes_away(&mut self) -> Vec<DeskAction> {
         let mut actions = Vec::new();
         for (adapter, wish) in std::mem::take(&mut self.wishes) {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// The order was not sent after all.
+    /// Reverts the order in flight, which was not sent.
     pub fn on_order_withheld(&mut self) {
         self.under_way_is_of_earlier_start = false;
         if let Some(order) = self.under_way.take() {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The engine told whether a load is over.
+    /// Handles the reply to a probe: marks the load as completed, or schedules the next probe.
     pub(super) fn on_look(
         &mut self,
         order: &DeskOrder,
@@ -195,7 +197,7 @@
             let passed = now.saturating_duration_since(since);
             if reply == OrderReply::Done {
                 place.state = PlaceState::Held;
-                // Those who waited for it send their requests now.
+                // The hosts that waited for it send their requests now.
                 place.last_used = now;
                 self.note_load_time(passed);
                 actions.push(DeskAction::LoadOver {
@@ -215,7 +217,7 @@
         actions
     }
 
-    /// Loads of what the engine held lately tell nothing of the weight store.
+    /// Records a load time, unless it is so short that the adapter came from the engine's cache.
     pub(super) fn note_load_time(
         &mut self,
         time: Duration,
@@ -231,7 +233,7 @@
         reply: OrderReply,
         now: Instant,
     ) -> Vec<DeskAction> {
-        // An order from before that has no answer expected another sequence: it is void now.
+        // An earlier unanswered order expected another sequence and is void now.
         self.unsettled = None;
         let counts = reply == OrderReply::Accepted || order.kind == OrderKind::Unload;
         if counts {
@@ -253,7 +255,7 @@
                 if reply == OrderReply::Done {
                     self.places.remove(&key);
                 } else {
-                    // It waits for requests that were not known here.
+                    // The unload waits for requests that this host does not know of.
                     self.busy = true;
                 }
             }
@@ -271,7 +273,7 @@
     ) -> Vec<DeskAction> {
         let time = match self.memory.contains(adapter, version) {
             true => RELOAD_TIME,
-            // Looked at from the earliest end on: who looks late finds every load slow.
+            // Probed from the earliest completion time on, as late probes overestimate load times.
             false => LOAD_TIME,
         };
         self.memory.note(adapter, version);
@@ -288,7 +290,7 @@
         self.announce(adapter, now).into_iter().collect()
     }
 
-    /// Time that a base model takes from the weight store.
+    /// Returns the load time of a base model from the weight store.
     fn base_load_time(
         &self,
         model: &str,
@@ -297,7 +299,7 @@
         model.map_or(LOAD_OVERDUE, |model| model.load_time)
     }
 
-    /// What was ordered did not come about.
+    /// Reverts the expected effect of an order that was not carried out.
     pub(super) fn forget_ordered(
         &mut self,
         order: &DeskOrder,
@@ -321,7 +323,7 @@
         }
     }
 
-    /// The engine's report is asked for, once it shows what was just done.
+    /// Discards the sequence, and schedules a report recent enough to include the last order.
     pub(super) fn learn_anew(
         &mut self,
         now: Instant,
@@ -330,8 +332,7 @@
         self.report_due = Some(now + REPORT_LAG);
     }
 
-    /// Takes over what a report says; what is known besides is kept. Gives the adapters that were on
-    /// their way and are there.
+    /// Applies a report, keeping what is known of each adapter besides. Returns the adapters whose loads have completed.
     pub(super) fn take_places(
         &mut self,
         report: &TargetReport,
@@ -368,7 +369,7 @@
                 .remove(&key)
                 .or_else(|| old.remove(&key))
                 .unwrap_or_else(|| {
-                    // A holder before ordered it: from where is not told, so it counts for the limit.
+                    // Ordered by a previous holder. Counts towards the limit, as it may come from the weight store.
                     let mut place = AdapterPlace::new(*version, coming, now);
                     place.from_store = !self.memory.contains(&key, *version);
                     place
--- a/src/process/engines/desk_start.rs
+++ b/src/process/engines/desk_start.rs
@@ -1,4 +1,4 @@
-//! The desk's part for an engine that starts anew under the id that it had.
+//! Handling of engine restarts under an unchanged target id.
 
 use {
     super::{
@@ -13,8 +13,7 @@
 };
 
 impl EngineDesk {
-    /// The list tells which start of the engine this is. News of an earlier start than the one that is known
-    /// are passed over.
+    /// Handles the incarnation named in the target list. Ignores incarnations older than the known one.
     pub fn on_start(
         &mut self,
         told: Option<TargetStart>,
@@ -27,7 +26,7 @@
         self.begin_anew(now)
     }
 
-    /// Takes over which start of the engine this is; true if an earlier one was known.
+    /// Updates the known incarnation. Returns true if it replaces an earlier one.
     pub(super) fn takes_start(
         &mut self,
         told: Option<TargetStart>,
@@ -40,7 +39,7 @@
         known.is_some()
     }
 
-    /// True if a report was made by an earlier start than the one that is known.
+    /// Returns true if the report comes from an incarnation before the known one.
     pub(super) fn is_before_last_start(
         &self,
         report: &TargetReport,
@@ -48,7 +47,7 @@
         report.started.is_some() && report.started < self.started
     }
 
-    /// The orders that may still reach the engine when this desk closes.
+    /// Returns the orders that may still reach the engine after this allocator is closed.
     pub fn into_late_orders(
         mut self,
         now: Instant,
@@ -56,12 +55,12 @@
         if let Some(order) = self.under_way.take() {
             self.late_orders.note(order, now);
         }
-        // The next desk knows nothing of what the engine has taken meanwhile.
+        // The next allocator does not know which orders the engine accepts in the meantime.
         self.late_orders.on_new_start();
         self.late_orders
     }
 
-    /// Orders of an earlier desk of this engine may still reach it.
+    /// Sets the unanswered orders of an earlier allocator of this engine.
     pub fn set_late_orders(
         &mut self,
         late_orders: LateOrders,
@@ -69,10 +68,9 @@
         self.late_orders = late_orders;
     }
 
-    /// Forgets what the earlier start held and had taken.
+    /// Resets the state of the previous incarnation.
     ///
-    /// Whoever waits for an adapter here is told to ask elsewhere: the base model must come first, and that
-    /// takes longer than most requests can wait.
+    /// Rejects pending loads: the base model must be loaded first, which takes longer than most requests can wait.
     pub(super) fn begin_anew(
         &mut self,
         now: Instant,
@@ -96,8 +94,7 @@
         actions
     }
 
-    /// Tells all that no adapter is there any more. One that is only told to be absent would count as held lately,
-    /// and so as loaded again in a moment, which this start can't do.
+    /// Announces that no adapter is loaded any more. Sends `Full`, as `Absent` would count as cached and quick to load.
     fn tell_gone(&self) -> Vec<DeskAction> {
         let gone = self
             .places
@@ -109,7 +106,7 @@
         gone.collect()
     }
 
-    /// An order ended that was given to an earlier start: either start may have taken it.
+    /// Handles the end of an order to an earlier incarnation. Either incarnation may have accepted it.
     pub(super) fn on_earlier_starts_order_end(
         &mut self,
         order: DeskOrder,
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -18,31 +18,31 @@
     },
 };
 
-/// Adapters that may be on their way to one engine at once, as the platform's pages say.
+/// Maximum concurrent adapter loads per engine, as set by the platform.
 pub(super) const MAX_COMING: usize = 4;
 
-/// A load that would have to wait for longer than this is better ordered at another engine.
+/// Maximum queue time; beyond it the adapter is better loaded at another engine.
 const MOST_QUEUE: Duration = Duration::from_millis(900);
 
-/// Adapters that an engine is thought to remember, as a multiple of its places.
+/// Estimated number of adapters that an engine caches, per slot.
 pub const REMEMBERED_PER_PLACE: usize = 6;
 
-/// Time between reports of an engine that carries an order out.
+/// Interval between reports while the engine is busy.
 const BUSY_LOOK: Duration = Duration::from_millis(300);
 
-/// Reports are this old when they arrive, at the most.
+/// Maximum age of a report on arrival.
 pub(super) const REPORT_LAG: Duration = Duration::from_millis(250);
 
-/// What the desks of one host share; all of them decide on the same thread.
+/// State shared by the engine allocators of a host, all on one thread.
 #[derive(Debug, Clone, Default)]
 pub struct SharedByDesks {
-    /// Loads from the weight store.
+    /// Limits adapter loads from the weight store.
     pub limiter: SharedLoadLimiter,
-    /// Base models from the weight store.
+    /// Limits base model loads from the weight store.
     pub base_loads: SharedBaseLoadPace,
-    /// How full the engines are.
+    /// Utilization of the engines.
     pub pool: SharedEnginePool,
-    /// Mechanisms that are at work.
+    /// Enabled mechanisms.
     pub policy: Policy,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// An engine is no longer this host's.
+    /// Removes an engine that this host no longer holds.
     pub fn forget(
         &self,
         target: &str,
@@ -64,43 +64,43 @@
     }
 }
 
-/// Decides the orders to one engine: one at a time, each bound to the number of orders before it.
+/// Decides the orders to one engine.
+///
+/// At most one order is in flight, and each names the sequence number that it expects.
 pub struct EngineDesk {
     pub(super) target: String,
     pub(super) spec: EngineSpec,
-    /// The engine's last start that is known here.
+    /// Last known incarnation of the engine.
     pub(super) started: Option<TargetStart>,
-    /// The base model that the engine holds.
+    /// Base model that the engine holds.
     pub(super) model: Option<String>,
     pub(super) places: BTreeMap<String, AdapterPlace>,
-    /// Room for adapters beside the base model.
+    /// Slots for adapters beside the base model.
     pub(super) room: usize,
     pub(super) wishes: HashMap<String, Wish>,
     pub(super) memory: LoadMemory,
     pub(super) shared: SharedByDesks,
-    /// Base models that come from the engine's own memory or disk.
+    /// Base models that the engine has in its memory or on its disk.
     pub(super) models_at_hand: Vec<String>,
-    /// Newest version of adapters that have more than one.
+    /// Newest versions of adapters that have several.
     pub(super) newest: HashMap<String, u64>,
-    /// Orders that the engine has taken; `None` until a report told.
+    /// Orders that the engine has accepted; `None` until a report arrives.
     pub(super) sequence: Option<u64>,
-    /// The order whose answer is awaited.
+    /// Order whose reply is pending.
     pub(super) under_way: Option<DeskOrder>,
-    /// An order without an answer: it may be carried out while the sequence stays as it was.
+    /// Unanswered order that may take effect while the sequence is unchanged.
     pub(super) unsettled: Option<DeskOrder>,
-    /// The engine has started anew while the answer to the order under way was awaited.
+    /// True if the engine has restarted while the reply was pending.
     pub(super) under_way_is_of_earlier_start: bool,
-    /// Orders without an answer, which an engine that starts anew may still carry out.
+    /// Unanswered orders that may take effect after a restart of the engine.
     pub(super) late_orders: LateOrders,
     pub(super) report_asked: Option<Instant>,
     pub(super) report_due: Option<Instant>,
     pub(super) model_not_before: Instant,
-    /// The engine leaves orders without an answer: until then adapters are asked for elsewhere.
+    /// Load requests are rejected until then, as the engine leaves orders unanswered.
     pub(super) unresponsive_until: Option<Instant>,
-    /// The engine carries an order out and refuses any other: it loads a base model, or an unload or
-    /// a replacement waits for requests that use the adapter.
+    /// The engine rejects orders: it is loading a base model, or an unload or a replacement waits for requests.
     pub(super) busy: bool,
-    /// What runs there.
     pub(super) usage: EngineUse,
 }
 
@@ -142,7 +142,7 @@
         &self.spec
     }
 
-    /// The configuration names other sizes.
+    /// Updates the sizes given by the configuration.
     pub fn set_spec(
         &mut self,
         spec: EngineSpec,
@@ -155,19 +155,18 @@
         &self.places
     }
 
-    /// What runs there.
     pub fn usage(&self) -> &EngineUse {
         &self.usage
     }
 
-    /// The first of the adapters that wait here to be ordered.
+    /// Returns the rank of the most urgent pending load.
     pub fn first_waiting(&self) -> Option<WishRank> {
         self.wishes.values().map(Wish::rank).min()
     }
 
-    /// When the desk has something to decide without being told anything.
+    /// Returns the next time at which `on_tick` has something to do.
     ///
-    /// While no order may be given, a load that is due is not looked at: only the next report counts.
+    /// While no order can be sent, loads are not probed and only the next report counts.
     pub fn next_due(&self) -> Option<Instant> {
         if self.under_way.is_some() || self.report_asked.is_some() {
             return None;
@@ -180,7 +179,7 @@
         looks.chain(self.report_due).min()
     }
 
-    /// A newer version of an adapter was named; `adapter` is `MODEL/NAME`.
+    /// Records a newer version of the adapter `MODEL/NAME`.
     pub fn on_newest(
         &mut self,
         adapter: &str,
@@ -190,7 +189,7 @@
         *newest = (*newest).max(version);
     }
 
-    /// A host asks for an adapter.
+    /// Handles a host's load request.
     pub fn on_want(
         &mut self,
         host: SocketAddr,
@@ -209,7 +208,7 @@
         vec![self.tell(host, &want.adapter, now)]
     }
 
-    /// A host asks where an adapter stands, and may send a request for it right away.
+    /// Answers a host's query for an adapter, and counts the request that the host may send.
     pub fn on_query(
         &mut self,
         host: SocketAddr,
@@ -240,7 +239,7 @@
         Some(placement)
     }
 
-    /// The engine said that it does not hold an adapter that it should hold.
+    /// Schedules a report if an adapter that should be loaded is missing at the engine.
     pub fn on_missing(
         &mut self,
         adapter: &str,
@@ -254,7 +253,7 @@
         }
     }
 
-    /// A host tells what it sends to the engine.
+    /// Records a host's usage report.
     pub fn on_usage(
         &mut self,
         host: SocketAddr,
@@ -270,7 +269,7 @@
         }
     }
 
-    /// A host is gone, and its requests with it.
+    /// Removes a lost host and its requests.
     pub fn on_host_gone(
         &mut self,
         host: SocketAddr,
@@ -281,7 +280,7 @@
         }
     }
 
-    /// Passes time.
+    /// Returns the actions that are due.
     pub fn on_tick(
         &mut self,
         now: Instant,
@@ -289,7 +288,7 @@
         self.next_orders(now)
     }
 
-    /// Tells the other desks what is on its way here, what waits, and how full the engine is.
+    /// Publishes this engine's loads and utilization to the other allocators of the host.
     pub(super) fn tell_desks(&self) {
         let coming = self.places.values();
         let loads = EngineLoads {
@@ -308,7 +307,7 @@
         }
     }
 
-    /// Tells where an adapter stands.
+    /// Returns an announcement of an adapter's placement.
     pub(super) fn announce(
         &self,
         adapter: &str,
@@ -321,7 +320,7 @@
         })
     }
 
-    /// Puts an adapter on the list of those to be loaded.
+    /// Queues a load, or rejects it if it has no prospect of completing in time.
     pub(super) fn wish(
         &mut self,
         host: SocketAddr,
@@ -346,7 +345,7 @@
         let overdue = wish.is_overdue(now);
         let mut actions = self.next_orders(now);
         if self.wishes.contains_key(&want.adapter) {
-            // It waits for other orders, or for a place.
+            // Still queued: waits for other orders or for a slot.
             let reason = if overdue {
                 Some(NoProspect::Overdue)
             } else if is_new && self.comes_too_late(want) {
@@ -370,7 +369,7 @@
         actions
     }
 
-    /// What is told of an adapter that waits here, or can't be loaded.
+    /// Returns the placement of an adapter that is queued or can't be loaded.
     pub(super) fn placement_to_come(
         &self,
         adapter: &str,
@@ -387,7 +386,7 @@
         }
     }
 
-    /// Time after which a load that is asked for now should be over.
+    /// Returns the expected time until a load requested now has completed.
     pub(super) fn queue_time(&self) -> Duration {
         let of_host = self.shared.limiter.borrow().queue_time();
         let coming = self.places.values();
@@ -397,12 +396,7 @@
         of_host.max(load_time.mul_f64(here.max(1.0)))
     }
 
-    /// True if loads wait here, so many that this one would be over when the request that asks is late
-    /// anyway.
-    ///
-    /// While the weight store has too much to do, the queue is as long as is allowed. With a limit above
-    /// what requests have time for, each load is over too late for whoever asked: on a cold site of 195 hosts
-    /// 1,415 of 6,722 answers of twelve seconds were late.
+    /// Returns true if loads are queued and this one would complete after the request's load deadline.
     fn comes_too_late(
         &self,
         want: &Want,
@@ -413,7 +407,7 @@
         queue_time > load_time && queue_time > patience.min(MOST_QUEUE)
     }
 
-    /// Why an adapter that waits can't be ordered before long; `None` if it can.
+    /// Returns the reason why a queued adapter can't be loaded soon, or `None` if it can.
     fn no_prospect(
         &self,
         want: &Want,
@@ -439,7 +433,7 @@
         }
     }
 
-    /// True if an adapter has a place here, or gets one from an adapter that nobody uses.
+    /// Returns true if the adapter has a slot without requests in flight, or can get one.
     fn has_place(
         &self,
         adapter: &str,
@@ -451,7 +445,7 @@
         }
     }
 
-    /// True while the engine is not trusted to carry orders out in time.
+    /// Returns true while the engine counts as unresponsive.
     pub(super) fn is_unresponsive(
         &self,
         now: Instant,
@@ -459,7 +453,7 @@
         self.unresponsive_until.is_some_and(|until| now < until)
     }
 
-    /// The next order, if one can be sent, and what must be learnt first.
+    /// Returns the next order that can be sent, or the report request that must precede it.
     pub(super) fn next_orders(
         &mut self,
         now: Instant,
@@ -499,7 +493,7 @@
         }
         if let Some(order) = self.choose(sequence, now) {
             if order.kind == OrderKind::Unload {
-                // Hosts hear of it before the engine does, and send nothing more for it.
+                // Hosts are notified before the engine, and send no more requests for the adapter.
                 actions.extend(self.announce_order(&order, now));
             }
             self.under_way = Some(order.clone());
@@ -531,7 +525,7 @@
         self.newest.get(adapter).copied().unwrap_or(1)
     }
 
-    /// Where an adapter stands, as told to a host.
+    /// Returns a reply to a host with an adapter's placement.
     pub(super) fn tell(
         &self,
         host: SocketAddr,
@@ -568,7 +562,7 @@
     }
 }
 
-/// `MODEL/NAME`, as requests name an adapter.
+/// Formats an adapter as `MODEL/NAME`, as in requests.
 pub(super) fn key(
     model: &str,
     adapter: &str,
--- a/src/process/engines/engine_pool.rs
+++ b/src/process/engines/engine_pool.rs
@@ -1,25 +1,24 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
-/// Share of the places for requests that must be taken before an empty engine gets its base model
-/// from the weight store.
+/// Utilization at which an empty engine loads its base model from the weight store.
 const NEEDED_SHARE: f64 = 0.65;
 
-/// How full one engine is.
+/// Request slots of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineFill {
-    /// Requests that run there, through all hosts.
+    /// Requests in flight, of all hosts.
     pub running: u32,
-    /// Requests that may run there at once.
+    /// Maximum concurrent requests.
     pub slots: u32,
 }
 
-/// Shared by the desks of one host, which all decide on the same thread.
+/// A pool shared by the engine allocators of a host, all on one thread.
 pub type SharedEnginePool = Rc<RefCell<EnginePool>>;
 
-/// How full the engines of this host are that hold a base model, as a sample of all.
+/// Utilization of this host's engines by base model, as a sample of the site.
 ///
-/// A base model from the weight store takes long and is dear: engines that are added empty get theirs
-/// once the others are so full that another one is needed.
+/// Loading a base model from the weight store is slow and costly, so empty engines load one only when the
+/// others run short of request slots.
 #[derive(Debug, Default)]
 pub struct EnginePool {
     /// By base model, then by engine.
@@ -27,7 +26,7 @@
 }
 
 impl EnginePool {
-    /// An engine's desk tells how full its engine is; `None` for one that does not hold the model.
+    /// Sets an engine's utilization, or removes it if the engine does not hold the model.
     pub fn set(
         &mut self,
         model: &str,
@@ -41,7 +40,7 @@
         };
     }
 
-    /// An engine is no longer this host's.
+    /// Removes an engine that this host no longer holds.
     pub fn forget(
         &mut self,
         target: &str,
@@ -51,7 +50,7 @@
         }
     }
 
-    /// True if another engine with this base model is needed.
+    /// Returns true if another engine with this base model is needed.
     pub fn needs_another(
         &self,
         model: &str,
--- a/src/process/engines/engine_use.rs
+++ b/src/process/engines/engine_use.rs
@@ -6,30 +6,30 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// A host that asked how an engine stands has sent its request there by then, or elsewhere.
+/// Time after which a host that queried an engine has sent its request, there or elsewhere.
 const EXPECTED_FOR: Duration = Duration::from_millis(40);
 
-/// A request that may be sent to an engine in a moment.
+/// A request that a host may send after its query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ExpectedSend {
     host: SocketAddr,
     asked: Instant,
-    /// From 0 to 1.
+    /// Probability, from 0 to 1.
     chance: f64,
     tokens: u32,
     prompt_tokens: u32,
 }
 
-/// Requests that run at an engine, and their tokens.
+/// Requests in flight at an engine, and their tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UseSum {
     pub in_flight: u32,
     pub tokens: u32,
-    /// Tokens of prompts that have brought no event yet.
+    /// Tokens of prompts that have produced no event yet.
     pub unread_tokens: u32,
 }
 
-/// What each host sends to one engine, as it last told.
+/// Requests that each host sends to one engine, by its last usage report.
 #[derive(Debug, Clone, Default)]
 pub struct EngineUse {
     by_host: BTreeMap<SocketAddr, UseSum>,
@@ -37,7 +37,7 @@
 }
 
 impl EngineUse {
-    /// A host told what it sends.
+    /// Records a host's usage report.
     pub fn on_usage(
         &mut self,
         host: SocketAddr,
@@ -49,12 +49,13 @@
             unread_tokens: usage.unread_tokens,
         };
         self.by_host.insert(host, sum);
-        // What it asked for has been sent by now, here or elsewhere.
+        // The requests of its earlier queries have been sent by now, here or elsewhere.
         self.expected.retain(|send| send.host != host);
     }
 
-    /// A host asks how the engine stands, and may send a request in a moment. Hosts that ask at the
-    /// same time would else all find the engine as free as it was for the first of them.
+    /// Records a query of a host, which may send a request soon.
+    ///
+    /// Without this, hosts that query at the same time would all find the engine equally free.
     pub fn on_query(
         &mut self,
         host: SocketAddr,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// What other hosts may send in a moment, in the mean.
+    /// Returns the load to expect from queries of other hosts.
     fn expected_of_others(
         &self,
         host: SocketAddr,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// A host is gone, and its requests with it.
+    /// Removes a lost host and its requests.
     pub fn on_host_gone(
         &mut self,
         host: SocketAddr,
@@ -102,17 +103,17 @@
         self.expected.retain(|send| send.host != host);
     }
 
-    /// Requests of all hosts that run there.
+    /// Returns the requests in flight of all hosts.
     pub fn running(&self) -> u32 {
         self.by_host.values().map(|sum| sum.in_flight).sum()
     }
 
-    /// Hosts that have sent something.
+    /// Returns the hosts that have reported usage.
     pub fn hosts(&self) -> impl Iterator<Item = SocketAddr> {
         self.by_host.keys().copied()
     }
 
-    /// What all hosts but one send, and may send in a moment.
+    /// Returns the reported and expected load of all hosts but one.
     pub fn of_others(
         &self,
         host: SocketAddr,
--- a/src/process/engines/late_orders.rs
+++ b/src/process/engines/late_orders.rs
@@ -4,14 +4,13 @@
     std::time::Duration,
 };
 
-/// An order without an answer is carried out within this time, or never.
+/// Time after which an unanswered order can no longer take effect.
 const MOST_LATE: Duration = Duration::from_secs(15);
 
-/// Orders that got no answer and may still reach the engine.
+/// Orders that got no reply and may still reach the engine.
 ///
-/// While an engine runs, an order is void once the engine has taken another one. An engine that starts anew
-/// counts its orders from zero: an order of its earlier start that expects a number is carried out when the new
-/// count comes to it.
+/// Within an incarnation, an order is void once the engine has accepted another one. A restarted engine counts
+/// from zero, so an order from before can take effect when the count reaches the number that it expects.
 #[derive(Debug, Default)]
 pub struct LateOrders {
     orders: Vec<LateOrder>,
@@ -21,12 +20,12 @@
 struct LateOrder {
     order: DeskOrder,
     unanswered_at: Instant,
-    /// The engine has started anew since.
+    /// True if the engine has restarted since.
     of_earlier_start: bool,
 }
 
 impl LateOrders {
-    /// An order got no answer, or one that may be an earlier start's.
+    /// Records an order without a reply, or whose reply may come from an earlier incarnation.
     pub fn note(
         &mut self,
         order: DeskOrder,
@@ -40,7 +39,7 @@
         });
     }
 
-    /// True once none of them can reach the engine any more.
+    /// Returns true if none of the orders can reach the engine any more.
     pub fn is_over(
         &self,
         now: Instant,
@@ -48,15 +47,15 @@
         self.orders.iter().all(|late| late.is_too_old(now))
     }
 
-    /// The engine has started anew.
+    /// Records a restart of the engine.
     pub fn on_new_start(&mut self) {
         for late in &mut self.orders {
             late.of_earlier_start = true;
         }
     }
 
-    /// Places that orders of earlier starts may still take at an engine that has taken `sequence` orders since
-    /// its start, by the adapters that they load.
+    /// Returns the slots that orders to earlier incarnations may still take, once the engine has accepted `sequence`
+    /// orders.
     pub fn places(
         &self,
         sequence: u64,
@@ -97,7 +96,7 @@
         now.saturating_duration_since(self.unanswered_at) >= MOST_LATE
     }
 
-    /// The adapter that would take a place.
+    /// Returns the adapter that would take a slot.
     fn loaded_adapter(&self) -> Option<String> {
         let adapter = self.order.adapter.as_deref()?;
         match self.order.kind {
--- a/src/process/engines/load_limiter.rs
+++ b/src/process/engines/load_limiter.rs
@@ -1,53 +1,50 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
-/// Time that an adapter takes from the weight store when few come at once.
+/// Load time of an adapter from an idle weight store.
 pub const LOAD_TIME: Duration = Duration::from_millis(252);
 
-/// A load that takes less than this multiple of its time alone was not held up by others.
+/// Loads slower than this multiple of `LOAD_TIME` were delayed by other loads.
 const UNCROWDED: f64 = 1.8;
 
-/// Loads at once that a host begins with.
 const FIRST_WINDOW: f64 = 2.0;
 
-/// Loads at once that a host allows at the least; a share of a load counts as a whole one.
+/// Fractions of a load are rounded up.
 const LEAST_WINDOW: f64 = 1.5;
 
-/// Loads at once that a host allows at the most.
 const MOST_WINDOW: f64 = 16.0;
 
-/// Growth of the window, over as many loads as it is wide, while none is held up.
+/// Growth over one window of loads without delays.
 const WINDOW_STEP: f64 = 1.5;
 
-/// What is left of the window after a load that was held up.
+/// Factor by which a delayed load shrinks the window.
 const WINDOW_CUT: f64 = 0.85;
 
-/// Weight of a new measurement of the time of loads.
+/// Weight of a new sample in the moving average of load times.
 const LOAD_TIME_WEIGHT: f64 = 0.2;
 
-/// Loads that take longer than this show that the weight store has too much to do for spare copies.
+/// Average load time above which the weight store is too busy for additional copies.
 const STORE_BUSY: Duration = Duration::from_millis(380);
 
-/// A longer load tells no more than this.
+/// Upper bound of load time samples.
 const MOST_LOAD_TIME: Duration = Duration::from_millis(1500);
 
-/// Loads of one engine.
+/// Adapter loads of one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineLoads {
-    /// On their way from the weight store.
+    /// Ordered from the weight store and not yet completed.
     pub coming: usize,
-    /// Asked for, and not ordered yet.
+    /// Requested and not yet ordered.
     pub waiting: usize,
 }
 
-/// Shared by the desks of one host, which all decide on the same thread.
+/// A limiter shared by the engine allocators of a host, all on one thread.
 pub type SharedLoadLimiter = Rc<RefCell<LoadLimiter>>;
 
-/// How many adapters may come from the weight store at once to all engines of this host.
+/// Limits concurrent adapter loads from the weight store to all engines of this host.
 ///
-/// The store shares its speed among all loads of the site, and nobody tells how many those are. So
-/// each host widens its window while loads are fast and narrows it when they are slow, in the manner
-/// of congestion control: what can't be loaded in time waits here, the most urgent first, instead of
-/// making every load slow.
+/// All hosts share the store's bandwidth, and none knows the total number of loads. Each host adapts a
+/// congestion window, which grows while loads are fast and shrinks when they are slow. Further loads queue
+/// here by urgency instead of slowing down all loads.
 #[derive(Debug)]
 pub struct LoadLimiter {
     load_time: Duration,
@@ -66,7 +63,7 @@
 }
 
 impl LoadLimiter {
-    /// An engine's desk tells what it has on its way and waiting.
+    /// Sets the loads of an engine.
     pub fn set(
         &mut self,
         target: &str,
@@ -80,7 +77,7 @@
         }
     }
 
-    /// An engine is no longer this host's.
+    /// Removes an engine that this host no longer holds.
     pub fn forget(
         &mut self,
         target: &str,
@@ -88,28 +85,28 @@
         self.engines.remove(target);
     }
 
-    /// True if another load from the weight store may begin.
+    /// Returns true if the window has room for another load.
     pub fn has_room(&self) -> bool {
         (self.coming() as f64) < self.window
     }
 
-    /// True if the weight store has too much to do for spare copies.
+    /// Returns true if the weight store is too busy for additional copies of adapters.
     pub fn is_busy(&self) -> bool {
         self.load_time > STORE_BUSY
     }
 
-    /// Time that a load takes at present.
+    /// Returns the moving average of load times.
     pub fn load_time(&self) -> Duration {
         self.load_time
     }
 
-    /// Time after which a load that is asked for now should be over.
+    /// Returns the expected time until a load requested now has completed.
     pub fn queue_time(&self) -> Duration {
         let ahead = (self.coming() + self.waiting()) as f64;
         self.load_time.mul_f64((ahead / self.window).max(1.0))
     }
 
-    /// A load from the weight store took this time.
+    /// Records the duration of a load from the weight store.
     pub fn on_load(
         &mut self,
         time: Duration,
--- a/src/process/engines/load_memory.rs
+++ b/src/process/engines/load_memory.rs
@@ -1,11 +1,11 @@
 use std::collections::VecDeque;
 
-/// Adapters that an engine has held lately, and so loads again much faster.
+/// Estimates which adapters an engine still caches and can reload quickly.
 ///
-/// The engine does not tell how many it remembers; this is a guess that only times rest on.
+/// Engines do not report their caches.
 #[derive(Debug, Clone, Default)]
 pub struct LoadMemory {
-    /// The latest last.
+    /// Oldest first.
     held: VecDeque<(String, u64)>,
     capacity: usize,
 }
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The engine holds, or held, this version of the adapter.
+    /// Records that the engine holds, or held, this version of the adapter.
     pub fn note(
         &mut self,
         adapter: &str,
--- a/src/process/engines/load_wish.rs
+++ b/src/process/engines/load_wish.rs
@@ -3,40 +3,39 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// Requests of this rank and those behind it are the least urgent.
+/// Priorities from this one on are treated alike.
 const LEAST_URGENT: u32 = 2;
 
-/// An adapter waits so much longer for each rank of urgency that its requests lack.
+/// Delay in the queue for each step of lower priority.
 const RANK_HANDICAP: Duration = Duration::from_millis(100);
 
-/// Each further request that waits for an adapter counts as if the first had come so much earlier.
+/// Advance in the queue for each additional waiting request.
 const WAITING_START: Duration = Duration::from_millis(50);
 
-/// Further requests that count for one adapter, at the most.
+/// Maximum number of additional requests that count.
 const MOST_WAITING: u32 = 8;
 
 const MOST_START: Duration = Duration::from_millis(400);
 
-/// An adapter that somebody waits for and that is not ordered yet.
+/// A load that hosts wait for and that has not been ordered.
 #[derive(Debug, Clone)]
 pub(super) struct Wish {
     pub version: u64,
-    /// There is a copy elsewhere.
+    /// Another engine holds a copy.
     pub spare: bool,
     pub priority: u32,
     pub since: Instant,
-    /// When it should have been there, as was told first.
+    /// Expected completion, as given in the first reply.
     pub promised: Instant,
-    /// Requests that wait at each host.
+    /// Waiting requests of each host.
     pub waiting: BTreeMap<SocketAddr, u32>,
 }
 
-/// Time beyond the promised one after which nothing more is promised: an order that was under way then
-/// is over, answered or not.
+/// Time beyond `promised` after which the load is overdue.
 const PROMISE_SLACK: Duration = Duration::from_millis(250);
 
 impl Wish {
-    /// True if what was told first has not come true.
+    /// Returns true if the load has not completed when it was promised.
     pub fn is_overdue(
         &self,
         now: Instant,
@@ -44,8 +43,7 @@
         now > self.promised + PROMISE_SLACK
     }
 
-    /// The first in this order is loaded first: by age, with a start for urgent requests and for
-    /// adapters that many requests wait for.
+    /// Returns the queue rank: by age, with an advance for urgent requests and for adapters with many requests.
     pub fn rank(&self) -> WishRank {
         let requests: u32 = self.waiting.values().sum();
         let others = requests.saturating_sub(1).min(MOST_WAITING);
@@ -57,7 +55,7 @@
         }
     }
 
-    /// The same by age alone.
+    /// Returns the queue rank by age alone.
     pub fn rank_by_age(&self) -> WishRank {
         WishRank {
             spare: self.spare,
@@ -66,7 +64,7 @@
     }
 }
 
-/// Place of a wish among those of all engines of this host, the first to be loaded first.
+/// Position in the load queue of this host; lower ranks are loaded first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WishRank {
     spare: bool,
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -1,4 +1,4 @@
-//! The engines that this host gives orders to: what each holds, and what comes and goes next.
+//! The engines that this host controls: what each holds, and the orders to load and unload.
 
 mod adapter_place;
 mod base_load_pace;
--- a/src/process/engines/no_prospect.rs
+++ b/src/process/engines/no_prospect.rs
@@ -1,26 +1,26 @@
-/// Why an engine's holder promises no load of an adapter that a host asks for.
+/// Reason for which an engine's holder rejects a load request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum NoProspect {
-    /// There is a copy elsewhere, and the weight store has too much to do for another.
+    /// Another engine holds a copy, and the weight store is too busy for one more.
     StoreBusy,
-    /// What was promised before has not come true.
+    /// The load has not completed when it was promised.
     Overdue,
-    /// So many loads wait that this one would come too late.
+    /// The queue is so long that the load would complete too late.
     LongQueue,
-    /// What the engine holds is not known yet.
+    /// The engine's state is not known yet.
     Unknown,
     /// The engine does not hold the adapter's base model.
     NoModel,
-    /// The engine carries an order out and takes no other.
+    /// The engine is carrying out an order and rejects others.
     EngineBusy,
     /// The engine leaves orders unanswered.
     Unresponsive,
-    /// All its places are taken by adapters in use.
+    /// All slots are taken by adapters in use.
     NoPlace,
 }
 
 impl NoProspect {
-    /// The reason in logs and figures.
+    /// Returns the label used in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::StoreBusy => "store_busy",
--- a/src/process/engines/told_loads.rs
+++ b/src/process/engines/told_loads.rs
@@ -3,24 +3,24 @@
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
 
-/// A load that has not changed is told again after this time, since reports may be lost.
+/// Interval at which unchanged loads are sent again, as messages may be lost.
 const TELL_AGAIN: Duration = Duration::from_secs(1);
 
-/// What one host was last told of one engine.
+/// Load of one engine as last sent to a host.
 #[derive(Debug, Clone, PartialEq)]
 struct ToldLoad {
     load: EngineLoad,
     at: Instant,
 }
 
-/// The loads of this host's engines, as the others were last told: only news are told.
+/// Tracks the engine loads sent to other hosts, so that only changes are sent.
 #[derive(Debug, Default)]
 pub struct ToldLoads {
     by_host: HashMap<(SocketAddr, String), ToldLoad>,
 }
 
 impl ToldLoads {
-    /// True if the host is to be told of this load; it counts as told then.
+    /// Returns true if the load must be sent to the host, and records it as sent.
     pub fn is_news(
         &mut self,
         host: SocketAddr,
@@ -38,7 +38,7 @@
         true
     }
 
-    /// Drops what was told of engines that are no longer held here, or to hosts that are gone.
+    /// Evicts entries of engines that are no longer held and of lost hosts.
     pub fn forget_old(
         &mut self,
         now: Instant,
@@ -47,7 +47,7 @@
         self.by_host.retain(|_, told| keeps(told));
     }
 
-    /// A larger site's hosts ask instead.
+    /// Removes all entries.
     pub fn clear(&mut self) {
         self.by_host.clear();
     }
