--- a/src/process/holding/holding.rs
+++ b/src/process/holding/holding.rs
@@ -18,33 +18,31 @@
     },
 };
 
-/// Hosts that read the table anew after a lost reply do so within this time for each row that it has.
+/// Spread of table reads after lost replies, per row of the table.
 ///
-/// Of 300 hosts many lose replies at the same moment; the rows of 3,000 engines are half a MB, which
-/// takes 0.2 s on a link of 20 Mbit/s, and the store as often as there are hosts.
+/// Many hosts lose replies at the same moment, and their reads would load the store and the links together.
 const REREAD_SPREAD_PER_ROW: Duration = Duration::from_millis(1);
 
-/// Times of leases and of changes of holders.
+/// Timings of leases and takeovers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HoldingTimings {
-    /// A lease holds for so long from the moment that its renewal was sent.
+    /// Validity of a lease, from when its renewal was sent.
     pub lease: Duration,
     pub renew: Duration,
-    /// Pause after a call that failed, within a half of it more or less: hosts that failed together do
-    /// not come back together.
+    /// Mean backoff after a failed call, with jitter of half of it.
     pub retry: Duration,
-    /// Orders of two holders of one engine must lie so far apart.
+    /// Minimum time between the orders of two holders of an engine.
     pub gap: Duration,
-    /// Room for an order that is held up between its check and its arrival.
+    /// Maximum time between the lease check of an order and its arrival.
     pub slack: Duration,
-    /// An engine without a holder is left to the hosts before this one for so long each.
+    /// Time that each preferred host has to take a vacant engine before the next one may.
     pub turn: Duration,
-    /// A transaction whose end was never learnt is tried anew after this time.
+    /// Time after which a transaction without a reply is tried again.
     pub pending: Duration,
 }
 
 impl HoldingTimings {
-    /// Timings for a platform that wants orders of two holders `gap` apart.
+    /// Creates the timings for a platform that requires `gap` between the orders of two holders.
     pub fn new(
         lease: Duration,
         renew: Duration,
@@ -61,66 +59,66 @@
         }
     }
 
-    /// Time from when a lease's version became known until its holder can't have acted for `gap`.
+    /// Returns the age of a lease version at which its holder can't have sent an order for `gap`.
     fn lapse(&self) -> Duration {
         self.lease + self.gap + self.slack
     }
 }
 
-/// What membership knows of another host's lease.
+/// Another host's lease as known to membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownLease {
     pub version: u64,
-    /// When this host first knew of the version.
+    /// When this host learnt of the version.
     pub known_since: Instant,
 }
 
-/// An engine that this host gives orders to.
+/// An engine that this host controls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldEngine {
     pub fence: u64,
-    /// Term of the lease in which this was last confirmed.
+    /// Term of the lease in which the assignment was last confirmed.
     pub term: u64,
 }
 
-/// What holding wants done at the store.
+/// A store operation that is required.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldingAction {
-    /// Commit a renewal of this host's lease.
+    /// Commits a renewal of this host's lease.
     Renew { transaction: Transaction },
-    /// Read the whole table of rows.
+    /// Reads the complete table.
     ReadTable,
-    /// Commit changes of engines' holders, all or none.
+    /// Commits changes of engines' holders, all or none.
     Take {
         engines: Vec<TakenEngine>,
         transaction: Transaction,
     },
 }
 
-/// A holder row as last seen.
+/// A holder row as last read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct SeenHolder {
     version: u64,
     row: HolderRow,
 }
 
-/// Another host's lease as the store last told it.
+/// Another host's lease as last read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SeenLease {
     version: u64,
     known_since: Instant,
 }
 
-/// Decides which engines this host takes, and whether it may give orders.
+/// Decides which engines this host takes, and whether it may send orders to them.
 ///
-/// A lease counts from when its renewal was sent, on this host's steady clock. An engine of a lost
-/// host is taken in one transaction that expects the lost host's lease row as it was a lease and a
-/// gap ago: if that succeeds, the lost host has not renewed since, and its orders ended long before.
+/// A lease is valid from when its renewal was sent, on this host's monotonic clock. A lost host's engine is taken in
+/// a transaction that expects the lost host's lease row to be unchanged for a lease and a gap. If it succeeds, the
+/// lost host has not renewed since and its last order is old enough.
 pub struct Holding {
     me: HostRow,
     timings: HoldingTimings,
     lease: SessionLease,
-    /// Version of this host's row, once known; 0 if it is absent.
+    /// Version of this host's row, once known; 0 if there is none.
     row_version: Option<u64>,
     renewed_version: u64,
     renewing: bool,
@@ -132,15 +130,15 @@
     holders: BTreeMap<String, SeenHolder>,
     leases: BTreeMap<SocketAddr, SeenLease>,
     held: BTreeMap<String, HeldEngine>,
-    /// Engines that are not tried before these times.
+    /// Engines that are not tried before the given time.
     pending: BTreeMap<String, Instant>,
-    /// Engines without a holder that acts, and since when.
+    /// Engines without an active holder, and since when.
     vacant: BTreeMap<String, Instant>,
-    /// The table is read anew then: a reply about engines was lost.
+    /// When to read the table again after a lost reply.
     reread: Option<Instant>,
-    /// Engines in one transaction at the most.
+    /// Maximum number of engines in one transaction.
     batch_limit: usize,
-    /// Engines whose rows differ from what is expected in a way that was not understood.
+    /// Engines whose conflict replies did not explain the conflict.
     conflicting: BTreeSet<String>,
     rng: StdRng,
 }
@@ -174,17 +172,17 @@
         }
     }
 
-    /// This host's lease, to be looked at right before each order.
+    /// Returns this host's lease, which must be checked right before each order.
     pub fn lease(&self) -> &SessionLease {
         &self.lease
     }
 
-    /// Version of this host's lease row when it was last renewed, 0 before the first time.
+    /// Returns the version of this host's lease row at its last renewal, or 0 if there was none.
     pub fn lease_version(&self) -> u64 {
         self.renewed_version
     }
 
-    /// Engines that this host gives orders to now.
+    /// Returns the engines that this host may send orders to now.
     pub fn held(
         &self,
         now: Instant,
@@ -196,7 +194,7 @@
             .filter(move |(_, held)| holds && held.term == term)
     }
 
-    /// The engine, if this host may give orders to it now.
+    /// Returns the engine if this host may send orders to it now.
     pub fn may_order(
         &self,
         target: &str,
@@ -206,12 +204,13 @@
         self.lease.holds_in(held.term, now).then_some(*held)
     }
 
-    /// What should be done now.
+    /// Returns the store operations that are due now.
     ///
-    /// `engines` are the engines there are, with the key by which they are shared out; `takers` the
-    /// hosts that take engines; `may_take` says that this host is likely to be one of them, while the
-    /// hosts still get to know one another; `open` those of the engines to which no other host that answers says that
-    /// it gives orders; `lease_of` what membership knows of another host's lease.
+    /// - `engines`: all engines, with the keys by which they are distributed
+    /// - `takers`: the hosts that take engines
+    /// - `may_take`: whether this host is likely to be a taker, while membership has not settled
+    /// - `open`: the engines that no other responding host reports as its own
+    /// - `lease_of`: the lease of another host as known to membership
     pub fn decide(
         &mut self,
         engines: &BTreeMap<String, String>,
@@ -227,7 +226,7 @@
         self.pending.retain(|_, until| now < *until);
         let wanted = takers.contains(&self.me.peer) || self.is_named(engines);
         if !wanted && may_take && self.row_version.is_none() {
-            // What it held before it started anew it goes on with, before hosts agree on the rest.
+            // After a restart, a host resumes the engines that it held before takers are agreed on.
             actions.extend(self.read(now));
             return actions;
         }
@@ -267,8 +266,7 @@
         actions
     }
 
-    /// A renewal that was sent at `sent` ended; `None` if it was not done, or if whether it was done is
-    /// not known.
+    /// Handles the end of a renewal sent at `sent`; `version` is `None` if it failed or its outcome is unknown.
     pub fn on_renewed(
         &mut self,
         sent: Instant,
@@ -283,12 +281,12 @@
                 self.lease.renewed(sent, now);
                 self.next_renewal = sent + self.timings.renew;
             }
-            // If the row was written all the same, the next try finds it and expects that.
+            // If the row was written all the same, the next attempt fails with a conflict that names its version.
             None => self.next_renewal = now + self.retry_pause(),
         }
     }
 
-    /// A renewal found another row than expected; the next try expects what is there.
+    /// Handles a renewal conflict; the next attempt expects the version found.
     pub fn on_renewal_conflict(
         &mut self,
         rows: &[Row],
@@ -301,7 +299,7 @@
         self.row_version = Some(found.map_or(0, |row| row.version));
     }
 
-    /// The table was read, or could not be; `None` then.
+    /// Handles a read of the table, or `None` if it failed.
     pub fn on_table(
         &mut self,
         rows: Option<&[Row]>,
@@ -312,7 +310,7 @@
         let Some(rows) = rows else {
             self.next_read = now + self.retry_pause();
             if self.row_version.is_some() && self.read_term == term {
-                // It was read for the sake of a lost reply.
+                // The read followed a lost reply.
                 self.reread = Some(self.next_read);
             }
             return;
@@ -331,7 +329,7 @@
         }
     }
 
-    /// These engines' holder was changed, in one transaction.
+    /// Handles a transaction that made this host the holder of the engines.
     pub fn on_taken(
         &mut self,
         engines: &[TakenEngine],
@@ -357,10 +355,10 @@
         }
     }
 
-    /// A change of these engines' holder found other rows than expected.
+    /// Handles a takeover transaction that found other rows than expected.
     ///
-    /// The reply names all rows as they are: each that differs drops out of the next try, which follows at
-    /// once, or is expected as it is now. A try fails again only if another host has written meanwhile.
+    /// The reply contains all rows as they are. The next attempt follows at once, without the engines that were taken
+    /// by others, and with the new versions of the rest.
     pub fn on_take_conflict(
         &mut self,
         engines: &[TakenEngine],
@@ -373,7 +371,7 @@
         }
         match engines {
             [one] if !learnt => {
-                // It stays pending, and is tried alone from now on: it must hold no other up.
+                // It stays pending and is tried alone from now on, so that it can't block others.
                 self.conflicting.insert(one.target.clone());
                 self.batch_limit = MOST_ENGINES;
             }
@@ -387,14 +385,15 @@
                 };
             }
         }
-        // An answer from before the lease lapsed tells nothing of what others have taken since.
+        // A reply from before the lease lapsed does not show what others have taken since.
         if self.read_term == self.lease.term() {
             self.confirm_held();
         }
     }
 
-    /// Whether a change of these engines' holder was done is not known: they stay pending, and the
-    /// table is read anew, by each host at another moment.
+    /// Handles a takeover transaction whose outcome is unknown.
+    ///
+    /// The engines stay pending, and the table is read again after a random delay.
     pub fn on_take_lost(
         &mut self,
         now: Instant,
@@ -405,7 +404,7 @@
         self.reread.get_or_insert(at);
     }
 
-    /// The store has turned a change of these engines' holder away: nothing was done, nothing is to be read.
+    /// Handles a takeover transaction that the store rejected without effect.
     pub fn on_take_refused(
         &mut self,
         engines: &[TakenEngine],
@@ -417,7 +416,7 @@
         }
     }
 
-    /// The holder that the store last named.
+    /// Returns the holder by the last row read.
     pub fn holder(
         &self,
         target: &str,
@@ -425,7 +424,7 @@
         self.holders.get(target).map(|seen| seen.row.holder)
     }
 
-    /// True if the store last named this host as the holder of one of the engines.
+    /// Returns true if the last rows read name this host as the holder of one of the engines.
     fn is_named(
         &self,
         engines: &BTreeMap<String, String>,
@@ -435,7 +434,7 @@
             .any(|(target, seen)| seen.row.holder == self.me.peer && engines.contains_key(target))
     }
 
-    /// A host that gives no orders needs no lease, and spares the store.
+    /// Returns a renewal of the lease if it is due and this host needs one.
     fn renew(
         &mut self,
         wanted: bool,
@@ -449,7 +448,7 @@
         };
         self.renewing = true;
         let row = RowKey::new(HOLDING_TABLE, &host_key(self.me.peer));
-        let value = serde_json::to_vec(&self.me).expect("a host's row can be written");
+        let value = serde_json::to_vec(&self.me).expect("host row serializes");
         Some(HoldingAction::Renew {
             transaction: Transaction {
                 expected: vec![Expectation {
@@ -475,13 +474,13 @@
         Some(HoldingAction::ReadTable)
     }
 
-    /// The pause before a call is tried again.
+    /// Returns a random backoff before a call is retried.
     fn retry_pause(&mut self) -> Duration {
         let retry = self.timings.retry;
         self.rng.random_range(retry / 2..=retry + retry / 2)
     }
 
-    /// Takes a row in; true if it was not known so.
+    /// Applies a row. Returns true if it was not known.
     fn see(
         &mut self,
         row: &Row,
@@ -520,8 +519,10 @@
         row.version > old
     }
 
-    /// Another writer spoilt an engine's row: the holder that it named goes on to count, so that the engine is taken
-    /// once that one's lease has lapsed. Nobody knows whose lease to wait for if it was never read before.
+    /// Handles a malformed engine row.
+    ///
+    /// Keeps the holder named before, so that the engine is taken once that host's lease has lapsed. Without one, it is
+    /// unknown whose lease to wait for.
     fn on_spoilt_row(
         &mut self,
         target: &str,
@@ -535,7 +536,7 @@
         is_news
     }
 
-    /// Holds what the rows give to this host, and nothing else.
+    /// Sets the held engines to those that the rows assign to this host.
     fn confirm_held(&mut self) {
         let term = self.lease.term();
         let mine = self
@@ -550,7 +551,7 @@
             .collect();
     }
 
-    /// The engine, if this host may take it now.
+    /// Returns the engine if this host may take it now.
     fn look_at(
         &mut self,
         target: &str,
@@ -567,8 +568,7 @@
             }
             return None;
         }
-        // Versions of the store's rows only rise, also over the targets that follow one another at
-        // one address.
+        // Versions of the store's rows only increase, also across targets that reuse an address.
         let fence = (seen.map_or(0, |seen| seen.row.fence) + 1).max(self.renewed_version);
         let version = seen.map_or(0, |seen| seen.version);
         let vacant_since = match self.vacant.get(target) {
@@ -596,7 +596,7 @@
         })
     }
 
-    /// The version of a host's lease that has been known for long enough to have lapsed.
+    /// Returns the version of a host's lease that has been known for long enough to have lapsed.
     fn lapsed_lease(
         &self,
         host: SocketAddr,
@@ -610,7 +610,7 @@
             .leases
             .get(&host)
             .map(|lease| (lease.version, lease.known_since));
-        // Of the newest version, what was known first.
+        // The earliest time at which the newest version was known.
         let newest = told
             .into_iter()
             .chain(read)
--- a/src/process/holding/mod.rs
+++ b/src/process/holding/mod.rs
@@ -1,4 +1,4 @@
-//! Which host gives orders to which engine: leases and holder rows in the store.
+//! Assignment of engines to hosts, by leases and holder rows in the store.
 
 mod holder_rows;
 mod holding;
--- a/src/process/holding/take_batch.rs
+++ b/src/process/holding/take_batch.rs
@@ -4,26 +4,23 @@
     std::{collections::BTreeSet, net::SocketAddr},
 };
 
-/// Entries of one transaction at the most; the store takes no more.
-///
-/// An engine needs two, and each former holder one. A part of a table takes some 150 transactions a
-/// second: taken one by one, 3,000 engines keep it busy for 20 s while callers wait.
+/// Limit of the store for the entries of one transaction.
 const MOST_ENTRIES: usize = 100;
 
-/// Entries for an engine: what its row must be, and what it is to be.
+/// One expectation and one write.
 const ENTRIES_PER_ENGINE: usize = 2;
 
 /// Engines that fit into one transaction if they have no former holder.
 pub(super) const MOST_ENGINES: usize = MOST_ENTRIES / ENTRIES_PER_ENGINE;
 
-/// An engine that is taken, and the fence that this host's orders to it would bear.
+/// An engine that is taken, and the fence for this host's orders to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TakenEngine {
     pub target: String,
     pub fence: u64,
 }
 
-/// Another host's lease that has lapsed, if its row still has this version.
+/// Another host's lease that has lapsed, provided that its row still has this version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LapsedLease {
     pub host: SocketAddr,
@@ -34,13 +31,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct VacantEngine {
     pub engine: TakenEngine,
-    /// Version of its row, 0 if there is none.
+    /// Version of its row, or 0 if there is none.
     pub version: u64,
-    /// The lease of the holder that its row names.
+    /// Lease of the holder that its row names.
     pub lapsed: Option<LapsedLease>,
 }
 
-/// Puts the engines that a host takes at one moment into as few transactions as have room for them.
+/// Collects the engines that a host takes at one moment into as few transactions as possible.
 pub(super) struct TakeBatches {
     me: SocketAddr,
     most_engines: usize,
@@ -51,7 +48,7 @@
 }
 
 impl TakeBatches {
-    /// Batches of `most_engines` at the most.
+    /// Creates batches of at most `most_engines` engines.
     pub fn new(
         me: SocketAddr,
         most_engines: usize,
@@ -85,7 +82,7 @@
             holder: self.me,
             fence: vacant.engine.fence,
         };
-        let value = serde_json::to_vec(&value).expect("a holder's row can be written");
+        let value = serde_json::to_vec(&value).expect("holder row serializes");
         self.transaction.writes.push(RowWrite {
             row,
             value: Some(value),
@@ -93,7 +90,7 @@
         self.engines.push(vacant.engine);
     }
 
-    /// In a transaction of its own.
+    /// Adds an engine in a transaction of its own.
     pub fn add_alone(
         &mut self,
         vacant: VacantEngine,
@@ -103,7 +100,7 @@
         self.close();
     }
 
-    /// The transactions; a batch is not kept until it is full.
+    /// Returns all transactions, including the last one that is not full.
     pub fn finish(mut self) -> Vec<HoldingAction> {
         self.close();
         self.closed
--- a/src/process/holding/turns.rs
+++ b/src/process/holding/turns.rs
@@ -3,10 +3,9 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The order in which the hosts that take engines may take each of them.
+/// Order in which hosts may take vacant engines.
 ///
-/// Hosts are put into words once for all engines: with 3,000 vacant engines and 300 hosts a look at
-/// them took 420 ms (0.9 ms now), and there are twenty a second.
+/// Caches the hosts' names, which are ranked for each vacant engine.
 pub(super) struct Turns<'a> {
     me: Option<String>,
     takers: &'a [SocketAddr],
@@ -15,7 +14,7 @@
 }
 
 impl<'a> Turns<'a> {
-    /// Each host before this one has the time of a turn for itself.
+    /// Gives each host in the order a time of `turn` before the next one may take an engine.
     pub fn new(
         me: SocketAddr,
         takers: &'a [SocketAddr],
@@ -29,9 +28,9 @@
         }
     }
 
-    /// True if this host may take the engine with this key, which has been vacant for so long.
+    /// Returns true if this host may take the engine with this key, which has been vacant for `vacant`.
     ///
-    /// It is not counted how many hosts come before this one, only whether more do than have had their turn.
+    /// Stops counting preferred hosts once more are found than have had their turns.
     pub fn has_come(
         &mut self,
         key: &str,
--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -3,35 +3,34 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// An ask that was not granted within this time is answered, so that its score is renewed.
+/// Time after which a request without a grant is answered, so that its score is renewed.
 const ASK_LIFE: Duration = Duration::from_millis(500);
 
-/// Names one ask at the scheduler.
+/// Identifies a request at the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AskId(pub u64);
 
-/// An owner asks to load an adapter.
+/// A target owner's request to load an adapter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadAsk {
     pub host: String,
     pub target: String,
     pub model: AdapterVersion,
-    /// Weight of what waits for it.
+    /// Weight of the requests that wait for the adapter.
     pub score: f64,
 }
 
-/// What the scheduler answers.
+/// The scheduler's answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadDecision {
-    /// Go ahead; give the permission back under the ask's own number.
+    /// The load may start; the permit is released under the same id.
     Granted(AskId),
     NotYet(AskId),
 }
 
-/// Grants loads by weight, so many at once over the whole site.
+/// Grants permits for concurrent loads over the complete site, highest score first.
 ///
-/// Held by the host that the hash names; it keeps nothing that must last, since a permission
-/// guards only speed.
+/// Kept in memory by the host that the hash selects: losing it affects only load times.
 #[derive(Debug)]
 pub struct LoadQueue {
     at_once: usize,
@@ -41,7 +40,7 @@
 }
 
 impl LoadQueue {
-    /// `grant_life` is the time after which a permission that never came back is void.
+    /// Creates a queue whose permits expire after `grant_life`.
     pub fn new(
         at_once: usize,
         grant_life: Duration,
@@ -62,7 +61,7 @@
         self.granted.len()
     }
 
-    /// An ask arrives under a number that no other ask has.
+    /// Adds a request under a unique id.
     pub fn on_ask(
         &mut self,
         id: AskId,
@@ -72,7 +71,7 @@
         self.waiting.insert(id, (ask, now));
     }
 
-    /// The asker has gone away.
+    /// Removes a request whose sender has left.
     pub fn on_gone(
         &mut self,
         id: AskId,
@@ -80,7 +79,7 @@
         self.waiting.remove(&id);
     }
 
-    /// A permission comes back.
+    /// Releases a permit.
     pub fn on_release(
         &mut self,
         id: AskId,
@@ -88,7 +87,7 @@
         self.granted.remove(&id);
     }
 
-    /// A host has died: what it asked for and holds is void.
+    /// Removes the requests and permits of a lost host.
     pub fn on_host_gone(
         &mut self,
         host: &str,
@@ -97,7 +96,7 @@
         self.granted.retain(|_, (ask, _)| ask.host != host);
     }
 
-    /// Decisions that are due now.
+    /// Returns the decisions that are due now.
     pub fn decide(
         &mut self,
         now: Instant,
@@ -121,7 +120,7 @@
         self.waiting
             .iter()
             .max_by(|(a_id, (a, _)), (b_id, (b, _))| {
-                // Of two alike, the one that came first.
+                // The earlier one, on a tie.
                 a.score.total_cmp(&b.score).then(b_id.cmp(a_id))
             })
             .map(|(id, _)| *id)
--- a/src/process/loads/mod.rs
+++ b/src/process/loads/mod.rs
@@ -1,4 +1,4 @@
-//! The site-wide order in which adapters are loaded.
+//! Site-wide scheduling of adapter loads.
 
 mod load_queue;
 
