--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -1,5 +1,5 @@
-//! The desk of one engine, against an engine that obeys as the platform's pages say: orders may be
-//! left unanswered and carried out late, and the engine falls if it is told to hold too much.
+//! The allocator of one engine, against a simulated engine that may leave orders unanswered, carry them out late,
+//! and that fails if it is ordered to hold too many adapters.
 
 use {
     coveproxy::{
@@ -64,24 +64,24 @@
     }
 }
 
-/// An engine, as the pages describe it.
+/// A simulated engine that follows the platform's rules for orders.
 #[derive(Default)]
 struct Engine {
-    /// Which start of it this is.
+    /// Number of the incarnation.
     started: u64,
     model: bool,
     model_ready: Option<Instant>,
     held: BTreeMap<String, u64>,
     coming: BTreeMap<String, (u64, Instant)>,
-    /// Unloads and replacements that wait for runs to end.
+    /// Unloads (`None`) and replacements that wait for requests to end.
     waiting: BTreeMap<String, Option<u64>>,
     lately: HashSet<(String, u64)>,
     runs: HashMap<String, Vec<Instant>>,
     sequence: u64,
     loads_from_store: usize,
-    /// Orders that came while another was under way.
+    /// Orders rejected because another one was being carried out.
     refused_busy: usize,
-    /// Its base model lies on its disk.
+    /// Its base model is on its disk.
     model_at_hand: bool,
     newest: HashMap<String, u64>,
 }
@@ -127,7 +127,7 @@
         }
     }
 
-    /// It starts anew, empty, and counts its orders from zero.
+    /// Starts a new, empty incarnation, which counts orders from zero.
     fn restart(&mut self) {
         *self = Self {
             started: self.started + 1,
@@ -136,7 +136,7 @@
         };
     }
 
-    /// True while it carries out an order beside which it takes no other.
+    /// Returns true while it carries out an order that excludes others.
     fn is_busy(&self) -> bool {
         self.model_ready.is_some() || !self.waiting.is_empty()
     }
@@ -205,7 +205,7 @@
         }
         assert!(
             self.held.len() + self.coming.len() < SLOTS,
-            "the engine falls: {name} is one adapter too many"
+            "engine over capacity: {name} is one adapter too many"
         );
         let lately = self.lately.contains(&(name.to_string(), version));
         let time = match lately {
@@ -264,7 +264,7 @@
     }
 }
 
-/// Something under way between desk and engine.
+/// A message in flight between the allocator and the engine.
 enum Due {
     Order { order: DeskOrder, reply: bool },
     OrderEnd(Option<OrderReply>),
@@ -278,7 +278,7 @@
     desk: EngineDesk,
     engine: Engine,
     due: Vec<(Instant, Due)>,
-    /// Where each adapter stands, as the host was told last.
+    /// Last placement sent to the host, by adapter.
     told: HashMap<String, Placement>,
     unanswered: u32,
     looks: usize,
@@ -292,7 +292,7 @@
         Self::beside(seed, unanswered, SharedByDesks::default())
     }
 
-    /// An engine whose holder has other engines too.
+    /// Creates an engine whose holder has other engines too.
     fn beside(
         seed: u64,
         unanswered: u32,
@@ -320,9 +320,9 @@
             self.now += STEP;
             self.deliver();
             let actions = self.desk.on_tick(self.now);
-            // A desk that is due at once again and again would take the whole processor.
+            // An allocator that is always due would use a full processor.
             let due = self.desk.next_due();
-            assert!(due.is_none_or(|due| due > self.now), "due again at once");
+            assert!(due.is_none_or(|due| due > self.now), "next deadline is not in the future");
             self.take(actions);
         }
     }
@@ -414,7 +414,7 @@
         }
     }
 
-    /// The host sends a request if it was told that the adapter is there, and tells of its use.
+    /// Sends a request if the adapter was reported as ready, or else requests its load.
     fn request(
         &mut self,
         adapter: &str,
@@ -436,7 +436,7 @@
         true
     }
 
-    /// The engine starts anew; the list of targets tells the desk so, or the desk is left to find out.
+    /// Restarts the engine. The allocator learns it from the target list, or by itself.
     fn restart(
         &mut self,
         told: bool,
@@ -482,7 +482,7 @@
     assert_eq!(world.engine.held.get("a1"), Some(&1));
 }
 
-/// Other engines of the same holder, which hold the base model.
+/// State of a holder that has another engine with the base model.
 fn others(running: u32) -> SharedByDesks {
     let shared = SharedByDesks::default();
     fill(&shared, running);
@@ -530,7 +530,7 @@
         assert!(there || world.state("a1") != PlacementState::Ready);
     }
     let late = world.looks;
-    assert!(late <= 6, "{late} looks for one load");
+    assert!(late <= 6, "{late} probes for one load");
 }
 
 #[test]
@@ -541,7 +541,7 @@
         world.want(name, 1);
         world.run(ms(1_500));
     }
-    // a1 made way; it comes back at once.
+    // a1 was evicted, but the engine still caches it.
     assert!(!world.engine.held.contains_key("a1"));
     let before = world.engine.loads_from_store;
     world.want("a1", 1);
@@ -571,7 +571,7 @@
         world.run(ms(400));
         assert_eq!(world.state(name), PlacementState::Ready);
     }
-    // Places are not kept free for what may come: only the seventh adapter needs one.
+    // No slot is kept free in advance: only the seventh adapter needs an eviction.
     assert_eq!(world.engine.held.len(), SLOTS);
     assert!(
         !world.engine.held.contains_key("a3"),
@@ -597,8 +597,8 @@
     assert_eq!(world.state("b"), PlacementState::Full);
 }
 
-/// After a start anew the desk does not know of requests that run: what it drops may be in use. The
-/// engine then waits for them and refuses every order; hosts are to ask elsewhere meanwhile.
+/// After a host's restart, an adapter without known requests may be in use. The engine then waits for these
+/// requests and rejects all orders, so load requests must be rejected too.
 #[test]
 fn an_engine_that_waits_for_unknown_requests_gets_no_orders() {
     let mut world = World::new(1, 0);
@@ -626,7 +626,7 @@
     assert_eq!(world.state("c"), PlacementState::Ready);
 }
 
-/// Whoever waits is to ask elsewhere, instead of waiting for orders that are carried out seconds late.
+/// Hosts that wait must try other engines instead of waiting for orders that are carried out seconds late.
 #[test]
 fn an_engine_that_leaves_orders_unanswered_is_asked_for_nothing_for_a_while() {
     let mut world = World::new(1, 0);
@@ -653,7 +653,7 @@
     world.want("a1", 1);
     world.run(ms(100));
     assert_eq!(world.state("a1"), PlacementState::Coming);
-    // An order that conflicts makes the desk learn from a report.
+    // A conflicting order makes the allocator request a report.
     world.engine.sequence += 1;
     world.run(ms(700));
     assert_eq!(world.state("a1"), PlacementState::Ready);
@@ -699,7 +699,7 @@
     world.run(ms(3_000));
     world.want("a1", 1);
     world.run(ms(60));
-    // The weight store was busy for once.
+    // The weight store is slow once.
     world.engine.coming.get_mut("a1").unwrap().1 = world.now + ms(2_000);
     world.run(ms(2_500));
     assert_eq!(world.state("a1"), PlacementState::Ready);
@@ -714,8 +714,7 @@
     }
 }
 
-/// Random use with orders that are left unanswered and carried out late. The engine itself checks
-/// that it is never told to hold too much.
+/// Random use with orders that are unanswered and carried out late. The simulated engine asserts the limit.
 #[test]
 fn an_engine_is_never_told_to_hold_too_much() {
     let (mut served, mut asked) = ([0; 3], 0);
@@ -745,7 +744,7 @@
             world.run(pause);
         }
     }
-    // Twelve adapters take turns on six places; of 8,000 requests each at 0, 20 and 50% unanswered.
+    // Twelve adapters share six slots; 8,000 requests each at 0, 20 and 50% unanswered orders.
     assert_eq!(asked, 24_000);
     assert!(
         served[0] > 3_000 && served[1] > 2_800 && served[2] > 1_500,
@@ -766,14 +765,13 @@
     assert_eq!(world.desk.places()["m0/a1"].in_flight(), 0);
 }
 
-/// Found by `coveproxy explain`: a request waited at one engine until its caller left, as each answer of
-/// the holder promised the adapter anew.
+/// Guards against a request that waits at one engine until its caller leaves, as each reply renews the promise.
 #[test]
 fn a_promise_that_was_not_kept_is_not_given_again() {
     let mut world = World::new(1, 0);
     world.run(ms(3_000));
     world.want("a1", 1);
-    // The engine falls silent: its answer to the order never comes.
+    // The reply to the order never arrives.
     world.due.clear();
     world.want("a2", 1);
     assert_eq!(world.state("a2"), PlacementState::Coming);
@@ -787,9 +785,7 @@
     assert_eq!(world.state("a2"), PlacementState::Full);
 }
 
-/// While the weight store has too much to do the queue is as long as is allowed. Allowed 900 ms, each
-/// load was over too late for requests with an aim of 800 ms, so that on the large site
-/// 1,400 of 6,700 answers of the twelve seconds with more loads than the store carries were late.
+/// Guards against a queue so long that every load completes after the deadline of the request that caused it.
 #[rstest]
 #[case::no_time_left_for_the_queue(600, 4, Some(NoProspect::LongQueue))]
 #[case::time_enough(890, 4, None)]
@@ -826,7 +822,7 @@
     }
 }
 
-/// Whoever asks learns how long a load would take there, and weighs it with copies elsewhere.
+/// Hosts weigh the load time at this engine against copies elsewhere.
 #[test]
 fn a_query_for_what_is_not_there_tells_how_long_its_load_takes() {
     let shared = SharedByDesks::default();
@@ -853,8 +849,7 @@
     assert!(due(&mut world) > 700);
 }
 
-/// Callers were sent to an engine that had started anew, and to adapters that it no longer held, until each of
-/// them had been asked for in vain: what an earlier start held says nothing of the later one.
+/// Guards against requests for adapters that only an earlier incarnation of the engine held.
 #[rstest]
 #[case::the_list_tells(true)]
 #[case::only_its_report_tells(false)]
@@ -868,7 +863,7 @@
     }
     world.restart(told);
     if !told {
-        // The next order finds another count, and the desk asks for a report.
+        // The next order meets another sequence, and the allocator requests a report.
         world.want("a3", 1);
         world.run(ms(500));
     }
@@ -876,7 +871,7 @@
     assert_eq!(world.state("a2"), PlacementState::Full);
     assert_eq!(world.desk.places().len(), 0);
     world.run(ms(2_500));
-    assert!(world.engine.model, "its base model comes back");
+    assert!(world.engine.model, "base model not loaded again");
     let before = world.engine.loads_from_store;
     world.want("a1", 1);
     world.run(ms(1_000));
@@ -885,7 +880,7 @@
     assert_eq!(world.engine.refused_busy, 0);
 }
 
-/// A host that waits for an adapter at an engine that starts anew would wait for its base model, too.
+/// Hosts would otherwise wait for the base model as well.
 #[test]
 fn whoever_waits_at_an_engine_that_starts_anew_is_told_to_ask_elsewhere() {
     let mut world = World::new(1, 0);
@@ -898,8 +893,7 @@
     assert_eq!(world.state("a5"), PlacementState::Full);
 }
 
-/// Reports are some hundred milliseconds old, and entries may be written late: neither brings back what an
-/// earlier start held.
+/// Guards against old reports and list entries that bring back the state of an earlier incarnation.
 #[test]
 fn late_news_of_an_earlier_start_change_nothing() {
     let mut world = World::new(1, 0);
@@ -919,9 +913,8 @@
     assert!(world.engine.model);
 }
 
-/// An order that got no answer reached an engine 2 to 12 s later, after the engine had started anew and its new
-/// count of orders had come to the number that the order expected: it took a place that the holder had given to
-/// another adapter, and the engine was ordered to hold one too many. The engine checks this itself.
+/// Guards against an unanswered order that takes effect after a restart, once the new sequence reaches its number, and
+/// takes a slot given to another adapter. The simulated engine asserts the limit.
 #[rstest]
 #[case::the_list_tells(true)]
 #[case::only_its_report_tells(false)]
@@ -951,8 +944,7 @@
     assert!(served > 2_000, "{served} of 18,000");
 }
 
-/// A host took an engine over to which the holder before had ordered loads. It reckoned with none of them, and
-/// ordered as many again as a host begins with, while the weight store was busy with the first.
+/// Guards against a new holder that ignores the loads ordered by the previous one, and overloads the weight store.
 #[test]
 fn loads_that_a_holder_before_has_ordered_count_for_the_limit() {
     let shared = SharedByDesks::default();
--- a/tests/engine_standing.rs
+++ b/tests/engine_standing.rs
@@ -1,5 +1,4 @@
-//! What hosts of a large site ask before they send: the standing of an engine, and the limit of loads
-//! that all engines of one host share.
+//! Usage of an engine as reported to hosts that query it, and the load limit shared by the engines of a host.
 
 use {
     coveproxy::{
@@ -112,21 +111,20 @@
     limiter.set("a", loads(1, 0));
     assert!(limiter.has_room());
     limiter.set("b", loads(1, 3));
-    assert!(!limiter.has_room(), "two are on their way");
-    assert!(limiter.queue_time() > ms(500), "three wait");
+    assert!(!limiter.has_room(), "two loads in progress");
+    assert!(limiter.queue_time() > ms(500), "three loads queued");
     limiter.forget("b");
     assert!(limiter.has_room());
 }
 
-/// A weight store that carries so many loads a second, whatever their number, against hosts that each
-/// want more than their share of it.
+/// A weight store with a fixed total rate, against hosts that each request more than their share.
 #[test]
 fn loads_stay_fast_though_more_are_wanted_than_the_store_carries() {
     const HOSTS: usize = 7;
     const PER_SECOND: f64 = 30.0;
     const STEP: f64 = 0.01;
     let mut limiters: Vec<LoadLimiter> = (0..HOSTS).map(|_| LoadLimiter::default()).collect();
-    // Per host, of each load: what is left of it as a share, and its age in seconds.
+    // Per host, for each load: the remaining share, and the age in seconds.
     let mut coming: Vec<Vec<(f64, f64)>> = vec![Vec::new(); HOSTS];
     let (mut done, mut late_times) = (0, Vec::new());
     for step in 0..6_000 {
@@ -138,7 +136,7 @@
             }
         }
         let all: usize = coming.iter().map(Vec::len).sum();
-        // Alone, a load takes a quarter of a second.
+        // Without others, a load takes a quarter of a second.
         let rate = (PER_SECOND / all.max(1) as f64).min(4.0) * STEP;
         for (limiter, coming) in limiters.iter_mut().zip(&mut coming) {
             for load in coming.iter_mut() {
@@ -156,7 +154,7 @@
     }
     late_times.sort_by(f64::total_cmp);
     let p90 = late_times[late_times.len() * 9 / 10];
-    assert!(p90 < 0.8, "nine in ten within {p90} s");
-    // The store is kept at work.
+    assert!(p90 < 0.8, "90th percentile of load times is {p90} s");
+    // The store stays utilized.
     assert!(f64::from(done) > 0.9 * PER_SECOND * 60.0, "{done} loads");
 }
--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -1,5 +1,5 @@
-//! Who gives orders to an engine: leases and holder rows, against a store that loses replies, does
-//! writes late and turns hosts away, with hosts that stand still and start anew.
+//! Leases and holder rows of engines, against a store that loses replies, writes late and rejects calls, with hosts that
+//! pause and restart.
 
 use {
     coveproxy::{
@@ -24,10 +24,10 @@
 const STEP: Duration = Duration::from_millis(50);
 const ENGINES: usize = 4;
 
-/// More than one transaction has room for, at each of three hosts.
+/// More than fit into one transaction at each of three hosts.
 const MANY_ENGINES: usize = 180;
 
-/// Entries that the store takes in one transaction.
+/// Limit of the store.
 const MOST_ENTRIES: usize = 100;
 
 fn ms(ms: u64) -> Duration {
@@ -38,7 +38,7 @@
     format!("10.0.0.{}:7000", host + 1).parse().unwrap()
 }
 
-/// The rows, under conditions, with one version for the whole store.
+/// A store with conditional writes, and one version for all rows.
 #[derive(Default)]
 struct Store {
     rows: BTreeMap<String, (u64, Vec<u8>)>,
@@ -94,9 +94,9 @@
     }
 }
 
-/// Something that happens at a time.
+/// An event that is due at a time.
 enum Due {
-    /// The store gets a call and answers, unless the reply is lost.
+    /// A call that the store answers, unless the reply is lost.
     Call {
         host: usize,
         life: u64,
@@ -130,16 +130,16 @@
     hosts: Vec<Host>,
     due: Vec<(Instant, Due)>,
     engines: BTreeMap<String, String>,
-    /// What each host last told of its lease, and since when others know.
+    /// Last lease version published by each host, and when.
     told: HashMap<usize, (u64, Instant)>,
     last_order: HashMap<String, (usize, Instant, u64)>,
     orders: usize,
     turns: usize,
-    /// Transactions that were to change a holder.
+    /// Transactions that change holders.
     takes: usize,
-    /// Share of calls whose reply is lost, in percent.
+    /// Percentage of calls whose reply is lost.
     lost: u32,
-    /// Hosts have agreed on who takes engines.
+    /// The hosts have agreed on which of them take engines.
     agreed: bool,
 }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Orders come out of what a host believes at this moment, and arrive a little later.
+    /// Sends orders by what the host believes at this moment; they arrive a little later.
     fn tick(
         &mut self,
         host: usize,
@@ -296,12 +296,12 @@
                 self.turns += 1;
                 assert!(
                     arrives >= *at + GAP,
-                    "orders of two holders of {engine} lie {:?} apart",
+                    "orders of two holders of {engine} are only {:?} apart",
                     arrives.saturating_duration_since(*at)
                 );
                 assert!(held.fence > *fence, "{engine}: two holders share a fence");
             }
-            assert!(held.fence >= *fence, "{engine}: the fence went back");
+            assert!(held.fence >= *fence, "{engine}: the fence decreased");
         }
         self.orders += 1;
         self.last_order
@@ -416,7 +416,7 @@
             Due::Reply { host, life, .. }
                 if self.hosts[host].life != life || self.hosts[host].holding.is_none() => {}
             Due::Reply { host, .. } if !self.is_up(host) => {
-                // It reads the reply once it wakes.
+                // It reads the reply when it resumes.
                 let wakes = self.hosts[host].paused_until;
                 self.due.push((wakes, due));
             }
@@ -478,7 +478,7 @@
                 self.hosts[host].starts_at = now + time;
             }
             _ => {
-                // Everything loses power at once.
+                // All hosts lose power at once.
                 for host in &mut self.hosts {
                     host.holding = None;
                     host.starts_at = now + ms(700);
@@ -510,7 +510,7 @@
         orders += world.orders;
         turns += world.turns;
     }
-    // The check would be empty if nobody gave orders, or nobody took over.
+    // Ensures that there were orders and takeovers to check.
     assert!(orders > 100_000, "{orders} orders");
     assert!(turns > 200, "{turns} changes of holder");
 }
@@ -545,8 +545,8 @@
     }
 }
 
-/// After a loss of power hosts go on with the engines that the store gives to them before they have
-/// agreed on anything, and take no others.
+/// After a power loss, hosts resume the engines that the store assigns to them before they agree on anything,
+/// and take no others.
 #[test]
 fn hosts_that_start_anew_do_not_wait_for_agreement() {
     let mut world = World::new(6, 3, 0);
@@ -640,7 +640,7 @@
     assert!(world.takes <= 2 * ENGINES, "{} transactions", world.takes);
 }
 
-/// One host that has its lease, alone before many engines.
+/// A single host with a lease and many vacant engines.
 struct Alone {
     holding: Holding,
     engines: BTreeMap<String, String>,
@@ -686,7 +686,7 @@
         )
     }
 
-    /// The batches that are taken now.
+    /// Returns the batches that are taken now.
     fn takes(&mut self) -> Vec<Vec<TakenEngine>> {
         let batches = self.decide().into_iter().map(|action| match action {
             HoldingAction::Take { engines, .. } => engines,
@@ -695,7 +695,7 @@
         batches.collect()
     }
 
-    /// Time until the table is read, if it is within so long.
+    /// Returns the time until the table is read, if within `time`.
     fn reads_within(
         &mut self,
         time: Duration,
@@ -711,8 +711,7 @@
     }
 }
 
-/// Hosts that see different sets of hosts for a moment take the same engines. Whoever comes second must
-/// not lose its whole batch to one engine that another host has got.
+/// Guards against a full batch lost to one engine that another host has taken at the same moment.
 #[test]
 fn an_engine_that_another_host_has_got_holds_no_other_up() {
     let mut alone = Alone::new(40, 1);
@@ -740,7 +739,7 @@
     assert!(!names.contains(&"engine-5"));
 }
 
-/// A conflict whose reply tells nothing new must not be tried for ever with the same engines.
+/// Guards against endless retries of a conflict whose reply contains nothing new.
 #[test]
 fn an_engine_whose_conflict_is_not_understood_ends_up_alone() {
     let mut alone = Alone::new(40, 1);
@@ -757,19 +756,18 @@
         }
     }
     assert_eq!(left, 1);
-    // Engines that become vacant later go together again.
+    // Engines that become vacant later share a transaction again.
     alone
         .engines
         .extend((0..40).map(|at| (format!("later-{at}"), format!("later-key-{at}"))));
     alone.now += ms(2_100);
     let sizes: Vec<usize> = alone.takes().iter().map(Vec::len).collect();
     assert_eq!(sizes, [1, 40]);
-    // Each halving takes three at the most: both halves, and the one that failed once more.
+    // Each halving takes at most three: both halves, and the failed one again.
     assert!(tries <= 18, "{tries} transactions");
 }
 
-/// Another writer spoilt the row of an engine whose holder is lost. The row's version was passed over, so that each try
-/// to take the engine expected an older one, and it never got a holder again.
+/// Guards against an engine without a holder, as each attempt to take it expects the version before the malformed row.
 #[test]
 fn an_engine_whose_row_was_spoilt_is_taken_once_its_holders_lease_has_lapsed() {
     let mut alone = Alone::new(1, 1);
@@ -798,7 +796,7 @@
     alone.holding.on_table(Some(&rows), 1, alone.now);
     let spoilt = [row(engine_key("engine-0"), 6, b"spoilt".to_vec())];
     alone.holding.on_table(Some(&spoilt), 1, alone.now);
-    assert!(alone.takes().is_empty(), "its holder may still act");
+    assert!(alone.takes().is_empty(), "its holder may still send orders");
     let mut expected = None;
     for _ in 0..20 {
         alone.now += ms(1_000);
@@ -812,8 +810,7 @@
     assert_eq!(expected, Some(6));
 }
 
-/// When many hosts start, the store turns most calls away for a second. Hosts that then read all rows
-/// keep its links and their own busy, and the next tries fail, too.
+/// Guards against table reads after rejected calls, which keep an overloaded store busy.
 #[test]
 fn a_host_that_was_turned_away_reads_nothing() {
     let mut alone = Alone::new(40, 1);
@@ -830,7 +827,7 @@
     ));
 }
 
-/// Hundreds of hosts lose replies at the same moment; the rows of 3,000 engines are half a MB for each.
+/// Guards against hundreds of hosts that read a large table at the same moment.
 #[test]
 fn hosts_read_many_rows_at_different_times_after_lost_replies() {
     let rows = (0..3_000).map(|at| {
@@ -851,17 +848,15 @@
         let batches = alone.takes();
         assert_eq!(batches.len(), 1);
         alone.holding.on_take_lost(alone.now);
-        assert!(alone.takes().is_empty(), "they are pending");
-        alone.reads_within(ms(3_100)).expect("it reads")
+        assert!(alone.takes().is_empty(), "pending engines were taken");
+        alone.reads_within(ms(3_100)).expect("the table is read")
     };
     let times: BTreeSet<Duration> = (0..30).map(read_at).collect();
     assert!(times.len() >= 15, "{times:?}");
 }
 
-/// A host's lease lapsed while the store took long to answer that another engine is no longer to be had. The
-/// answer came once the lease was held anew, and the host took it for a confirmation of all that it held
-/// before; another host gave orders to one of those engines by then. Only a read of the table in the new
-/// term may confirm what is held.
+/// Guards against a conflict reply from before a lapse of the lease that confirms engines which another host has taken
+/// since. Only a read of the table in the new term may confirm them.
 #[test]
 fn an_answer_from_before_a_lapse_confirms_nothing() {
     let mut world = World::new(8, 2, 0);
--- a/tests/told_loads.rs
+++ b/tests/told_loads.rs
@@ -1,4 +1,4 @@
-//! Which loads of engines are told to other hosts.
+//! Which engine loads are sent to other hosts.
 
 use {
     coveproxy::{clock::Instant, connection::datagram::EngineLoad, process::engines::ToldLoads},
