--- a/src/process/engines/desk_choice.rs
+++ b/src/process/engines/desk_choice.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AdapterPlace, DeskOrder, EngineDesk, OrderPurpose, PlaceState,
+        AdapterPlace, DeskOrder, EngineAllocator, OrderPurpose, PlaceState,
         engine_desk::{MAX_COMING, key, name_of},
         load_limiter::LOAD_TIME,
     },
@@ -16,7 +16,7 @@
 /// Minimum interval between two orders of a base model.
 const MODEL_RETRY: Duration = Duration::from_secs(2);
 
-impl EngineDesk {
+impl EngineAllocator {
     pub(super) fn choose(
         &mut self,
         sequence: u64,
--- a/src/process/engines/desk_outcomes.rs
+++ b/src/process/engines/desk_outcomes.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AdapterPlace, DeskAction, DeskOrder, EngineDesk, OrderPurpose, PlaceState,
+        AdapterPlace, DeskAction, DeskOrder, EngineAllocator, OrderPurpose, PlaceState,
         engine_desk::{REPORT_LAG, key},
         load_limiter::LOAD_TIME,
     },
@@ -37,7 +37,7 @@
 /// Load time of an adapter that the engine still caches.
 const RELOAD_TIME: Duration = Duration::from_millis(27);
 
-impl EngineDesk {
+impl EngineAllocator {
     /// Handles the engine's report, or `None` if none arrived.
     pub fn on_report(
         &mut self,
--- a/src/process/engines/desk_start.rs
+++ b/src/process/engines/desk_start.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        DeskAction, DeskOrder, EngineDesk, EngineUse, LateOrders, LoadMemory,
+        DeskAction, DeskOrder, EngineAllocator, EngineUse, LateOrders, LoadMemory,
         engine_desk::REMEMBERED_PER_PLACE,
     },
     crate::{
@@ -12,7 +12,7 @@
     },
 };
 
-impl EngineDesk {
+impl EngineAllocator {
     /// Handles the incarnation named in the target list. Ignores incarnations older than the known one.
     pub fn on_start(
         &mut self,
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -67,7 +67,7 @@
 /// Decides the orders to one engine.
 ///
 /// At most one order is in flight, and each names the sequence number that it expects.
-pub struct EngineDesk {
+pub struct EngineAllocator {
     pub(super) target: String,
     pub(super) spec: EngineSpec,
     /// Last known incarnation of the engine.
@@ -104,7 +104,7 @@
     pub(super) usage: EngineUse,
 }
 
-impl EngineDesk {
+impl EngineAllocator {
     pub fn new(
         target: &str,
         spec: EngineSpec,
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -20,7 +20,7 @@
     adapter_place::{AdapterPlace, PlaceState},
     base_load_pace::{BaseLoadPace, SharedBaseLoadPace},
     desk_order::{DeskAction, DeskOrder, OrderPurpose},
-    engine_desk::{EngineDesk, REMEMBERED_PER_PLACE, SharedByDesks},
+    engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedByDesks},
     engine_pool::{EngineFill, EnginePool, SharedEnginePool},
     engine_use::{EngineUse, UseSum},
     late_orders::LateOrders,
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -13,7 +13,7 @@
         formats::{Order, OrderKind, OrderReply},
         metrics::{WaitLabels, metrics},
         note,
-        process::engines::{DeskAction, DeskOrder, EngineDesk, OrderPurpose, WishRank},
+        process::engines::{DeskAction, DeskOrder, EngineAllocator, OrderPurpose, WishRank},
         timeline::Event,
     },
     std::net::SocketAddr,
@@ -72,7 +72,7 @@
         &mut self,
         target: &str,
         now: Instant,
-        decide: impl FnOnce(&mut EngineDesk) -> Vec<DeskAction>,
+        decide: impl FnOnce(&mut EngineAllocator) -> Vec<DeskAction>,
     ) -> Vec<ControlAction> {
         let Some(desk) = self.desks.get_mut(target) else {
             return Vec::new();
@@ -109,7 +109,10 @@
 
     /// When a desk has something to decide without being told anything.
     pub(super) fn next_desk_due(&self) -> Option<Instant> {
-        self.desks.values().filter_map(EngineDesk::next_due).min()
+        self.desks
+            .values()
+            .filter_map(EngineAllocator::next_due)
+            .min()
     }
 
     pub(super) fn on_want(
@@ -307,7 +310,7 @@
 /// How busy an engine is, as one host is told.
 fn load_for(
     target: &str,
-    desk: &EngineDesk,
+    desk: &EngineAllocator,
     host: SocketAddr,
 ) -> EngineLoad {
     let others = desk.usage().of_others(host);
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -9,7 +9,7 @@
         formats::{Commit, Row, RowBatch},
         note,
         process::{
-            engines::EngineDesk,
+            engines::EngineAllocator,
             holding::{HolderRow, HoldingAction, HostRow, KnownLease, TakenEngine},
         },
         request::quotas::slot_name,
@@ -272,7 +272,7 @@
             let Some(spec) = service.and_then(|service| service.engine.clone()) else {
                 continue;
             };
-            let mut desk = EngineDesk::new(&target, spec, self.shared.clone(), now);
+            let mut desk = EngineAllocator::new(&target, spec, self.shared.clone(), now);
             desk.on_start(listed.record.started, now);
             desk.set_late_orders(self.late_orders.remove(&target).unwrap_or_default());
             for (adapter, versions) in self.versions.iter() {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -16,7 +16,7 @@
         formats::Formats,
         note,
         process::{
-            engines::{EngineDesk, LateOrders, SharedByDesks, ToldLoads},
+            engines::{EngineAllocator, LateOrders, SharedByDesks, ToldLoads},
             holding::{Holding, HoldingTimings, HostRow},
             hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
             ownership::SessionLease,
@@ -86,7 +86,7 @@
     pub(super) declared: KeptTable,
     pub(super) listed: KeptTable,
     pub(super) holding: Holding,
-    pub(super) desks: BTreeMap<String, EngineDesk>,
+    pub(super) desks: BTreeMap<String, EngineAllocator>,
     /// Orders of desks that were closed a moment ago, by engine: they may still reach it.
     pub(super) late_orders: HashMap<String, LateOrders>,
     /// What the desks share.
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -7,8 +7,8 @@
         connection::datagram::{AdapterUsage, EngineQuery, Placement, PlacementState, Usage, Want},
         formats::{HeldAdapter, HeldModel, OrderKind, OrderReply, TargetReport, TargetStart},
         process::engines::{
-            DeskAction, DeskOrder, EngineDesk, EngineFill, EngineLoads, NoProspect, OrderPurpose,
-            SharedByDesks,
+            DeskAction, DeskOrder, EngineAllocator, EngineFill, EngineLoads, NoProspect,
+            OrderPurpose, SharedByDesks,
         },
         version::routing::{BaseModel, EngineSpec},
     },
@@ -275,7 +275,7 @@
 struct World {
     rng: StdRng,
     now: Instant,
-    desk: EngineDesk,
+    desk: EngineAllocator,
     engine: Engine,
     due: Vec<(Instant, Due)>,
     /// Last placement sent to the host, by adapter.
@@ -302,7 +302,7 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             now,
-            desk: EngineDesk::new("engine", spec(), shared, now),
+            desk: EngineAllocator::new("engine", spec(), shared, now),
             engine: Engine::default(),
             due: Vec::new(),
             told: HashMap::new(),
@@ -322,7 +322,10 @@
             let actions = self.desk.on_tick(self.now);
             // An allocator that is always due would use a full processor.
             let due = self.desk.next_due();
-            assert!(due.is_none_or(|due| due > self.now), "next deadline is not in the future");
+            assert!(
+                due.is_none_or(|due| due > self.now),
+                "next deadline is not in the future"
+            );
             self.take(actions);
         }
     }
