--- a/src/process/engines/desk_choice.rs
+++ b/src/process/engines/desk_choice.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AdapterPlace, DeskOrder, EngineAllocator, OrderPurpose, PlaceState,
+        AdapterPlace, EngineAllocator, OrderPurpose, PlaceState, PlannedOrder,
         engine_desk::{MAX_COMING, key, name_of},
         load_limiter::LOAD_TIME,
     },
@@ -21,7 +21,7 @@
         &mut self,
         sequence: u64,
         now: Instant,
-    ) -> Option<DeskOrder> {
+    ) -> Option<PlannedOrder> {
         let Some(model) = self.model.clone() else {
             return self.choose_model(sequence, now);
         };
@@ -39,7 +39,7 @@
         &mut self,
         sequence: u64,
         now: Instant,
-    ) -> Option<DeskOrder> {
+    ) -> Option<PlannedOrder> {
         if now < self.model_not_before {
             return None;
         }
@@ -57,7 +57,7 @@
             return None;
         }
         self.model_not_before = now + MODEL_RETRY;
-        Some(DeskOrder {
+        Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Load,
             model: fits.name.clone(),
@@ -75,7 +75,7 @@
         model: &str,
         sequence: u64,
         now: Instant,
-    ) -> Option<DeskOrder> {
+    ) -> Option<PlannedOrder> {
         let due = |place: &AdapterPlace| match place.state {
             PlaceState::Coming { due, .. } if due <= now => Some(due),
             _ => None,
@@ -85,7 +85,7 @@
             .iter()
             .filter_map(|(adapter, place)| Some((adapter, place, due(place)?)))
             .min_by_key(|(_, _, due)| *due)?;
-        Some(DeskOrder {
+        Some(PlannedOrder {
             purpose: OrderPurpose::Look,
             kind: OrderKind::Load,
             model: model.to_string(),
@@ -103,7 +103,7 @@
         model: &str,
         sequence: u64,
         now: Instant,
-    ) -> Option<DeskOrder> {
+    ) -> Option<PlannedOrder> {
         let coming = self
             .places
             .values()
@@ -150,7 +150,7 @@
             false => "missing",
         };
         self.places.insert(next, place);
-        Some(DeskOrder {
+        Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Load,
             model: model.to_string(),
@@ -168,7 +168,7 @@
         model: &str,
         sequence: u64,
         now: Instant,
-    ) -> Option<DeskOrder> {
+    ) -> Option<PlannedOrder> {
         let short = self.free_places(now) < self.wishes.len().min(MAX_COMING);
         let (victim, reason) = match self.stale_and_idle(now) {
             Some(stale) => (stale, "old_version"),
@@ -177,7 +177,7 @@
         };
         let name = name_of(&victim, model)?.to_string();
         self.places.get_mut(&victim)?.state = PlaceState::Going;
-        Some(DeskOrder {
+        Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Unload,
             model: model.to_string(),
--- a/src/process/engines/desk_outcomes.rs
+++ b/src/process/engines/desk_outcomes.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AdapterPlace, DeskAction, DeskOrder, EngineAllocator, OrderPurpose, PlaceState,
+        AdapterPlace, AllocatorAction, EngineAllocator, OrderPurpose, PlaceState, PlannedOrder,
         engine_desk::{REPORT_LAG, key},
         load_limiter::LOAD_TIME,
     },
@@ -43,7 +43,7 @@
         &mut self,
         report: Option<TargetReport>,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let asked = self.report_asked.take();
         let Some(report) = report else {
             self.report_due = Some(now + REPORT_RETRY);
@@ -89,7 +89,7 @@
         &mut self,
         reply: Option<OrderReply>,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let Some(order) = self.under_way.take() else {
             return Vec::new();
         };
@@ -116,9 +116,9 @@
     /// accepted, the first one is void.
     pub(super) fn on_unanswered(
         &mut self,
-        order: DeskOrder,
+        order: PlannedOrder,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         self.late_orders.note(order.clone(), now);
         if order.purpose == OrderPurpose::Look {
             self.postpone_look(&order, now);
@@ -134,21 +134,21 @@
             self.learn_anew(now);
             return actions;
         }
-        let again = DeskOrder {
+        let again = PlannedOrder {
             tries: order.tries + 1,
             ..order
         };
         self.under_way = Some(again.clone());
-        actions.push(DeskAction::Order(again));
+        actions.push(AllocatorAction::Order(again));
         actions
     }
 
     /// Rejects all pending loads, so that the waiting hosts try other engines.
-    pub(super) fn turn_wishes_away(&mut self) -> Vec<DeskAction> {
+    pub(super) fn turn_wishes_away(&mut self) -> Vec<AllocatorAction> {
         let mut actions = Vec::new();
         for (adapter, wish) in std::mem::take(&mut self.wishes) {
             let placement = self.placement_to_come(&adapter, wish.version, PlacementState::Full);
-            let tell = |host| DeskAction::Tell {
+            let tell = |host| AllocatorAction::Tell {
                 host,
                 placement: placement.clone(),
             };
@@ -159,7 +159,7 @@
 
     pub(super) fn postpone_look(
         &mut self,
-        order: &DeskOrder,
+        order: &PlannedOrder,
         now: Instant,
     ) {
         let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
@@ -183,10 +183,10 @@
     /// Handles the reply to a probe: marks the load as completed, or schedules the next probe.
     pub(super) fn on_look(
         &mut self,
-        order: &DeskOrder,
+        order: &PlannedOrder,
         reply: OrderReply,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
         let mut actions = Vec::new();
         if let Some(place) = self.places.get_mut(&adapter) {
@@ -200,7 +200,7 @@
                 // The hosts that waited for it send their requests now.
                 place.last_used = now;
                 self.note_load_time(passed);
-                actions.push(DeskAction::LoadOver {
+                actions.push(AllocatorAction::LoadOver {
                     adapter: adapter.clone(),
                     time: passed,
                 });
@@ -229,10 +229,10 @@
 
     pub(super) fn on_order_taken(
         &mut self,
-        order: &DeskOrder,
+        order: &PlannedOrder,
         reply: OrderReply,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         // An earlier unanswered order expected another sequence and is void now.
         self.unsettled = None;
         let counts = reply == OrderReply::Accepted || order.kind == OrderKind::Unload;
@@ -270,7 +270,7 @@
         version: u64,
         reply: OrderReply,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let time = match self.memory.contains(adapter, version) {
             true => RELOAD_TIME,
             // Probed from the earliest completion time on, as late probes overestimate load times.
@@ -302,7 +302,7 @@
     /// Reverts the expected effect of an order that was not carried out.
     pub(super) fn forget_ordered(
         &mut self,
-        order: &DeskOrder,
+        order: &PlannedOrder,
     ) {
         let Some(adapter) = &order.adapter else {
             return;
--- a/src/process/engines/desk_start.rs
+++ b/src/process/engines/desk_start.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        DeskAction, DeskOrder, EngineAllocator, EngineUse, LateOrders, LoadMemory,
+        AllocatorAction, EngineAllocator, EngineUse, LateOrders, LoadMemory, PlannedOrder,
         engine_desk::REMEMBERED_PER_PLACE,
     },
     crate::{
@@ -18,7 +18,7 @@
         &mut self,
         told: Option<TargetStart>,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         if !self.takes_start(told) {
             return Vec::new();
         }
@@ -74,7 +74,7 @@
     pub(super) fn begin_anew(
         &mut self,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let mut actions = self.tell_gone();
         actions.extend(self.turn_wishes_away());
         self.places.clear();
@@ -95,11 +95,11 @@
     }
 
     /// Announces that no adapter is loaded any more. Sends `Full`, as `Absent` would count as cached and quick to load.
-    fn tell_gone(&self) -> Vec<DeskAction> {
+    fn tell_gone(&self) -> Vec<AllocatorAction> {
         let gone = self
             .places
             .iter()
-            .map(|(adapter, place)| DeskAction::Announce {
+            .map(|(adapter, place)| AllocatorAction::Announce {
                 interested: place.interested.iter().copied().collect(),
                 placement: self.placement_to_come(adapter, place.version, PlacementState::Full),
             });
@@ -109,10 +109,10 @@
     /// Handles the end of an order to an earlier incarnation. Either incarnation may have accepted it.
     pub(super) fn on_earlier_starts_order_end(
         &mut self,
-        order: DeskOrder,
+        order: PlannedOrder,
         reply: Option<OrderReply>,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         if reply.is_none() {
             self.late_orders.note(order, now);
             self.late_orders.on_new_start();
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        AdapterPlace, DeskAction, DeskOrder, EngineFill, EngineLoads, EngineUse, LateOrders,
-        LoadMemory, NoProspect, PlaceState, SharedBaseLoadPace, SharedEnginePool,
+        AdapterPlace, AllocatorAction, EngineFill, EngineLoads, EngineUse, LateOrders, LoadMemory,
+        NoProspect, PlaceState, PlannedOrder, SharedBaseLoadPace, SharedEnginePool,
         SharedLoadLimiter, WishRank, load_wish::Wish,
     },
     crate::{
@@ -35,7 +35,7 @@
 
 /// State shared by the engine allocators of a host, all on one thread.
 #[derive(Debug, Clone, Default)]
-pub struct SharedByDesks {
+pub struct SharedAllocatorState {
     /// Limits adapter loads from the weight store.
     pub limiter: SharedLoadLimiter,
     /// Limits base model loads from the weight store.
@@ -46,7 +46,7 @@
     pub policy: Policy,
 }
 
-impl SharedByDesks {
+impl SharedAllocatorState {
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
@@ -79,7 +79,7 @@
     pub(super) room: usize,
     pub(super) wishes: HashMap<String, Wish>,
     pub(super) memory: LoadMemory,
-    pub(super) shared: SharedByDesks,
+    pub(super) shared: SharedAllocatorState,
     /// Base models that the engine has in its memory or on its disk.
     pub(super) models_at_hand: Vec<String>,
     /// Newest versions of adapters that have several.
@@ -87,9 +87,9 @@
     /// Orders that the engine has accepted; `None` until a report arrives.
     pub(super) sequence: Option<u64>,
     /// Order whose reply is pending.
-    pub(super) under_way: Option<DeskOrder>,
+    pub(super) under_way: Option<PlannedOrder>,
     /// Unanswered order that may take effect while the sequence is unchanged.
-    pub(super) unsettled: Option<DeskOrder>,
+    pub(super) unsettled: Option<PlannedOrder>,
     /// True if the engine has restarted while the reply was pending.
     pub(super) under_way_is_of_earlier_start: bool,
     /// Unanswered orders that may take effect after a restart of the engine.
@@ -108,7 +108,7 @@
     pub fn new(
         target: &str,
         spec: EngineSpec,
-        shared: SharedByDesks,
+        shared: SharedAllocatorState,
         now: Instant,
     ) -> Self {
         let memory = LoadMemory::new(spec.adapter_slots * REMEMBERED_PER_PLACE);
@@ -195,7 +195,7 @@
         host: SocketAddr,
         want: &Want,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let version = self.wanted_version(want);
         let Some(place) = self.places.get_mut(&want.adapter) else {
             return self.wish(host, want, version, now);
@@ -284,7 +284,7 @@
     pub fn on_tick(
         &mut self,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         self.next_orders(now)
     }
 
@@ -312,9 +312,9 @@
         &self,
         adapter: &str,
         now: Instant,
-    ) -> Option<DeskAction> {
+    ) -> Option<AllocatorAction> {
         let place = self.places.get(adapter)?;
-        Some(DeskAction::Announce {
+        Some(AllocatorAction::Announce {
             interested: place.interested.iter().copied().collect(),
             placement: self.placement(adapter, now),
         })
@@ -327,7 +327,7 @@
         want: &Want,
         version: u64,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let is_new = !self.wishes.contains_key(&want.adapter);
         let promised = now + self.queue_time();
         let wish = self.wishes.entry(want.adapter.clone()).or_insert(Wish {
@@ -361,10 +361,10 @@
                 self.wishes.remove(&want.adapter);
                 self.tell_desks();
                 let adapter = want.adapter.clone();
-                actions.push(DeskAction::TurnedAway { adapter, reason });
+                actions.push(AllocatorAction::TurnedAway { adapter, reason });
             }
             let placement = self.placement_to_come(&want.adapter, version, state);
-            actions.push(DeskAction::Tell { host, placement });
+            actions.push(AllocatorAction::Tell { host, placement });
         }
         actions
     }
@@ -457,7 +457,7 @@
     pub(super) fn next_orders(
         &mut self,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         self.tell_desks();
         let actions = self.decide_orders(now);
         self.tell_desks();
@@ -467,7 +467,7 @@
     pub(super) fn decide_orders(
         &mut self,
         now: Instant,
-    ) -> Vec<DeskAction> {
+    ) -> Vec<AllocatorAction> {
         let mut actions = Vec::new();
         if self.under_way.is_some() {
             return actions;
@@ -478,7 +478,7 @@
         {
             self.report_due = None;
             self.report_asked = Some(now);
-            actions.push(DeskAction::AskReport);
+            actions.push(AllocatorAction::AskReport);
         }
         if self.report_asked.is_some() {
             return actions;
@@ -497,16 +497,16 @@
                 actions.extend(self.announce_order(&order, now));
             }
             self.under_way = Some(order.clone());
-            actions.push(DeskAction::Order(order));
+            actions.push(AllocatorAction::Order(order));
         }
         actions
     }
 
     pub(super) fn announce_order(
         &self,
-        order: &DeskOrder,
+        order: &PlannedOrder,
         now: Instant,
-    ) -> Option<DeskAction> {
+    ) -> Option<AllocatorAction> {
         let adapter = order.adapter.as_deref()?;
         self.announce(&key(&order.model, adapter), now)
     }
@@ -531,8 +531,8 @@
         host: SocketAddr,
         adapter: &str,
         now: Instant,
-    ) -> DeskAction {
-        DeskAction::Tell {
+    ) -> AllocatorAction {
+        AllocatorAction::Tell {
             host,
             placement: self.placement(adapter, now),
         }
--- a/src/process/engines/late_orders.rs
+++ b/src/process/engines/late_orders.rs
@@ -1,5 +1,5 @@
 use {
-    super::{DeskOrder, engine_desk::key},
+    super::{PlannedOrder, engine_desk::key},
     crate::{clock::Instant, formats::OrderKind},
     std::time::Duration,
 };
@@ -18,7 +18,7 @@
 
 #[derive(Debug)]
 struct LateOrder {
-    order: DeskOrder,
+    order: PlannedOrder,
     unanswered_at: Instant,
     /// True if the engine has restarted since.
     of_earlier_start: bool,
@@ -28,7 +28,7 @@
     /// Records an order without a reply, or whose reply may come from an earlier incarnation.
     pub fn note(
         &mut self,
-        order: DeskOrder,
+        order: PlannedOrder,
         now: Instant,
     ) {
         self.forget_old(now);
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -3,7 +3,6 @@
 mod adapter_place;
 mod base_load_pace;
 mod desk_choice;
-mod desk_order;
 mod desk_outcomes;
 mod desk_start;
 mod engine_desk;
@@ -14,13 +13,13 @@
 mod load_memory;
 mod load_wish;
 mod no_prospect;
+mod planned_order;
 mod told_loads;
 
 pub use {
     adapter_place::{AdapterPlace, PlaceState},
     base_load_pace::{BaseLoadPace, SharedBaseLoadPace},
-    desk_order::{DeskAction, DeskOrder, OrderPurpose},
-    engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedByDesks},
+    engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedAllocatorState},
     engine_pool::{EngineFill, EnginePool, SharedEnginePool},
     engine_use::{EngineUse, UseSum},
     late_orders::LateOrders,
@@ -28,5 +27,6 @@
     load_memory::LoadMemory,
     load_wish::WishRank,
     no_prospect::NoProspect,
+    planned_order::{AllocatorAction, OrderPurpose, PlannedOrder},
     told_loads::ToldLoads,
 };
--- a/src/process/engines/desk_order.rs
+++ b/src/process/engines/planned_order.rs
@@ -15,7 +15,7 @@
 
 /// An order to an engine, without the holder and the fence, which the sender adds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DeskOrder {
+pub struct PlannedOrder {
     pub purpose: OrderPurpose,
     pub kind: OrderKind,
     pub model: String,
@@ -30,8 +30,8 @@
 
 /// An action that an engine allocator requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum DeskAction {
-    Order(DeskOrder),
+pub enum AllocatorAction {
+    Order(PlannedOrder),
     AskReport,
     /// Sends a placement to the host that requested it.
     Tell {
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -13,7 +13,9 @@
         formats::{Order, OrderKind, OrderReply},
         metrics::{WaitLabels, metrics},
         note,
-        process::engines::{DeskAction, DeskOrder, EngineAllocator, OrderPurpose, WishRank},
+        process::engines::{
+            AllocatorAction, EngineAllocator, OrderPurpose, PlannedOrder, WishRank,
+        },
         timeline::Event,
     },
     std::net::SocketAddr,
@@ -72,7 +74,7 @@
         &mut self,
         target: &str,
         now: Instant,
-        decide: impl FnOnce(&mut EngineAllocator) -> Vec<DeskAction>,
+        decide: impl FnOnce(&mut EngineAllocator) -> Vec<AllocatorAction>,
     ) -> Vec<ControlAction> {
         let Some(desk) = self.desks.get_mut(target) else {
             return Vec::new();
@@ -206,18 +208,18 @@
     fn desk_action(
         &mut self,
         target: &str,
-        action: DeskAction,
+        action: AllocatorAction,
         now: Instant,
     ) -> Vec<ControlAction> {
         match action {
-            DeskAction::Tell { host, placement } => {
+            AllocatorAction::Tell { host, placement } => {
                 vec![self.send(host, Message::Placement(placement))]
             }
-            DeskAction::Announce {
+            AllocatorAction::Announce {
                 interested,
                 placement,
             } => self.announce(&interested, &placement),
-            DeskAction::TurnedAway { adapter, reason } => {
+            AllocatorAction::TurnedAway { adapter, reason } => {
                 let labels = WaitLabels {
                     cause: reason.word(),
                 };
@@ -230,7 +232,7 @@
                 );
                 Vec::new()
             }
-            DeskAction::LoadOver { adapter, time } => {
+            AllocatorAction::LoadOver { adapter, time } => {
                 let took_ms = time.as_millis();
                 metrics().load_time.observe(time.as_secs_f64());
                 note!(
@@ -241,8 +243,8 @@
                 );
                 Vec::new()
             }
-            DeskAction::AskReport => self.ask_report(target).into_iter().collect(),
-            DeskAction::Order(order) => self.order(target, order, now).into_iter().collect(),
+            AllocatorAction::AskReport => self.ask_report(target).into_iter().collect(),
+            AllocatorAction::Order(order) => self.order(target, order, now).into_iter().collect(),
         }
     }
 
@@ -278,7 +280,7 @@
     fn order(
         &mut self,
         target: &str,
-        order: DeskOrder,
+        order: PlannedOrder,
         now: Instant,
     ) -> Option<ControlAction> {
         let address = self.targets.get(target).map(|target| target.record.address);
@@ -325,7 +327,7 @@
 /// An order that changes something gets a line; looks do not.
 fn tell_order(
     target: &str,
-    order: &DeskOrder,
+    order: &PlannedOrder,
     fence: u64,
 ) {
     if order.purpose == OrderPurpose::Look {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -16,7 +16,7 @@
         formats::Formats,
         note,
         process::{
-            engines::{EngineAllocator, LateOrders, SharedByDesks, ToldLoads},
+            engines::{EngineAllocator, LateOrders, SharedAllocatorState, ToldLoads},
             holding::{Holding, HoldingTimings, HostRow},
             hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
             ownership::SessionLease,
@@ -90,7 +90,7 @@
     /// Orders of desks that were closed a moment ago, by engine: they may still reach it.
     pub(super) late_orders: HashMap<String, LateOrders>,
     /// What the desks share.
-    pub(super) shared: SharedByDesks,
+    pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
     /// Targets that are no longer used, since entries of theirs may come late.
     pub(super) ended_targets: EndedTargets,
@@ -179,7 +179,7 @@
             formats,
             desks: BTreeMap::new(),
             late_orders: HashMap::new(),
-            shared: SharedByDesks::new(policy),
+            shared: SharedAllocatorState::new(policy),
             targets: BTreeMap::new(),
             ended_targets: EndedTargets::default(),
             engines: None,
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -7,8 +7,8 @@
         connection::datagram::{AdapterUsage, EngineQuery, Placement, PlacementState, Usage, Want},
         formats::{HeldAdapter, HeldModel, OrderKind, OrderReply, TargetReport, TargetStart},
         process::engines::{
-            DeskAction, DeskOrder, EngineAllocator, EngineFill, EngineLoads, NoProspect,
-            OrderPurpose, SharedByDesks,
+            AllocatorAction, EngineAllocator, EngineFill, EngineLoads, NoProspect, OrderPurpose,
+            PlannedOrder, SharedAllocatorState,
         },
         version::routing::{BaseModel, EngineSpec},
     },
@@ -150,7 +150,7 @@
 
     fn carry_out(
         &mut self,
-        order: &DeskOrder,
+        order: &PlannedOrder,
         now: Instant,
     ) -> OrderReply {
         self.pass(now);
@@ -266,7 +266,7 @@
 
 /// A message in flight between the allocator and the engine.
 enum Due {
-    Order { order: DeskOrder, reply: bool },
+    Order { order: PlannedOrder, reply: bool },
     OrderEnd(Option<OrderReply>),
     Report,
     ReportEnd(Option<TargetReport>),
@@ -289,14 +289,14 @@
         seed: u64,
         unanswered: u32,
     ) -> Self {
-        Self::beside(seed, unanswered, SharedByDesks::default())
+        Self::beside(seed, unanswered, SharedAllocatorState::default())
     }
 
     /// Creates an engine whose holder has other engines too.
     fn beside(
         seed: u64,
         unanswered: u32,
-        shared: SharedByDesks,
+        shared: SharedAllocatorState,
     ) -> Self {
         let now = Instant::now();
         Self {
@@ -350,15 +350,16 @@
 
     fn take(
         &mut self,
-        actions: Vec<DeskAction>,
+        actions: Vec<AllocatorAction>,
     ) {
         for action in actions {
             match action {
-                DeskAction::TurnedAway { .. } => {}
-                DeskAction::Order(order) => self.send(order),
-                DeskAction::LoadOver { .. } => {}
-                DeskAction::AskReport => self.due.push((self.now + ms(2), Due::Report)),
-                DeskAction::Tell { placement, .. } | DeskAction::Announce { placement, .. } => {
+                AllocatorAction::TurnedAway { .. } => {}
+                AllocatorAction::Order(order) => self.send(order),
+                AllocatorAction::LoadOver { .. } => {}
+                AllocatorAction::AskReport => self.due.push((self.now + ms(2), Due::Report)),
+                AllocatorAction::Tell { placement, .. }
+                | AllocatorAction::Announce { placement, .. } => {
                     self.told.insert(placement.adapter.clone(), placement);
                 }
             }
@@ -367,7 +368,7 @@
 
     fn send(
         &mut self,
-        order: DeskOrder,
+        order: PlannedOrder,
     ) {
         self.looks += usize::from(order.purpose == OrderPurpose::Look);
         let lost = self.rng.random_range(0..100) < self.unanswered;
@@ -486,14 +487,14 @@
 }
 
 /// State of a holder that has another engine with the base model.
-fn others(running: u32) -> SharedByDesks {
-    let shared = SharedByDesks::default();
+fn others(running: u32) -> SharedAllocatorState {
+    let shared = SharedAllocatorState::default();
     fill(&shared, running);
     shared
 }
 
 fn fill(
-    shared: &SharedByDesks,
+    shared: &SharedAllocatorState,
     running: u32,
 ) {
     let fill = EngineFill { running, slots: 8 };
@@ -798,7 +799,7 @@
     #[case] waiting_elsewhere: usize,
     #[case] expected: Option<NoProspect>,
 ) {
-    let shared = SharedByDesks::default();
+    let shared = SharedAllocatorState::default();
     let mut world = World::beside(1, 0, shared.clone());
     world.run(ms(3_000));
     let elsewhere = EngineLoads {
@@ -812,12 +813,12 @@
     };
     let actions = world.desk.on_want(host(1), &want, world.now);
     let reason = actions.iter().find_map(|action| match action {
-        DeskAction::TurnedAway { reason, .. } => Some(*reason),
+        AllocatorAction::TurnedAway { reason, .. } => Some(*reason),
         _ => None,
     });
     assert_eq!(reason, expected);
     let told = actions.iter().find_map(|action| match action {
-        DeskAction::Tell { placement, .. } => Some(placement.due_ms),
+        AllocatorAction::Tell { placement, .. } => Some(placement.due_ms),
         _ => None,
     });
     if expected.is_some() {
@@ -828,7 +829,7 @@
 /// Hosts weigh the load time at this engine against copies elsewhere.
 #[test]
 fn a_query_for_what_is_not_there_tells_how_long_its_load_takes() {
-    let shared = SharedByDesks::default();
+    let shared = SharedAllocatorState::default();
     let mut world = World::beside(1, 0, shared.clone());
     world.run(ms(3_000));
     let query = EngineQuery {
@@ -908,7 +909,7 @@
     let earlier = TargetStart::from_unix_ms(world.engine.started - 1);
     assert_eq!(world.desk.on_start(Some(earlier), world.now), []);
     let actions = world.desk.on_tick(world.now);
-    assert!(actions.contains(&DeskAction::AskReport), "{actions:?}");
+    assert!(actions.contains(&AllocatorAction::AskReport), "{actions:?}");
     let actions = world.desk.on_report(Some(old_report), world.now);
     world.take(actions);
     assert_eq!(world.desk.places().len(), 0);
@@ -950,7 +951,7 @@
 /// Guards against a new holder that ignores the loads ordered by the previous one, and overloads the weight store.
 #[test]
 fn loads_that_a_holder_before_has_ordered_count_for_the_limit() {
-    let shared = SharedByDesks::default();
+    let shared = SharedAllocatorState::default();
     let mut world = World::beside(1, 0, shared.clone());
     world.engine.model = true;
     for name in ["a1", "a2"] {
