--- a/src/process/engines/desk_choice.rs
+++ b/src/process/engines/desk_choice.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AdapterPlace, EngineAllocator, OrderPurpose, PlaceState, PlannedOrder,
+        EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
         engine_desk::{MAX_COMING, key, name_of},
         load_limiter::LOAD_TIME,
     },
@@ -76,8 +76,8 @@
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
-        let due = |place: &AdapterPlace| match place.state {
-            PlaceState::Coming { due, .. } if due <= now => Some(due),
+        let due = |place: &ResidentAdapter| match place.state {
+            Residency::Coming { due, .. } if due <= now => Some(due),
             _ => None,
         };
         let (adapter, place, _) = self
@@ -107,7 +107,7 @@
         let coming = self
             .places
             .values()
-            .filter(|place| matches!(place.state, PlaceState::Coming { .. }))
+            .filter(|place| matches!(place.state, Residency::Coming { .. }))
             .count();
         if coming + usize::from(self.unsettled.is_some()) >= MAX_COMING {
             return None;
@@ -124,7 +124,7 @@
                 !crowded || (policy.uses_engine_memory && at_hand)
             })
             .filter(|(adapter, _)| match self.places.get(*adapter) {
-                Some(place) => place.in_flight() == 0 && place.state == PlaceState::Held,
+                Some(place) => place.in_flight() == 0 && place.state == Residency::Held,
                 None => free > 0,
             })
             .min_by_key(|(_, wish)| match policy.ranks_wishes {
@@ -134,9 +134,9 @@
             .map(|(adapter, _)| adapter.clone())?;
         let name = name_of(&next, model)?.to_string();
         let wish = self.wishes.remove(&next)?;
-        let mut place = AdapterPlace::new(
+        let mut place = ResidentAdapter::new(
             wish.version,
-            PlaceState::Coming {
+            Residency::Coming {
                 since: now,
                 due: now + LOAD_TIME,
             },
@@ -176,7 +176,7 @@
             None => return None,
         };
         let name = name_of(&victim, model)?.to_string();
-        self.places.get_mut(&victim)?.state = PlaceState::Going;
+        self.places.get_mut(&victim)?.state = Residency::Going;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Unload,
@@ -235,10 +235,10 @@
 
     pub(super) fn is_idle(
         &self,
-        place: &AdapterPlace,
+        place: &ResidentAdapter,
         now: Instant,
     ) -> bool {
-        place.state == PlaceState::Held
+        place.state == Residency::Held
             && place.in_flight() == 0
             && now.saturating_duration_since(place.last_used) >= IDLE_TIME
     }
--- a/src/process/engines/desk_outcomes.rs
+++ b/src/process/engines/desk_outcomes.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AdapterPlace, AllocatorAction, EngineAllocator, OrderPurpose, PlaceState, PlannedOrder,
+        AllocatorAction, EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
         engine_desk::{REPORT_LAG, key},
         load_limiter::LOAD_TIME,
     },
@@ -166,9 +166,9 @@
         let Some(place) = self.places.get_mut(&adapter) else {
             return;
         };
-        if let PlaceState::Coming { since, .. } = place.state {
+        if let Residency::Coming { since, .. } = place.state {
             let due = now + LEAST_LOOK_PAUSE;
-            place.state = PlaceState::Coming { since, due };
+            place.state = Residency::Coming { since, due };
         }
     }
 
@@ -191,12 +191,12 @@
         let mut actions = Vec::new();
         if let Some(place) = self.places.get_mut(&adapter) {
             let since = match place.state {
-                PlaceState::Coming { since, .. } => since,
+                Residency::Coming { since, .. } => since,
                 _ => now,
             };
             let passed = now.saturating_duration_since(since);
             if reply == OrderReply::Done {
-                place.state = PlaceState::Held;
+                place.state = Residency::Held;
                 // The hosts that waited for it send their requests now.
                 place.last_used = now;
                 self.note_load_time(passed);
@@ -207,7 +207,7 @@
                 actions.extend(self.announce(&adapter, now));
             } else {
                 let pause = passed.mul_f64(LOOK_SHARE).max(LEAST_LOOK_PAUSE);
-                place.state = PlaceState::Coming {
+                place.state = Residency::Coming {
                     since,
                     due: now + pause,
                 };
@@ -281,8 +281,8 @@
             return Vec::new();
         };
         place.state = match reply {
-            OrderReply::Done => PlaceState::Held,
-            _ => PlaceState::Coming {
+            OrderReply::Done => Residency::Held,
+            _ => Residency::Coming {
                 since: now,
                 due: now + time,
             },
@@ -317,7 +317,7 @@
             }
             OrderKind::Unload => {
                 if let Some(place) = self.places.get_mut(&key) {
-                    place.state = PlaceState::Held;
+                    place.state = Residency::Held;
                 }
             }
         }
@@ -346,21 +346,21 @@
                 self.memory.note(&key, held.version);
                 let mut place = old
                     .remove(&key)
-                    .unwrap_or_else(|| AdapterPlace::new(held.version, PlaceState::Held, now));
+                    .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Held, now));
                 place.version = held.version;
-                if matches!(place.state, PlaceState::Coming { .. }) {
+                if matches!(place.state, Residency::Coming { .. }) {
                     place.last_used = now;
                     came.push(key.clone());
                 }
-                if place.state != PlaceState::Going {
-                    place.state = PlaceState::Held;
+                if place.state != Residency::Going {
+                    place.state = Residency::Held;
                 }
                 self.places.insert(key, place);
             }
         }
         for (model, name, version) in &report.coming {
             let key = key(model, name);
-            let coming = PlaceState::Coming {
+            let coming = Residency::Coming {
                 since: now,
                 due: now + LOAD_TIME,
             };
@@ -370,12 +370,12 @@
                 .or_else(|| old.remove(&key))
                 .unwrap_or_else(|| {
                     // Ordered by a previous holder. Counts towards the limit, as it may come from the weight store.
-                    let mut place = AdapterPlace::new(*version, coming, now);
+                    let mut place = ResidentAdapter::new(*version, coming, now);
                     place.from_store = !self.memory.contains(&key, *version);
                     place
                 });
             place.version = *version;
-            if !matches!(place.state, PlaceState::Coming { .. }) {
+            if !matches!(place.state, Residency::Coming { .. }) {
                 place.state = coming;
             }
             self.places.insert(key, place);
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        AdapterPlace, AllocatorAction, EngineFill, EngineLoads, EngineUse, LateOrders, LoadMemory,
-        NoProspect, PlaceState, PlannedOrder, SharedBaseLoadPace, SharedEnginePool,
+        AllocatorAction, EngineFill, EngineLoads, EngineUse, LateOrders, LoadMemory, NoProspect,
+        PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadPace, SharedEnginePool,
         SharedLoadLimiter, WishRank, load_wish::Wish,
     },
     crate::{
@@ -74,7 +74,7 @@
     pub(super) started: Option<TargetStart>,
     /// Base model that the engine holds.
     pub(super) model: Option<String>,
-    pub(super) places: BTreeMap<String, AdapterPlace>,
+    pub(super) places: BTreeMap<String, ResidentAdapter>,
     /// Slots for adapters beside the base model.
     pub(super) room: usize,
     pub(super) wishes: HashMap<String, Wish>,
@@ -151,7 +151,7 @@
         self.count_room();
     }
 
-    pub fn places(&self) -> &BTreeMap<String, AdapterPlace> {
+    pub fn places(&self) -> &BTreeMap<String, ResidentAdapter> {
         &self.places
     }
 
@@ -173,7 +173,7 @@
         }
         let may_order = self.sequence.is_some() && !self.busy;
         let looks = self.places.values().filter_map(|place| match place.state {
-            PlaceState::Coming { due, .. } if may_order => Some(due),
+            Residency::Coming { due, .. } if may_order => Some(due),
             _ => None,
         });
         looks.chain(self.report_due).min()
@@ -202,7 +202,7 @@
         };
         place.interested.insert(host);
         place.last_used = now;
-        if place.version < version || place.state == PlaceState::Going {
+        if place.version < version || place.state == Residency::Going {
             return self.wish(host, want, version, now);
         }
         vec![self.tell(host, &want.adapter, now)]
@@ -248,7 +248,7 @@
         let Some(place) = self.places.get(adapter) else {
             return;
         };
-        if place.state == PlaceState::Held {
+        if place.state == Residency::Held {
             self.report_due.get_or_insert(now);
         }
     }
@@ -390,7 +390,7 @@
     pub(super) fn queue_time(&self) -> Duration {
         let of_host = self.shared.limiter.borrow().queue_time();
         let coming = self.places.values();
-        let coming = coming.filter(|place| matches!(place.state, PlaceState::Coming { .. }));
+        let coming = coming.filter(|place| matches!(place.state, Residency::Coming { .. }));
         let here = (coming.count() + self.wishes.len()) as f64 / MAX_COMING as f64;
         let load_time = self.shared.limiter.borrow().load_time();
         of_host.max(load_time.mul_f64(here.max(1.0)))
@@ -545,11 +545,11 @@
     ) -> Placement {
         let place = self.places.get(adapter);
         let (state, due) = match place.map(|place| place.state) {
-            Some(PlaceState::Held) => (PlacementState::Ready, Duration::ZERO),
-            Some(PlaceState::Coming { due, .. }) => {
+            Some(Residency::Held) => (PlacementState::Ready, Duration::ZERO),
+            Some(Residency::Coming { due, .. }) => {
                 (PlacementState::Coming, due.saturating_duration_since(now))
             }
-            Some(PlaceState::Going) | None => (PlacementState::Absent, Duration::ZERO),
+            Some(Residency::Going) | None => (PlacementState::Absent, Duration::ZERO),
         };
         Placement {
             target: self.target.clone(),
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -1,6 +1,5 @@
 //! The engines that this host controls: what each holds, and the orders to load and unload.
 
-mod adapter_place;
 mod base_load_pace;
 mod desk_choice;
 mod desk_outcomes;
@@ -14,10 +13,10 @@
 mod load_wish;
 mod no_prospect;
 mod planned_order;
+mod resident_adapter;
 mod told_loads;
 
 pub use {
-    adapter_place::{AdapterPlace, PlaceState},
     base_load_pace::{BaseLoadPace, SharedBaseLoadPace},
     engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedAllocatorState},
     engine_pool::{EngineFill, EnginePool, SharedEnginePool},
@@ -28,5 +27,6 @@
     load_wish::WishRank,
     no_prospect::NoProspect,
     planned_order::{AllocatorAction, OrderPurpose, PlannedOrder},
+    resident_adapter::{Residency, ResidentAdapter},
     told_loads::ToldLoads,
 };
--- a/src/process/engines/adapter_place.rs
+++ b/src/process/engines/resident_adapter.rs
@@ -12,7 +12,7 @@
 
 /// State of an adapter that occupies a slot of its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlaceState {
+pub enum Residency {
     /// Load ordered at `since`; its completion is next checked at `due`.
     Coming {
         since: Instant,
@@ -25,9 +25,9 @@
 
 /// An adapter that occupies a slot of its engine.
 #[derive(Debug, Clone)]
-pub struct AdapterPlace {
+pub struct ResidentAdapter {
     pub version: u64,
-    pub state: PlaceState,
+    pub state: Residency,
     /// Time of the last known request for it, or of its load.
     pub last_used: Instant,
     /// Loaded, or being loaded, from the weight store.
@@ -41,10 +41,10 @@
     uses_at: Instant,
 }
 
-impl AdapterPlace {
+impl ResidentAdapter {
     pub fn new(
         version: u64,
-        state: PlaceState,
+        state: Residency,
         now: Instant,
     ) -> Self {
         Self {
@@ -61,7 +61,7 @@
 
     /// Returns true while it is being loaded from the weight store.
     pub fn comes_from_store(&self) -> bool {
-        self.from_store && matches!(self.state, PlaceState::Coming { .. })
+        self.from_store && matches!(self.state, Residency::Coming { .. })
     }
 
     /// Returns the in-flight requests of all hosts.
