--- a/src/process/engines/desk_start.rs
+++ b/src/process/engines/desk_start.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AllocatorAction, EngineAllocator, EngineUse, LateOrders, LoadMemory, PlannedOrder,
+        AllocatorAction, EngineAllocator, EngineUse, LoadMemory, PlannedOrder, UnansweredOrders,
         engine_desk::REMEMBERED_PER_PLACE,
     },
     crate::{
@@ -51,7 +51,7 @@
     pub fn into_late_orders(
         mut self,
         now: Instant,
-    ) -> LateOrders {
+    ) -> UnansweredOrders {
         if let Some(order) = self.under_way.take() {
             self.late_orders.note(order, now);
         }
@@ -63,9 +63,9 @@
     /// Sets the unanswered orders of an earlier allocator of this engine.
     pub fn set_late_orders(
         &mut self,
-        late_orders: LateOrders,
+        late_orders: UnansweredOrders,
     ) {
-        self.late_orders = late_orders;
+        self.late_orders = unanswered_orders;
     }
 
     /// Resets the state of the previous incarnation.
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        AllocatorAction, EngineFill, EngineLoads, EngineUse, LateOrders, LoadMemory, NoProspect,
-        PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadPace, SharedEnginePool,
-        SharedLoadLimiter, WishRank, load_wish::Wish,
+        AllocatorAction, EngineFill, EngineLoads, EngineUse, LoadMemory, NoProspect, PlannedOrder,
+        Residency, ResidentAdapter, SharedBaseLoadPace, SharedEnginePool, SharedLoadLimiter,
+        UnansweredOrders, WishRank, load_wish::Wish,
     },
     crate::{
         clock::Instant,
@@ -93,7 +93,7 @@
     /// True if the engine has restarted while the reply was pending.
     pub(super) under_way_is_of_earlier_start: bool,
     /// Unanswered orders that may take effect after a restart of the engine.
-    pub(super) late_orders: LateOrders,
+    pub(super) late_orders: UnansweredOrders,
     pub(super) report_asked: Option<Instant>,
     pub(super) report_due: Option<Instant>,
     pub(super) model_not_before: Instant,
@@ -128,7 +128,7 @@
             under_way: None,
             unsettled: None,
             under_way_is_of_earlier_start: false,
-            late_orders: LateOrders::default(),
+            late_orders: UnansweredOrders::default(),
             report_asked: None,
             report_due: Some(now),
             model_not_before: now,
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -7,7 +7,6 @@
 mod engine_desk;
 mod engine_pool;
 mod engine_use;
-mod late_orders;
 mod load_limiter;
 mod load_memory;
 mod load_wish;
@@ -15,13 +14,13 @@
 mod planned_order;
 mod resident_adapter;
 mod told_loads;
+mod unanswered_orders;
 
 pub use {
     base_load_pace::{BaseLoadPace, SharedBaseLoadPace},
     engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedAllocatorState},
     engine_pool::{EngineFill, EnginePool, SharedEnginePool},
     engine_use::{EngineUse, UseSum},
-    late_orders::LateOrders,
     load_limiter::{EngineLoads, LoadLimiter, SharedLoadLimiter},
     load_memory::LoadMemory,
     load_wish::WishRank,
@@ -29,4 +28,5 @@
     planned_order::{AllocatorAction, OrderPurpose, PlannedOrder},
     resident_adapter::{Residency, ResidentAdapter},
     told_loads::ToldLoads,
+    unanswered_orders::UnansweredOrders,
 };
--- a/src/process/engines/late_orders.rs
+++ b/src/process/engines/unanswered_orders.rs
@@ -12,19 +12,19 @@
 /// Within an incarnation, an order is void once the engine has accepted another one. A restarted engine counts
 /// from zero, so an order from before can take effect when the count reaches the number that it expects.
 #[derive(Debug, Default)]
-pub struct LateOrders {
-    orders: Vec<LateOrder>,
+pub struct UnansweredOrders {
+    orders: Vec<UnansweredOrder>,
 }
 
 #[derive(Debug)]
-struct LateOrder {
+struct UnansweredOrder {
     order: PlannedOrder,
     unanswered_at: Instant,
     /// True if the engine has restarted since.
     of_earlier_start: bool,
 }
 
-impl LateOrders {
+impl UnansweredOrders {
     /// Records an order without a reply, or whose reply may come from an earlier incarnation.
     pub fn note(
         &mut self,
@@ -32,7 +32,7 @@
         now: Instant,
     ) {
         self.forget_old(now);
-        self.orders.push(LateOrder {
+        self.orders.push(UnansweredOrder {
             order,
             unanswered_at: now,
             of_earlier_start: false,
@@ -80,7 +80,7 @@
     }
 }
 
-impl LateOrder {
+impl UnansweredOrder {
     fn is_void(
         &self,
         sequence: u64,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -16,7 +16,7 @@
         formats::Formats,
         note,
         process::{
-            engines::{EngineAllocator, LateOrders, SharedAllocatorState, ToldLoads},
+            engines::{EngineAllocator, SharedAllocatorState, ToldLoads, UnansweredOrders},
             holding::{Holding, HoldingTimings, HostRow},
             hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
             ownership::SessionLease,
@@ -88,7 +88,7 @@
     pub(super) holding: Holding,
     pub(super) desks: BTreeMap<String, EngineAllocator>,
     /// Orders of desks that were closed a moment ago, by engine: they may still reach it.
-    pub(super) late_orders: HashMap<String, LateOrders>,
+    pub(super) late_orders: HashMap<String, UnansweredOrders>,
     /// What the desks share.
     pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
