--- a/src/process/engines/desk_start.rs
+++ b/src/process/engines/desk_start.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        AllocatorAction, EngineAllocator, EngineUse, LoadMemory, PlannedOrder, UnansweredOrders,
+        AllocatorAction, EngineAllocator, EngineUsage, LoadMemory, PlannedOrder, UnansweredOrders,
         engine_desk::REMEMBERED_PER_PLACE,
     },
     crate::{
@@ -78,7 +78,7 @@
         let mut actions = self.tell_gone();
         actions.extend(self.turn_wishes_away());
         self.places.clear();
-        self.usage = EngineUse::default();
+        self.usage = EngineUsage::default();
         self.memory = LoadMemory::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
         self.models_at_hand.clear();
         self.model = None;
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        AllocatorAction, EngineFill, EngineLoads, EngineUse, LoadMemory, NoProspect, PlannedOrder,
-        Residency, ResidentAdapter, SharedBaseLoadPace, SharedEnginePool, SharedLoadLimiter,
-        UnansweredOrders, WishRank, load_wish::Wish,
+        AllocatorAction, EngineFill, EngineLoads, EngineUsage, LoadMemory, NoProspect,
+        PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadPace, SharedEnginePool,
+        SharedLoadLimiter, UnansweredOrders, WishRank, load_wish::Wish,
     },
     crate::{
         clock::Instant,
@@ -101,7 +101,7 @@
     pub(super) unresponsive_until: Option<Instant>,
     /// The engine rejects orders: it is loading a base model, or an unload or a replacement waits for requests.
     pub(super) busy: bool,
-    pub(super) usage: EngineUse,
+    pub(super) usage: EngineUsage,
 }
 
 impl EngineAllocator {
@@ -134,7 +134,7 @@
             model_not_before: now,
             unresponsive_until: None,
             busy: false,
-            usage: EngineUse::default(),
+            usage: EngineUsage::default(),
         }
     }
 
@@ -155,7 +155,7 @@
         &self.places
     }
 
-    pub fn usage(&self) -> &EngineUse {
+    pub fn usage(&self) -> &EngineUsage {
         &self.usage
     }
 
--- a/src/process/engines/engine_use.rs
+++ b/src/process/engines/engine_usage.rs
@@ -22,7 +22,7 @@
 
 /// Requests in flight at an engine, and their tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct UseSum {
+pub struct UsageTotals {
     pub in_flight: u32,
     pub tokens: u32,
     /// Tokens of prompts that have produced no event yet.
@@ -31,19 +31,19 @@
 
 /// Requests that each host sends to one engine, by its last usage report.
 #[derive(Debug, Clone, Default)]
-pub struct EngineUse {
-    by_host: BTreeMap<SocketAddr, UseSum>,
+pub struct EngineUsage {
+    by_host: BTreeMap<SocketAddr, UsageTotals>,
     expected: Vec<ExpectedSend>,
 }
 
-impl EngineUse {
+impl EngineUsage {
     /// Records a host's usage report.
     pub fn on_usage(
         &mut self,
         host: SocketAddr,
         usage: &Usage,
     ) {
-        let sum = UseSum {
+        let sum = UsageTotals {
             in_flight: usage.in_flight,
             tokens: usage.tokens,
             unread_tokens: usage.unread_tokens,
@@ -79,7 +79,7 @@
     fn expected_of_others(
         &self,
         host: SocketAddr,
-    ) -> UseSum {
+    ) -> UsageTotals {
         let others = self.expected.iter().filter(|send| send.host != host);
         let (mut sends, mut tokens, mut prompt_tokens) = (0.0, 0.0, 0.0);
         for send in others {
@@ -87,7 +87,7 @@
             tokens += send.chance * f64::from(send.tokens);
             prompt_tokens += send.chance * f64::from(send.prompt_tokens);
         }
-        UseSum {
+        UsageTotals {
             in_flight: sends.round() as u32,
             tokens: tokens.round() as u32,
             unread_tokens: prompt_tokens.round() as u32,
@@ -117,12 +117,14 @@
     pub fn of_others(
         &self,
         host: SocketAddr,
-    ) -> UseSum {
+    ) -> UsageTotals {
         let others = self.by_host.iter().filter(|(other, _)| **other != host);
-        others.fold(self.expected_of_others(host), |sum, (_, of_host)| UseSum {
-            in_flight: sum.in_flight + of_host.in_flight,
-            tokens: sum.tokens.saturating_add(of_host.tokens),
-            unread_tokens: sum.unread_tokens.saturating_add(of_host.unread_tokens),
+        others.fold(self.expected_of_others(host), |sum, (_, of_host)| {
+            UsageTotals {
+                in_flight: sum.in_flight + of_host.in_flight,
+                tokens: sum.tokens.saturating_add(of_host.tokens),
+                unread_tokens: sum.unread_tokens.saturating_add(of_host.unread_tokens),
+            }
         })
     }
 }
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -6,7 +6,7 @@
 mod desk_start;
 mod engine_desk;
 mod engine_pool;
-mod engine_use;
+mod engine_usage;
 mod load_limiter;
 mod load_memory;
 mod load_wish;
@@ -20,7 +20,7 @@
     base_load_pace::{BaseLoadPace, SharedBaseLoadPace},
     engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedAllocatorState},
     engine_pool::{EngineFill, EnginePool, SharedEnginePool},
-    engine_use::{EngineUse, UseSum},
+    engine_usage::{EngineUsage, UsageTotals},
     load_limiter::{EngineLoads, LoadLimiter, SharedLoadLimiter},
     load_memory::LoadMemory,
     load_wish::WishRank,
--- a/tests/engine_standing.rs
+++ b/tests/engine_standing.rs
@@ -4,7 +4,7 @@
     coveproxy::{
         clock::Instant,
         connection::datagram::{EngineQuery, Usage},
-        process::engines::{EngineLoads, EngineUse, LoadLimiter},
+        process::engines::{EngineLoads, EngineUsage, LoadLimiter},
     },
     rstest::rstest,
     std::{net::SocketAddr, time::Duration},
@@ -41,7 +41,7 @@
 #[test]
 fn hosts_that_ask_at_the_same_moment_see_one_another() {
     let now = Instant::now();
-    let mut engine = EngineUse::default();
+    let mut engine = EngineUsage::default();
     let mut seen = Vec::new();
     for at in 0..5 {
         engine.on_query(host(at), &query(100), now);
@@ -54,7 +54,7 @@
 #[test]
 fn a_request_that_was_sent_counts_once() {
     let now = Instant::now();
-    let mut engine = EngineUse::default();
+    let mut engine = EngineUsage::default();
     engine.on_query(host(1), &query(100), now);
     engine.on_usage(host(1), &usage(1));
     assert_eq!(engine.of_others(host(2)).in_flight, 1);
@@ -64,7 +64,7 @@
 #[test]
 fn a_request_that_went_elsewhere_is_forgotten() {
     let now = Instant::now();
-    let mut engine = EngineUse::default();
+    let mut engine = EngineUsage::default();
     engine.on_query(host(1), &query(100), now);
     assert_eq!(engine.of_others(host(2)).in_flight, 1);
     engine.on_query(host(2), &query(0), now + ms(50));
@@ -80,7 +80,7 @@
     #[case] expected: u32,
 ) {
     let now = Instant::now();
-    let mut engine = EngineUse::default();
+    let mut engine = EngineUsage::default();
     for at in 0..queries {
         engine.on_query(host(at), &query(chance), now);
     }
@@ -90,7 +90,7 @@
 #[test]
 fn a_host_that_is_gone_sends_nothing() {
     let now = Instant::now();
-    let mut engine = EngineUse::default();
+    let mut engine = EngineUsage::default();
     engine.on_query(host(1), &query(100), now);
     engine.on_usage(host(2), &usage(3));
     engine.on_host_gone(host(1));
