--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AllocatorAction, EngineFill, EngineLoads, EngineUsage, LoadMemory, NoProspect,
+        AllocatorAction, EngineLoads, EngineUsage, EngineUtilization, LoadMemory, NoProspect,
         PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadPace, SharedEnginePool,
         SharedLoadLimiter, UnansweredOrders, WishRank, load_wish::Wish,
     },
@@ -296,7 +296,7 @@
             waiting: self.wishes.values().filter(|wish| !wish.spare).count(),
         };
         self.shared.limiter.borrow_mut().set(&self.target, loads);
-        let fill = EngineFill {
+        let fill = EngineUtilization {
             running: self.usage.running(),
             slots: self.spec.slots,
         };
--- a/src/process/engines/engine_pool.rs
+++ b/src/process/engines/engine_pool.rs
@@ -5,7 +5,7 @@
 
 /// Request slots of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineFill {
+pub struct EngineUtilization {
     /// Requests in flight, of all hosts.
     pub running: u32,
     /// Maximum concurrent requests.
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct EnginePool {
     /// By base model, then by engine.
-    fills: BTreeMap<String, BTreeMap<String, EngineFill>>,
+    fills: BTreeMap<String, BTreeMap<String, EngineUtilization>>,
 }
 
 impl EnginePool {
@@ -31,7 +31,7 @@
         &mut self,
         model: &str,
         target: &str,
-        fill: Option<EngineFill>,
+        fill: Option<EngineUtilization>,
     ) {
         let engines = self.fills.entry(model.to_string()).or_default();
         match fill {
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -19,7 +19,7 @@
 pub use {
     base_load_pace::{BaseLoadPace, SharedBaseLoadPace},
     engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedAllocatorState},
-    engine_pool::{EngineFill, EnginePool, SharedEnginePool},
+    engine_pool::{EnginePool, EngineUtilization, SharedEnginePool},
     engine_usage::{EngineUsage, UsageTotals},
     load_limiter::{EngineLoads, LoadLimiter, SharedLoadLimiter},
     load_memory::LoadMemory,
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -7,8 +7,8 @@
         connection::datagram::{AdapterUsage, EngineQuery, Placement, PlacementState, Usage, Want},
         formats::{HeldAdapter, HeldModel, OrderKind, OrderReply, TargetReport, TargetStart},
         process::engines::{
-            AllocatorAction, EngineAllocator, EngineFill, EngineLoads, NoProspect, OrderPurpose,
-            PlannedOrder, SharedAllocatorState,
+            AllocatorAction, EngineAllocator, EngineLoads, EngineUtilization, NoProspect,
+            OrderPurpose, PlannedOrder, SharedAllocatorState,
         },
         version::routing::{BaseModel, EngineSpec},
     },
@@ -497,7 +497,7 @@
     shared: &SharedAllocatorState,
     running: u32,
 ) {
-    let fill = EngineFill { running, slots: 8 };
+    let fill = EngineUtilization { running, slots: 8 };
     let mut pool = shared.pool.borrow_mut();
     pool.set(MODEL, "other", Some(fill));
 }
