--- a/src/process/engines/base_load_pace.rs
+++ b/src/process/engines/base_load_limiter.rs
@@ -8,14 +8,14 @@
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// A limiter shared by the engine allocators of a host, all on one thread.
-pub type SharedBaseLoadPace = Rc<RefCell<BaseLoadPace>>;
+pub type SharedBaseLoadLimiter = Rc<RefCell<BaseLoadLimiter>>;
 
 /// Limits the rate at which this host's engines load base models from the weight store.
 ///
 /// The site-wide rate is divided by the share of engines that each host holds, rounded, with at least one load
 /// per window. Only one load is allowed in the first window after start, since earlier orders are unknown then.
 #[derive(Debug, Default)]
-pub struct BaseLoadPace {
+pub struct BaseLoadLimiter {
     /// Share of the site's engines that this host holds; unlimited if `None`.
     share: Option<f64>,
     /// When `share` was first set.
@@ -24,7 +24,7 @@
     ordered: VecDeque<Instant>,
 }
 
-impl BaseLoadPace {
+impl BaseLoadLimiter {
     /// Sets the share from the number of engines held and the total.
     pub fn set_share(
         &mut self,
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AllocatorAction, EngineLoads, EngineUsage, EngineUtilization, LoadMemory, NoProspect,
-        PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadPace, SharedEnginePool,
+        PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadLimiter, SharedEnginePool,
         SharedLoadLimiter, UnansweredOrders, WishRank, load_wish::Wish,
     },
     crate::{
@@ -39,7 +39,7 @@
     /// Limits adapter loads from the weight store.
     pub limiter: SharedLoadLimiter,
     /// Limits base model loads from the weight store.
-    pub base_loads: SharedBaseLoadPace,
+    pub base_loads: SharedBaseLoadLimiter,
     /// Utilization of the engines.
     pub pool: SharedEnginePool,
     /// Enabled mechanisms.
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -1,6 +1,6 @@
 //! The engines that this host controls: what each holds, and the orders to load and unload.
 
-mod base_load_pace;
+mod base_load_limiter;
 mod desk_choice;
 mod desk_outcomes;
 mod desk_start;
@@ -17,7 +17,7 @@
 mod unanswered_orders;
 
 pub use {
-    base_load_pace::{BaseLoadPace, SharedBaseLoadPace},
+    base_load_limiter::{BaseLoadLimiter, SharedBaseLoadLimiter},
     engine_desk::{EngineAllocator, REMEMBERED_PER_PLACE, SharedAllocatorState},
     engine_pool::{EnginePool, EngineUtilization, SharedEnginePool},
     engine_usage::{EngineUsage, UsageTotals},
