--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AllocatorAction, EngineLoads, EngineUsage, EngineUtilization, LoadMemory, NoProspect,
+        AllocatorAction, EngineLoads, EngineUsage, EngineUtilization, LoadMemory, LoadRejection,
         PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadLimiter, SharedEnginePool,
         SharedLoadLimiter, UnansweredOrders, WishRank, load_wish::Wish,
     },
@@ -347,9 +347,9 @@
         if self.wishes.contains_key(&want.adapter) {
             // Still queued: waits for other orders or for a slot.
             let reason = if overdue {
-                Some(NoProspect::Overdue)
+                Some(LoadRejection::Overdue)
             } else if is_new && self.comes_too_late(want) {
-                Some(NoProspect::LongQueue)
+                Some(LoadRejection::LongQueue)
             } else {
                 self.no_prospect(want, now)
             };
@@ -412,22 +412,22 @@
         &self,
         want: &Want,
         now: Instant,
-    ) -> Option<NoProspect> {
+    ) -> Option<LoadRejection> {
         let adapter = want.adapter.as_str();
         let model = self.model.as_deref();
         let fits = model.and_then(|model| name_of(adapter, model));
         if want.spare && self.shared.limiter.borrow().is_busy() {
-            Some(NoProspect::StoreBusy)
+            Some(LoadRejection::StoreBusy)
         } else if self.sequence.is_none() {
-            Some(NoProspect::Unknown)
+            Some(LoadRejection::Unknown)
         } else if fits.is_none() {
-            Some(NoProspect::NoModel)
+            Some(LoadRejection::NoModel)
         } else if self.busy {
-            Some(NoProspect::EngineBusy)
+            Some(LoadRejection::EngineBusy)
         } else if self.is_unresponsive(now) {
-            Some(NoProspect::Unresponsive)
+            Some(LoadRejection::Unresponsive)
         } else if !self.has_place(adapter, now) {
-            Some(NoProspect::NoPlace)
+            Some(LoadRejection::NoPlace)
         } else {
             None
         }
--- a/src/process/engines/no_prospect.rs
+++ b/src/process/engines/load_rejection.rs
@@ -1,6 +1,6 @@
 /// Reason for which an engine's holder rejects a load request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum NoProspect {
+pub enum LoadRejection {
     /// Another engine holds a copy, and the weight store is too busy for one more.
     StoreBusy,
     /// The load has not completed when it was promised.
@@ -19,7 +19,7 @@
     NoPlace,
 }
 
-impl NoProspect {
+impl LoadRejection {
     /// Returns the label used in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -9,8 +9,8 @@
 mod engine_usage;
 mod load_limiter;
 mod load_memory;
+mod load_rejection;
 mod load_wish;
-mod no_prospect;
 mod planned_order;
 mod resident_adapter;
 mod told_loads;
@@ -23,8 +23,8 @@
     engine_usage::{EngineUsage, UsageTotals},
     load_limiter::{EngineLoads, LoadLimiter, SharedLoadLimiter},
     load_memory::LoadMemory,
+    load_rejection::LoadRejection,
     load_wish::WishRank,
-    no_prospect::NoProspect,
     planned_order::{AllocatorAction, OrderPurpose, PlannedOrder},
     resident_adapter::{Residency, ResidentAdapter},
     told_loads::ToldLoads,
--- a/src/process/engines/planned_order.rs
+++ b/src/process/engines/planned_order.rs
@@ -1,5 +1,5 @@
 use {
-    super::NoProspect,
+    super::LoadRejection,
     crate::{connection::datagram::Placement, formats::OrderKind},
     std::{net::SocketAddr, time::Duration},
 };
@@ -46,7 +46,7 @@
     /// Logs and counts a load request that was rejected.
     TurnedAway {
         adapter: String,
-        reason: NoProspect,
+        reason: LoadRejection,
     },
     /// Logs a completed load and its duration.
     LoadOver {
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -7,7 +7,7 @@
         connection::datagram::{AdapterUsage, EngineQuery, Placement, PlacementState, Usage, Want},
         formats::{HeldAdapter, HeldModel, OrderKind, OrderReply, TargetReport, TargetStart},
         process::engines::{
-            AllocatorAction, EngineAllocator, EngineLoads, EngineUtilization, NoProspect,
+            AllocatorAction, EngineAllocator, EngineLoads, EngineUtilization, LoadRejection,
             OrderPurpose, PlannedOrder, SharedAllocatorState,
         },
         version::routing::{BaseModel, EngineSpec},
@@ -791,13 +791,13 @@
 
 /// Guards against a queue so long that every load completes after the deadline of the request that caused it.
 #[rstest]
-#[case::no_time_left_for_the_queue(600, 4, Some(NoProspect::LongQueue))]
+#[case::no_time_left_for_the_queue(600, 4, Some(LoadRejection::LongQueue))]
 #[case::time_enough(890, 4, None)]
 #[case::nothing_waits(0, 0, None)]
 fn a_load_that_comes_too_late_for_whoever_asks_is_not_queued(
     #[case] patience_ms: u32,
     #[case] waiting_elsewhere: usize,
-    #[case] expected: Option<NoProspect>,
+    #[case] expected: Option<LoadRejection>,
 ) {
     let shared = SharedAllocatorState::default();
     let mut world = World::beside(1, 0, shared.clone());
