--- a/src/process/engines/desk_start.rs
+++ b/src/process/engines/desk_start.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        AllocatorAction, EngineAllocator, EngineUsage, LoadMemory, PlannedOrder, UnansweredOrders,
-        engine_desk::REMEMBERED_PER_PLACE,
+        AllocatorAction, EngineAllocator, EngineCacheEstimate, EngineUsage, PlannedOrder,
+        UnansweredOrders, engine_desk::REMEMBERED_PER_PLACE,
     },
     crate::{
         clock::Instant,
@@ -79,7 +79,7 @@
         actions.extend(self.turn_wishes_away());
         self.places.clear();
         self.usage = EngineUsage::default();
-        self.memory = LoadMemory::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
+        self.memory = EngineCacheEstimate::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
         self.models_at_hand.clear();
         self.model = None;
         self.model_not_before = now;
--- a/src/process/engines/load_memory.rs
+++ b/src/process/engines/engine_cache_estimate.rs
@@ -4,13 +4,13 @@
 ///
 /// Engines do not report their caches.
 #[derive(Debug, Clone, Default)]
-pub struct LoadMemory {
+pub struct EngineCacheEstimate {
     /// Oldest first.
     held: VecDeque<(String, u64)>,
     capacity: usize,
 }
 
-impl LoadMemory {
+impl EngineCacheEstimate {
     pub fn new(capacity: usize) -> Self {
         Self {
             held: VecDeque::new(),
--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        AllocatorAction, EngineLoads, EngineUsage, EngineUtilization, LoadMemory, LoadRejection,
-        PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadLimiter, SharedEnginePool,
-        SharedLoadLimiter, UnansweredOrders, WishRank, load_wish::Wish,
+        AllocatorAction, EngineCacheEstimate, EngineLoads, EngineUsage, EngineUtilization,
+        LoadRejection, PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadLimiter,
+        SharedEnginePool, SharedLoadLimiter, UnansweredOrders, WishRank, load_wish::Wish,
     },
     crate::{
         clock::Instant,
@@ -78,7 +78,7 @@
     /// Slots for adapters beside the base model.
     pub(super) room: usize,
     pub(super) wishes: HashMap<String, Wish>,
-    pub(super) memory: LoadMemory,
+    pub(super) memory: EngineCacheEstimate,
     pub(super) shared: SharedAllocatorState,
     /// Base models that the engine has in its memory or on its disk.
     pub(super) models_at_hand: Vec<String>,
@@ -111,7 +111,7 @@
         shared: SharedAllocatorState,
         now: Instant,
     ) -> Self {
-        let memory = LoadMemory::new(spec.adapter_slots * REMEMBERED_PER_PLACE);
+        let memory = EngineCacheEstimate::new(spec.adapter_slots * REMEMBERED_PER_PLACE);
         Self {
             target: target.to_string(),
             spec,
