--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_desk.rs
@@ -1,8 +1,9 @@
 use {
     super::{
         AllocatorAction, EngineCacheEstimate, EngineLoads, EngineUsage, EngineUtilization,
-        LoadRejection, PlannedOrder, Residency, ResidentAdapter, SharedBaseLoadLimiter,
-        SharedEnginePool, SharedLoadLimiter, UnansweredOrders, WishRank, load_wish::Wish,
+        LoadRejection, PendingLoadRank, PlannedOrder, Residency, ResidentAdapter,
+        SharedBaseLoadLimiter, SharedEnginePool, SharedLoadLimiter, UnansweredOrders,
+        load_wish::PendingLoad,
     },
     crate::{
         clock::Instant,
@@ -77,7 +78,7 @@
     pub(super) places: BTreeMap<String, ResidentAdapter>,
     /// Slots for adapters beside the base model.
     pub(super) room: usize,
-    pub(super) wishes: HashMap<String, Wish>,
+    pub(super) wishes: HashMap<String, PendingLoad>,
     pub(super) memory: EngineCacheEstimate,
     pub(super) shared: SharedAllocatorState,
     /// Base models that the engine has in its memory or on its disk.
@@ -160,8 +161,8 @@
     }
 
     /// Returns the rank of the most urgent pending load.
-    pub fn first_waiting(&self) -> Option<WishRank> {
-        self.wishes.values().map(Wish::rank).min()
+    pub fn first_waiting(&self) -> Option<PendingLoadRank> {
+        self.wishes.values().map(PendingLoad::rank).min()
     }
 
     /// Returns the next time at which `on_tick` has something to do.
@@ -330,14 +331,17 @@
     ) -> Vec<AllocatorAction> {
         let is_new = !self.wishes.contains_key(&want.adapter);
         let promised = now + self.queue_time();
-        let wish = self.wishes.entry(want.adapter.clone()).or_insert(Wish {
-            version,
-            spare: want.spare,
-            priority: want.priority,
-            since: now,
-            promised,
-            waiting: BTreeMap::new(),
-        });
+        let wish = self
+            .wishes
+            .entry(want.adapter.clone())
+            .or_insert(PendingLoad {
+                version,
+                spare: want.spare,
+                priority: want.priority,
+                since: now,
+                promised,
+                waiting: BTreeMap::new(),
+            });
         wish.version = wish.version.max(version);
         wish.priority = wish.priority.min(want.priority);
         wish.spare &= want.spare;
--- a/src/process/engines/load_wish.rs
+++ b/src/process/engines/load_wish.rs
@@ -19,7 +19,7 @@
 
 /// A load that hosts wait for and that has not been ordered.
 #[derive(Debug, Clone)]
-pub(super) struct Wish {
+pub(super) struct PendingLoad {
     pub version: u64,
     /// Another engine holds a copy.
     pub spare: bool,
@@ -34,7 +34,7 @@
 /// Time beyond `promised` after which the load is overdue.
 const PROMISE_SLACK: Duration = Duration::from_millis(250);
 
-impl Wish {
+impl PendingLoad {
     /// Returns true if the load has not completed when it was promised.
     pub fn is_overdue(
         &self,
@@ -44,20 +44,20 @@
     }
 
     /// Returns the queue rank: by age, with an advance for urgent requests and for adapters with many requests.
-    pub fn rank(&self) -> WishRank {
+    pub fn rank(&self) -> PendingLoadRank {
         let requests: u32 = self.waiting.values().sum();
         let others = requests.saturating_sub(1).min(MOST_WAITING);
         let handicap = RANK_HANDICAP * self.priority.min(LEAST_URGENT);
         let start = WAITING_START * others;
-        WishRank {
+        PendingLoadRank {
             spare: self.spare,
             due: self.since + MOST_START + handicap - start,
         }
     }
 
     /// Returns the queue rank by age alone.
-    pub fn rank_by_age(&self) -> WishRank {
-        WishRank {
+    pub fn rank_by_age(&self) -> PendingLoadRank {
+        PendingLoadRank {
             spare: self.spare,
             due: self.since,
         }
@@ -66,7 +66,7 @@
 
 /// Position in the load queue of this host; lower ranks are loaded first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WishRank {
+pub struct PendingLoadRank {
     spare: bool,
     due: Instant,
 }
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -24,7 +24,7 @@
     engine_usage::{EngineUsage, UsageTotals},
     load_limiter::{EngineLoads, LoadLimiter, SharedLoadLimiter},
     load_rejection::LoadRejection,
-    load_wish::WishRank,
+    load_wish::PendingLoadRank,
     planned_order::{AllocatorAction, OrderPurpose, PlannedOrder},
     resident_adapter::{Residency, ResidentAdapter},
     told_loads::ToldLoads,
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -14,7 +14,7 @@
         metrics::{WaitLabels, metrics},
         note,
         process::engines::{
-            AllocatorAction, EngineAllocator, OrderPurpose, PlannedOrder, WishRank,
+            AllocatorAction, EngineAllocator, OrderPurpose, PendingLoadRank, PlannedOrder,
         },
         timeline::Event,
     },
@@ -57,7 +57,7 @@
     /// The engines held here, those for which the most urgent adapters wait first: all share what may
     /// be loaded at once.
     fn desks_by_urgency(&self) -> Vec<String> {
-        let mut desks: Vec<(&String, Option<WishRank>)> = self
+        let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
             .desks
             .iter()
             .map(|(target, desk)| (target, desk.first_waiting()))
