--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -27,6 +27,6 @@
     load_wish::PendingLoadRank,
     planned_order::{AllocatorAction, OrderPurpose, PlannedOrder},
     resident_adapter::{Residency, ResidentAdapter},
-    told_loads::ToldLoads,
+    told_loads::PublishedLoads,
     unanswered_orders::UnansweredOrders,
 };
--- a/src/process/engines/told_loads.rs
+++ b/src/process/engines/told_loads.rs
@@ -8,18 +8,18 @@
 
 /// Load of one engine as last sent to a host.
 #[derive(Debug, Clone, PartialEq)]
-struct ToldLoad {
+struct PublishedLoad {
     load: EngineLoad,
     at: Instant,
 }
 
 /// Tracks the engine loads sent to other hosts, so that only changes are sent.
 #[derive(Debug, Default)]
-pub struct ToldLoads {
-    by_host: HashMap<(SocketAddr, String), ToldLoad>,
+pub struct PublishedLoads {
+    by_host: HashMap<(SocketAddr, String), PublishedLoad>,
 }
 
-impl ToldLoads {
+impl PublishedLoads {
     /// Returns true if the load must be sent to the host, and records it as sent.
     pub fn is_news(
         &mut self,
@@ -28,13 +28,13 @@
         now: Instant,
     ) -> bool {
         let key = (host, load.target.clone());
-        let is_old = |told: &ToldLoad| now.saturating_duration_since(told.at) >= TELL_AGAIN;
+        let is_old = |told: &PublishedLoad| now.saturating_duration_since(told.at) >= TELL_AGAIN;
         let told = self.by_host.get(&key);
         if told.is_some_and(|told| told.load == *load && !is_old(told)) {
             return false;
         }
         let load = load.clone();
-        self.by_host.insert(key, ToldLoad { load, at: now });
+        self.by_host.insert(key, PublishedLoad { load, at: now });
         true
     }
 
@@ -43,7 +43,7 @@
         &mut self,
         now: Instant,
     ) {
-        let keeps = |told: &ToldLoad| now.saturating_duration_since(told.at) <= TELL_AGAIN * 2;
+        let keeps = |told: &PublishedLoad| now.saturating_duration_since(told.at) <= TELL_AGAIN * 2;
         self.by_host.retain(|_, told| keeps(told));
     }
 
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -16,7 +16,7 @@
         formats::Formats,
         note,
         process::{
-            engines::{EngineAllocator, SharedAllocatorState, ToldLoads, UnansweredOrders},
+            engines::{EngineAllocator, PublishedLoads, SharedAllocatorState, UnansweredOrders},
             holding::{Holding, HoldingTimings, HostRow},
             hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
             ownership::SessionLease,
@@ -116,7 +116,7 @@
     pub(super) told_holds: Vec<String>,
     pub(super) next_holds: Instant,
     next_loads: Instant,
-    pub(super) told_loads: ToldLoads,
+    pub(super) told_loads: PublishedLoads,
     /// Desks are not looked at before, without news.
     next_desks: Instant,
     next_tick: Instant,
@@ -195,7 +195,7 @@
             told_holds: Vec::new(),
             next_holds: now,
             next_loads: now,
-            told_loads: ToldLoads::default(),
+            told_loads: PublishedLoads::default(),
             next_desks: now,
             next_tick: now,
             started: now,
--- a/tests/told_loads.rs
+++ b/tests/told_loads.rs
@@ -1,7 +1,9 @@
 //! Which engine loads are sent to other hosts.
 
 use {
-    coveproxy::{clock::Instant, connection::datagram::EngineLoad, process::engines::ToldLoads},
+    coveproxy::{
+        clock::Instant, connection::datagram::EngineLoad, process::engines::PublishedLoads,
+    },
     std::{net::SocketAddr, time::Duration},
 };
 
@@ -22,7 +24,7 @@
 
 #[test]
 fn a_load_is_told_when_it_changes_and_again_after_a_second() {
-    let mut told = ToldLoads::default();
+    let mut told = PublishedLoads::default();
     let start = Instant::now();
     assert!(told.is_news(host(1), &load("e", 1), start));
     assert!(!told.is_news(host(1), &load("e", 1), start + Duration::from_millis(900)));
@@ -32,7 +34,7 @@
 
 #[test]
 fn each_host_is_told_of_each_engine() {
-    let mut told = ToldLoads::default();
+    let mut told = PublishedLoads::default();
     let now = Instant::now();
     assert!(told.is_news(host(1), &load("e", 1), now));
     assert!(told.is_news(host(2), &load("e", 1), now));
@@ -41,7 +43,7 @@
 
 #[test]
 fn what_was_told_long_ago_is_forgotten() {
-    let mut told = ToldLoads::default();
+    let mut told = PublishedLoads::default();
     let start = Instant::now();
     told.is_news(host(1), &load("e", 1), start);
     told.forget_old(start + Duration::from_secs(3));
