--- a/src/process/engines/engine_desk.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -3,7 +3,7 @@
         AllocatorAction, EngineCacheEstimate, EngineLoads, EngineUsage, EngineUtilization,
         LoadRejection, PendingLoadRank, PlannedOrder, Residency, ResidentAdapter,
         SharedBaseLoadLimiter, SharedEnginePool, SharedLoadLimiter, UnansweredOrders,
-        load_wish::PendingLoad,
+        pending_load::PendingLoad,
     },
     crate::{
         clock::Instant,
@@ -94,7 +94,7 @@
     /// True if the engine has restarted while the reply was pending.
     pub(super) under_way_is_of_earlier_start: bool,
     /// Unanswered orders that may take effect after a restart of the engine.
-    pub(super) late_orders: UnansweredOrders,
+    pub(super) unanswered_orders: UnansweredOrders,
     pub(super) report_asked: Option<Instant>,
     pub(super) report_due: Option<Instant>,
     pub(super) model_not_before: Instant,
@@ -129,7 +129,7 @@
             under_way: None,
             unsettled: None,
             under_way_is_of_earlier_start: false,
-            late_orders: UnansweredOrders::default(),
+            unanswered_orders: UnansweredOrders::default(),
             report_asked: None,
             report_due: Some(now),
             model_not_before: now,
--- a/src/process/engines/desk_start.rs
+++ b/src/process/engines/engine_restart.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         AllocatorAction, EngineAllocator, EngineCacheEstimate, EngineUsage, PlannedOrder,
-        UnansweredOrders, engine_desk::REMEMBERED_PER_PLACE,
+        UnansweredOrders, engine_allocator::REMEMBERED_PER_PLACE,
     },
     crate::{
         clock::Instant,
@@ -48,24 +48,24 @@
     }
 
     /// Returns the orders that may still reach the engine after this allocator is closed.
-    pub fn into_late_orders(
+    pub fn into_unanswered_orders(
         mut self,
         now: Instant,
     ) -> UnansweredOrders {
         if let Some(order) = self.under_way.take() {
-            self.late_orders.note(order, now);
+            self.unanswered_orders.note(order, now);
         }
         // The next allocator does not know which orders the engine accepts in the meantime.
-        self.late_orders.on_new_start();
-        self.late_orders
+        self.unanswered_orders.on_new_start();
+        self.unanswered_orders
     }
 
     /// Sets the unanswered orders of an earlier allocator of this engine.
-    pub fn set_late_orders(
+    pub fn set_unanswered_orders(
         &mut self,
-        late_orders: UnansweredOrders,
+        unanswered_orders: UnansweredOrders,
     ) {
-        self.late_orders = unanswered_orders;
+        self.unanswered_orders = unanswered_orders;
     }
 
     /// Resets the state of the previous incarnation.
@@ -87,7 +87,7 @@
         self.unresponsive_until = None;
         self.unsettled = None;
         self.under_way_is_of_earlier_start = self.under_way.is_some();
-        self.late_orders.on_new_start();
+        self.unanswered_orders.on_new_start();
         self.sequence = None;
         self.count_room();
         self.tell_desks();
@@ -114,8 +114,8 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         if reply.is_none() {
-            self.late_orders.note(order, now);
-            self.late_orders.on_new_start();
+            self.unanswered_orders.note(order, now);
+            self.unanswered_orders.on_new_start();
         }
         self.learn_anew(now);
         Vec::new()
--- a/src/process/engines/desk_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         AllocatorAction, EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
-        engine_desk::{REPORT_LAG, key},
+        engine_allocator::{REPORT_LAG, key},
         load_limiter::LOAD_TIME,
     },
     crate::{
@@ -119,7 +119,7 @@
         order: PlannedOrder,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        self.late_orders.note(order.clone(), now);
+        self.unanswered_orders.note(order.clone(), now);
         if order.purpose == OrderPurpose::Look {
             self.postpone_look(&order, now);
             return Vec::new();
--- a/src/process/engines/desk_choice.rs
+++ b/src/process/engines/order_selection.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
-        engine_desk::{MAX_COMING, key, name_of},
+        engine_allocator::{MAX_COMING, key, name_of},
         load_limiter::LOAD_TIME,
     },
     crate::{clock::Instant, formats::OrderKind},
@@ -200,7 +200,7 @@
         }));
         let late = self
             .sequence
-            .map_or(0, |sequence| self.late_orders.places(sequence, now));
+            .map_or(0, |sequence| self.unanswered_orders.places(sequence, now));
         self.room
             .saturating_sub(self.places.len() + unsettled + late)
     }
--- a/src/process/engines/unanswered_orders.rs
+++ b/src/process/engines/unanswered_orders.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PlannedOrder, engine_desk::key},
+    super::{PlannedOrder, engine_allocator::key},
     crate::{clock::Instant, formats::OrderKind},
     std::time::Duration,
 };
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -255,7 +255,7 @@
             note!(Event::TargetLost, target = target);
             if let Some(desk) = self.desks.remove(&target) {
                 self.late_orders
-                    .insert(target.clone(), desk.into_late_orders(now));
+                    .insert(target.clone(), desk.into_unanswered_orders(now));
             }
             self.shared.forget(&target);
             self.changed = true;
@@ -274,7 +274,7 @@
             };
             let mut desk = EngineAllocator::new(&target, spec, self.shared.clone(), now);
             desk.on_start(listed.record.started, now);
-            desk.set_late_orders(self.late_orders.remove(&target).unwrap_or_default());
+            desk.set_unanswered_orders(self.late_orders.remove(&target).unwrap_or_default());
             for (adapter, versions) in self.versions.iter() {
                 desk.on_newest(adapter, versions.newest());
             }
