--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -174,7 +174,7 @@
         }
         let may_order = self.sequence.is_some() && !self.busy;
         let looks = self.places.values().filter_map(|place| match place.state {
-            Residency::Coming { due, .. } if may_order => Some(due),
+            Residency::Loading { due, .. } if may_order => Some(due),
             _ => None,
         });
         looks.chain(self.report_due).min()
@@ -203,7 +203,7 @@
         };
         place.interested.insert(host);
         place.last_used = now;
-        if place.version < version || place.state == Residency::Going {
+        if place.version < version || place.state == Residency::Unloading {
             return self.wish(host, want, version, now);
         }
         vec![self.tell(host, &want.adapter, now)]
@@ -249,7 +249,7 @@
         let Some(place) = self.places.get(adapter) else {
             return;
         };
-        if place.state == Residency::Held {
+        if place.state == Residency::Loaded {
             self.report_due.get_or_insert(now);
         }
     }
@@ -365,10 +365,10 @@
                 self.wishes.remove(&want.adapter);
                 self.tell_desks();
                 let adapter = want.adapter.clone();
-                actions.push(AllocatorAction::TurnedAway { adapter, reason });
+                actions.push(AllocatorAction::LoadRejected { adapter, reason });
             }
             let placement = self.placement_to_come(&want.adapter, version, state);
-            actions.push(AllocatorAction::Tell { host, placement });
+            actions.push(AllocatorAction::Reply { host, placement });
         }
         actions
     }
@@ -394,7 +394,7 @@
     pub(super) fn queue_time(&self) -> Duration {
         let of_host = self.shared.limiter.borrow().queue_time();
         let coming = self.places.values();
-        let coming = coming.filter(|place| matches!(place.state, Residency::Coming { .. }));
+        let coming = coming.filter(|place| matches!(place.state, Residency::Loading { .. }));
         let here = (coming.count() + self.wishes.len()) as f64 / MAX_COMING as f64;
         let load_time = self.shared.limiter.borrow().load_time();
         of_host.max(load_time.mul_f64(here.max(1.0)))
@@ -482,7 +482,7 @@
         {
             self.report_due = None;
             self.report_asked = Some(now);
-            actions.push(AllocatorAction::AskReport);
+            actions.push(AllocatorAction::RequestReport);
         }
         if self.report_asked.is_some() {
             return actions;
@@ -536,7 +536,7 @@
         adapter: &str,
         now: Instant,
     ) -> AllocatorAction {
-        AllocatorAction::Tell {
+        AllocatorAction::Reply {
             host,
             placement: self.placement(adapter, now),
         }
@@ -549,11 +549,11 @@
     ) -> Placement {
         let place = self.places.get(adapter);
         let (state, due) = match place.map(|place| place.state) {
-            Some(Residency::Held) => (PlacementState::Ready, Duration::ZERO),
-            Some(Residency::Coming { due, .. }) => {
+            Some(Residency::Loaded) => (PlacementState::Ready, Duration::ZERO),
+            Some(Residency::Loading { due, .. }) => {
                 (PlacementState::Coming, due.saturating_duration_since(now))
             }
-            Some(Residency::Going) | None => (PlacementState::Absent, Duration::ZERO),
+            Some(Residency::Unloading) | None => (PlacementState::Absent, Duration::ZERO),
         };
         Placement {
             target: self.target.clone(),
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -99,7 +99,7 @@
         match reply {
             Some(reply @ (OrderReply::Accepted | OrderReply::Done)) => match order.purpose {
                 OrderPurpose::Change => self.on_order_taken(&order, reply, now),
-                OrderPurpose::Look => self.on_look(&order, reply, now),
+                OrderPurpose::Probe => self.on_look(&order, reply, now),
             },
             Some(_) => {
                 self.forget_ordered(&order);
@@ -120,7 +120,7 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         self.unanswered_orders.note(order.clone(), now);
-        if order.purpose == OrderPurpose::Look {
+        if order.purpose == OrderPurpose::Probe {
             self.postpone_look(&order, now);
             return Vec::new();
         }
@@ -148,7 +148,7 @@
         let mut actions = Vec::new();
         for (adapter, wish) in std::mem::take(&mut self.wishes) {
             let placement = self.placement_to_come(&adapter, wish.version, PlacementState::Full);
-            let tell = |host| AllocatorAction::Tell {
+            let tell = |host| AllocatorAction::Reply {
                 host,
                 placement: placement.clone(),
             };
@@ -166,9 +166,9 @@
         let Some(place) = self.places.get_mut(&adapter) else {
             return;
         };
-        if let Residency::Coming { since, .. } = place.state {
+        if let Residency::Loading { since, .. } = place.state {
             let due = now + LEAST_LOOK_PAUSE;
-            place.state = Residency::Coming { since, due };
+            place.state = Residency::Loading { since, due };
         }
     }
 
@@ -191,23 +191,23 @@
         let mut actions = Vec::new();
         if let Some(place) = self.places.get_mut(&adapter) {
             let since = match place.state {
-                Residency::Coming { since, .. } => since,
+                Residency::Loading { since, .. } => since,
                 _ => now,
             };
             let passed = now.saturating_duration_since(since);
             if reply == OrderReply::Done {
-                place.state = Residency::Held;
+                place.state = Residency::Loaded;
                 // The hosts that waited for it send their requests now.
                 place.last_used = now;
                 self.note_load_time(passed);
-                actions.push(AllocatorAction::LoadOver {
+                actions.push(AllocatorAction::LoadCompleted {
                     adapter: adapter.clone(),
                     time: passed,
                 });
                 actions.extend(self.announce(&adapter, now));
             } else {
                 let pause = passed.mul_f64(LOOK_SHARE).max(LEAST_LOOK_PAUSE);
-                place.state = Residency::Coming {
+                place.state = Residency::Loading {
                     since,
                     due: now + pause,
                 };
@@ -281,8 +281,8 @@
             return Vec::new();
         };
         place.state = match reply {
-            OrderReply::Done => Residency::Held,
-            _ => Residency::Coming {
+            OrderReply::Done => Residency::Loaded,
+            _ => Residency::Loading {
                 since: now,
                 due: now + time,
             },
@@ -307,7 +307,7 @@
         let Some(adapter) = &order.adapter else {
             return;
         };
-        if order.purpose == OrderPurpose::Look {
+        if order.purpose == OrderPurpose::Probe {
             return;
         }
         let key = key(&order.model, adapter);
@@ -317,7 +317,7 @@
             }
             OrderKind::Unload => {
                 if let Some(place) = self.places.get_mut(&key) {
-                    place.state = Residency::Held;
+                    place.state = Residency::Loaded;
                 }
             }
         }
@@ -346,21 +346,21 @@
                 self.memory.note(&key, held.version);
                 let mut place = old
                     .remove(&key)
-                    .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Held, now));
+                    .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Loaded, now));
                 place.version = held.version;
-                if matches!(place.state, Residency::Coming { .. }) {
+                if matches!(place.state, Residency::Loading { .. }) {
                     place.last_used = now;
                     came.push(key.clone());
                 }
-                if place.state != Residency::Going {
-                    place.state = Residency::Held;
+                if place.state != Residency::Unloading {
+                    place.state = Residency::Loaded;
                 }
                 self.places.insert(key, place);
             }
         }
         for (model, name, version) in &report.coming {
             let key = key(model, name);
-            let coming = Residency::Coming {
+            let coming = Residency::Loading {
                 since: now,
                 due: now + LOAD_TIME,
             };
@@ -375,7 +375,7 @@
                     place
                 });
             place.version = *version;
-            if !matches!(place.state, Residency::Coming { .. }) {
+            if !matches!(place.state, Residency::Loading { .. }) {
                 place.state = coming;
             }
             self.places.insert(key, place);
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -77,7 +77,7 @@
         now: Instant,
     ) -> Option<PlannedOrder> {
         let due = |place: &ResidentAdapter| match place.state {
-            Residency::Coming { due, .. } if due <= now => Some(due),
+            Residency::Loading { due, .. } if due <= now => Some(due),
             _ => None,
         };
         let (adapter, place, _) = self
@@ -86,7 +86,7 @@
             .filter_map(|(adapter, place)| Some((adapter, place, due(place)?)))
             .min_by_key(|(_, _, due)| *due)?;
         Some(PlannedOrder {
-            purpose: OrderPurpose::Look,
+            purpose: OrderPurpose::Probe,
             kind: OrderKind::Load,
             model: model.to_string(),
             adapter: Some(name_of(adapter, model)?.to_string()),
@@ -107,7 +107,7 @@
         let coming = self
             .places
             .values()
-            .filter(|place| matches!(place.state, Residency::Coming { .. }))
+            .filter(|place| matches!(place.state, Residency::Loading { .. }))
             .count();
         if coming + usize::from(self.unsettled.is_some()) >= MAX_COMING {
             return None;
@@ -124,7 +124,7 @@
                 !crowded || (policy.uses_engine_memory && at_hand)
             })
             .filter(|(adapter, _)| match self.places.get(*adapter) {
-                Some(place) => place.in_flight() == 0 && place.state == Residency::Held,
+                Some(place) => place.in_flight() == 0 && place.state == Residency::Loaded,
                 None => free > 0,
             })
             .min_by_key(|(_, wish)| match policy.ranks_wishes {
@@ -136,7 +136,7 @@
         let wish = self.wishes.remove(&next)?;
         let mut place = ResidentAdapter::new(
             wish.version,
-            Residency::Coming {
+            Residency::Loading {
                 since: now,
                 due: now + LOAD_TIME,
             },
@@ -176,7 +176,7 @@
             None => return None,
         };
         let name = name_of(&victim, model)?.to_string();
-        self.places.get_mut(&victim)?.state = Residency::Going;
+        self.places.get_mut(&victim)?.state = Residency::Unloading;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Unload,
@@ -238,7 +238,7 @@
         place: &ResidentAdapter,
         now: Instant,
     ) -> bool {
-        place.state == Residency::Held
+        place.state == Residency::Loaded
             && place.in_flight() == 0
             && now.saturating_duration_since(place.last_used) >= IDLE_TIME
     }
--- a/src/process/engines/planned_order.rs
+++ b/src/process/engines/planned_order.rs
@@ -10,7 +10,7 @@
     /// Changes what the engine holds.
     Change,
     /// Repeats a load only to learn whether it has completed; engines do not count it as a new order.
-    Look,
+    Probe,
 }
 
 /// An order to an engine, without the holder and the fence, which the sender adds.
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AllocatorAction {
     Order(PlannedOrder),
-    AskReport,
+    RequestReport,
     /// Sends a placement to the host that requested it.
-    Tell {
+    Reply {
         host: SocketAddr,
         placement: Placement,
     },
@@ -44,12 +44,12 @@
         placement: Placement,
     },
     /// Logs and counts a load request that was rejected.
-    TurnedAway {
+    LoadRejected {
         adapter: String,
         reason: LoadRejection,
     },
     /// Logs a completed load and its duration.
-    LoadOver {
+    LoadCompleted {
         adapter: String,
         time: Duration,
     },
--- a/src/process/engines/resident_adapter.rs
+++ b/src/process/engines/resident_adapter.rs
@@ -14,13 +14,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Residency {
     /// Load ordered at `since`; its completion is next checked at `due`.
-    Coming {
+    Loading {
         since: Instant,
         due: Instant,
     },
-    Held,
+    Loaded,
     /// Unload ordered; its last requests may still run.
-    Going,
+    Unloading,
 }
 
 /// An adapter that occupies a slot of its engine.
@@ -61,7 +61,7 @@
 
     /// Returns true while it is being loaded from the weight store.
     pub fn comes_from_store(&self) -> bool {
-        self.from_store && matches!(self.state, Residency::Coming { .. })
+        self.from_store && matches!(self.state, Residency::Loading { .. })
     }
 
     /// Returns the in-flight requests of all hosts.
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -212,14 +212,14 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         match action {
-            AllocatorAction::Tell { host, placement } => {
+            AllocatorAction::Reply { host, placement } => {
                 vec![self.send(host, Message::Placement(placement))]
             }
             AllocatorAction::Announce {
                 interested,
                 placement,
             } => self.announce(&interested, &placement),
-            AllocatorAction::TurnedAway { adapter, reason } => {
+            AllocatorAction::LoadRejected { adapter, reason } => {
                 let labels = WaitLabels {
                     cause: reason.word(),
                 };
@@ -232,7 +232,7 @@
                 );
                 Vec::new()
             }
-            AllocatorAction::LoadOver { adapter, time } => {
+            AllocatorAction::LoadCompleted { adapter, time } => {
                 let took_ms = time.as_millis();
                 metrics().load_time.observe(time.as_secs_f64());
                 note!(
@@ -243,7 +243,7 @@
                 );
                 Vec::new()
             }
-            AllocatorAction::AskReport => self.ask_report(target).into_iter().collect(),
+            AllocatorAction::RequestReport => self.ask_report(target).into_iter().collect(),
             AllocatorAction::Order(order) => self.order(target, order, now).into_iter().collect(),
         }
     }
@@ -330,7 +330,7 @@
     order: &PlannedOrder,
     fence: u64,
 ) {
-    if order.purpose == OrderPurpose::Look {
+    if order.purpose == OrderPurpose::Probe {
         return;
     }
     let event = match order.kind {
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -354,11 +354,11 @@
     ) {
         for action in actions {
             match action {
-                AllocatorAction::TurnedAway { .. } => {}
+                AllocatorAction::LoadRejected { .. } => {}
                 AllocatorAction::Order(order) => self.send(order),
-                AllocatorAction::LoadOver { .. } => {}
-                AllocatorAction::AskReport => self.due.push((self.now + ms(2), Due::Report)),
-                AllocatorAction::Tell { placement, .. }
+                AllocatorAction::LoadCompleted { .. } => {}
+                AllocatorAction::RequestReport => self.due.push((self.now + ms(2), Due::Report)),
+                AllocatorAction::Reply { placement, .. }
                 | AllocatorAction::Announce { placement, .. } => {
                     self.told.insert(placement.adapter.clone(), placement);
                 }
@@ -370,7 +370,7 @@
         &mut self,
         order: PlannedOrder,
     ) {
-        self.looks += usize::from(order.purpose == OrderPurpose::Look);
+        self.looks += usize::from(order.purpose == OrderPurpose::Probe);
         let lost = self.rng.random_range(0..100) < self.unanswered;
         let delay = match lost {
             true => ms(self.rng.random_range(2_000..12_000)),
@@ -813,12 +813,12 @@
     };
     let actions = world.desk.on_want(host(1), &want, world.now);
     let reason = actions.iter().find_map(|action| match action {
-        AllocatorAction::TurnedAway { reason, .. } => Some(*reason),
+        AllocatorAction::LoadRejected { reason, .. } => Some(*reason),
         _ => None,
     });
     assert_eq!(reason, expected);
     let told = actions.iter().find_map(|action| match action {
-        AllocatorAction::Tell { placement, .. } => Some(placement.due_ms),
+        AllocatorAction::Reply { placement, .. } => Some(placement.due_ms),
         _ => None,
     });
     if expected.is_some() {
@@ -909,7 +909,10 @@
     let earlier = TargetStart::from_unix_ms(world.engine.started - 1);
     assert_eq!(world.desk.on_start(Some(earlier), world.now), []);
     let actions = world.desk.on_tick(world.now);
-    assert!(actions.contains(&AllocatorAction::AskReport), "{actions:?}");
+    assert!(
+        actions.contains(&AllocatorAction::RequestReport),
+        "{actions:?}"
+    );
     let actions = world.desk.on_report(Some(old_report), world.now);
     world.take(actions);
     assert_eq!(world.desk.places().len(), 0);
