--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -291,10 +291,10 @@
 
     /// Publishes this engine's loads and utilization to the other allocators of the host.
     pub(super) fn tell_desks(&self) {
-        let coming = self.places.values();
+        let adapters = self.places.values();
         let loads = EngineLoads {
-            coming: coming.filter(|place| place.comes_from_store()).count(),
-            waiting: self.wishes.values().filter(|wish| !wish.spare).count(),
+            in_progress: adapters.filter(|place| place.comes_from_store()).count(),
+            queued: self.wishes.values().filter(|wish| !wish.spare).count(),
         };
         self.shared.limiter.borrow_mut().set(&self.target, loads);
         let fill = EngineUtilization {
--- a/src/process/engines/engine_usage.rs
+++ b/src/process/engines/engine_usage.rs
@@ -15,7 +15,7 @@
     host: SocketAddr,
     asked: Instant,
     /// Probability, from 0 to 1.
-    chance: f64,
+    probability: f64,
     tokens: u32,
     prompt_tokens: u32,
 }
@@ -68,7 +68,7 @@
             self.expected.push(ExpectedSend {
                 host,
                 asked: now,
-                chance: f64::from(query.chance.min(100)) / 100.0,
+                probability: f64::from(query.chance.min(100)) / 100.0,
                 tokens: query.tokens,
                 prompt_tokens: query.prompt_tokens,
             });
@@ -83,9 +83,9 @@
         let others = self.expected.iter().filter(|send| send.host != host);
         let (mut sends, mut tokens, mut prompt_tokens) = (0.0, 0.0, 0.0);
         for send in others {
-            sends += send.chance;
-            tokens += send.chance * f64::from(send.tokens);
-            prompt_tokens += send.chance * f64::from(send.prompt_tokens);
+            sends += send.probability;
+            tokens += send.probability * f64::from(send.tokens);
+            prompt_tokens += send.probability * f64::from(send.prompt_tokens);
         }
         UsageTotals {
             in_flight: sends.round() as u32,
--- a/src/process/engines/load_limiter.rs
+++ b/src/process/engines/load_limiter.rs
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineLoads {
     /// Ordered from the weight store and not yet completed.
-    pub coming: usize,
+    pub in_progress: usize,
     /// Requested and not yet ordered.
-    pub waiting: usize,
+    pub queued: usize,
 }
 
 /// A limiter shared by the engine allocators of a host, all on one thread.
@@ -87,7 +87,7 @@
 
     /// Returns true if the window has room for another load.
     pub fn has_room(&self) -> bool {
-        (self.coming() as f64) < self.window
+        (self.in_progress() as f64) < self.window
     }
 
     /// Returns true if the weight store is too busy for additional copies of adapters.
@@ -102,7 +102,7 @@
 
     /// Returns the expected time until a load requested now has completed.
     pub fn queue_time(&self) -> Duration {
-        let ahead = (self.coming() + self.waiting()) as f64;
+        let ahead = (self.in_progress() + self.queued()) as f64;
         self.load_time.mul_f64((ahead / self.window).max(1.0))
     }
 
@@ -120,11 +120,11 @@
         };
     }
 
-    fn coming(&self) -> usize {
-        self.engines.values().map(|loads| loads.coming).sum()
+    fn in_progress(&self) -> usize {
+        self.engines.values().map(|loads| loads.in_progress).sum()
     }
 
-    fn waiting(&self) -> usize {
-        self.engines.values().map(|loads| loads.waiting).sum()
+    fn queued(&self) -> usize {
+        self.engines.values().map(|loads| loads.queued).sum()
     }
 }
--- a/src/process/engines/unanswered_orders.rs
+++ b/src/process/engines/unanswered_orders.rs
@@ -56,7 +56,7 @@
 
     /// Returns the slots that orders to earlier incarnations may still take, once the engine has accepted `sequence`
     /// orders.
-    pub fn places(
+    pub fn reserved_slots(
         &self,
         sequence: u64,
         now: Instant,
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -796,15 +796,15 @@
 #[case::nothing_waits(0, 0, None)]
 fn a_load_that_comes_too_late_for_whoever_asks_is_not_queued(
     #[case] patience_ms: u32,
-    #[case] waiting_elsewhere: usize,
+    #[case] queued_elsewhere: usize,
     #[case] expected: Option<LoadRejection>,
 ) {
     let shared = SharedAllocatorState::default();
     let mut world = World::beside(1, 0, shared.clone());
     world.run(ms(3_000));
     let elsewhere = EngineLoads {
-        coming: 2 * usize::from(waiting_elsewhere > 0),
-        waiting: waiting_elsewhere,
+        in_progress: 2 * usize::from(queued_elsewhere > 0),
+        queued: queued_elsewhere,
     };
     shared.limiter.borrow_mut().set("elsewhere", elsewhere);
     let want = Want {
@@ -846,8 +846,8 @@
     };
     assert!((200..300).contains(&due(&mut world)));
     let elsewhere = EngineLoads {
-        coming: 2,
-        waiting: 4,
+        in_progress: 2,
+        queued: 4,
     };
     shared.limiter.borrow_mut().set("elsewhere", elsewhere);
     assert!(due(&mut world) > 700);
--- a/tests/engine_standing.rs
+++ b/tests/engine_standing.rs
@@ -99,10 +99,13 @@
 }
 
 fn loads(
-    coming: usize,
-    waiting: usize,
+    in_progress: usize,
+    queued: usize,
 ) -> EngineLoads {
-    EngineLoads { coming, waiting }
+    EngineLoads {
+        in_progress,
+        queued,
+    }
 }
 
 #[test]
