--- a/src/process/engines/load_limiter.rs
+++ b/src/process/engines/load_limiter.rs
@@ -1,32 +1,32 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
 /// Load time of an adapter from an idle weight store.
-pub const LOAD_TIME: Duration = Duration::from_millis(252);
+pub const IDLE_STORE_LOAD_TIME: Duration = Duration::from_millis(252);
 
-/// Loads slower than this multiple of `LOAD_TIME` were delayed by other loads.
-const UNCROWDED: f64 = 1.8;
+/// Loads slower than this multiple of `IDLE_STORE_LOAD_TIME` were delayed by other loads.
+const CONTENTION_FACTOR: f64 = 1.8;
 
-const FIRST_WINDOW: f64 = 2.0;
+const INITIAL_WINDOW: f64 = 2.0;
 
 /// Fractions of a load are rounded up.
-const LEAST_WINDOW: f64 = 1.5;
+const MIN_WINDOW: f64 = 1.5;
 
-const MOST_WINDOW: f64 = 16.0;
+const MAX_WINDOW: f64 = 16.0;
 
 /// Growth over one window of loads without delays.
-const WINDOW_STEP: f64 = 1.5;
+const WINDOW_INCREASE: f64 = 1.5;
 
 /// Factor by which a delayed load shrinks the window.
-const WINDOW_CUT: f64 = 0.85;
+const WINDOW_DECREASE_FACTOR: f64 = 0.85;
 
 /// Weight of a new sample in the moving average of load times.
-const LOAD_TIME_WEIGHT: f64 = 0.2;
+const LOAD_TIME_EWMA_WEIGHT: f64 = 0.2;
 
 /// Average load time above which the weight store is too busy for additional copies.
-const STORE_BUSY: Duration = Duration::from_millis(380);
+const BUSY_STORE_LOAD_TIME: Duration = Duration::from_millis(380);
 
 /// Upper bound of load time samples.
-const MOST_LOAD_TIME: Duration = Duration::from_millis(1500);
+const MAX_LOAD_TIME_SAMPLE: Duration = Duration::from_millis(1500);
 
 /// Adapter loads of one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -55,8 +55,8 @@
 impl Default for LoadLimiter {
     fn default() -> Self {
         Self {
-            load_time: LOAD_TIME,
-            window: FIRST_WINDOW,
+            load_time: IDLE_STORE_LOAD_TIME,
+            window: INITIAL_WINDOW,
             engines: BTreeMap::new(),
         }
     }
@@ -92,7 +92,7 @@
 
     /// Returns true if the weight store is too busy for additional copies of adapters.
     pub fn is_busy(&self) -> bool {
-        self.load_time > STORE_BUSY
+        self.load_time > BUSY_STORE_LOAD_TIME
     }
 
     /// Returns the moving average of load times.
@@ -111,12 +111,12 @@
         &mut self,
         time: Duration,
     ) {
-        let time = time.min(MOST_LOAD_TIME);
-        let old = self.load_time.mul_f64(1.0 - LOAD_TIME_WEIGHT);
-        self.load_time = old + time.mul_f64(LOAD_TIME_WEIGHT);
-        self.window = match time < LOAD_TIME.mul_f64(UNCROWDED) {
-            true => (self.window + WINDOW_STEP / self.window).min(MOST_WINDOW),
-            false => (self.window * WINDOW_CUT).max(LEAST_WINDOW),
+        let time = time.min(MAX_LOAD_TIME_SAMPLE);
+        let old = self.load_time.mul_f64(1.0 - LOAD_TIME_EWMA_WEIGHT);
+        self.load_time = old + time.mul_f64(LOAD_TIME_EWMA_WEIGHT);
+        self.window = match time < IDLE_STORE_LOAD_TIME.mul_f64(CONTENTION_FACTOR) {
+            true => (self.window + WINDOW_INCREASE / self.window).min(MAX_WINDOW),
+            false => (self.window * WINDOW_DECREASE_FACTOR).max(MIN_WINDOW),
         };
     }
 
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -4,7 +4,7 @@
     super::{
         AllocatorAction, EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
         engine_allocator::{REPORT_LAG, key},
-        load_limiter::LOAD_TIME,
+        load_limiter::IDLE_STORE_LOAD_TIME,
     },
     crate::{
         clock::Instant,
@@ -222,7 +222,7 @@
         &mut self,
         time: Duration,
     ) {
-        if time >= LOAD_TIME.mul_f64(0.8) {
+        if time >= IDLE_STORE_LOAD_TIME.mul_f64(0.8) {
             self.shared.limiter.borrow_mut().on_load(time);
         }
     }
@@ -274,7 +274,7 @@
         let time = match self.memory.contains(adapter, version) {
             true => RELOAD_TIME,
             // Probed from the earliest completion time on, as late probes overestimate load times.
-            false => LOAD_TIME,
+            false => IDLE_STORE_LOAD_TIME,
         };
         self.memory.note(adapter, version);
         let Some(place) = self.places.get_mut(adapter) else {
@@ -362,7 +362,7 @@
             let key = key(model, name);
             let coming = Residency::Loading {
                 since: now,
-                due: now + LOAD_TIME,
+                due: now + IDLE_STORE_LOAD_TIME,
             };
             let mut place = self
                 .places
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -4,7 +4,7 @@
     super::{
         EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
         engine_allocator::{MAX_COMING, key, name_of},
-        load_limiter::LOAD_TIME,
+        load_limiter::IDLE_STORE_LOAD_TIME,
     },
     crate::{clock::Instant, formats::OrderKind},
     std::time::Duration,
@@ -138,7 +138,7 @@
             wish.version,
             Residency::Loading {
                 since: now,
-                due: now + LOAD_TIME,
+                due: now + IDLE_STORE_LOAD_TIME,
             },
             now,
         );
