--- a/src/process/engines/engine_cache_estimate.rs
+++ b/src/process/engines/engine_cache_estimate.rs
@@ -19,7 +19,7 @@
     }
 
     /// Records that the engine holds, or held, this version of the adapter.
-    pub fn note(
+    pub fn record(
         &mut self,
         adapter: &str,
         version: u64,
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -53,10 +53,10 @@
         now: Instant,
     ) -> UnansweredOrders {
         if let Some(order) = self.under_way.take() {
-            self.unanswered_orders.note(order, now);
+            self.unanswered_orders.record(order, now);
         }
         // The next allocator does not know which orders the engine accepts in the meantime.
-        self.unanswered_orders.on_new_start();
+        self.unanswered_orders.on_restart();
         self.unanswered_orders
     }
 
@@ -87,7 +87,7 @@
         self.unresponsive_until = None;
         self.unsettled = None;
         self.under_way_is_of_earlier_start = self.under_way.is_some();
-        self.unanswered_orders.on_new_start();
+        self.unanswered_orders.on_restart();
         self.sequence = None;
         self.count_room();
         self.tell_desks();
@@ -114,8 +114,8 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         if reply.is_none() {
-            self.unanswered_orders.note(order, now);
-            self.unanswered_orders.on_new_start();
+            self.unanswered_orders.record(order, now);
+            self.unanswered_orders.on_restart();
         }
         self.learn_anew(now);
         Vec::new()
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -119,7 +119,7 @@
         order: PlannedOrder,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        self.unanswered_orders.note(order.clone(), now);
+        self.unanswered_orders.record(order.clone(), now);
         if order.purpose == OrderPurpose::Probe {
             self.postpone_look(&order, now);
             return Vec::new();
@@ -276,7 +276,7 @@
             // Probed from the earliest completion time on, as late probes overestimate load times.
             false => IDLE_STORE_LOAD_TIME,
         };
-        self.memory.note(adapter, version);
+        self.memory.record(adapter, version);
         let Some(place) = self.places.get_mut(adapter) else {
             return Vec::new();
         };
@@ -343,7 +343,7 @@
         for model in &report.models {
             for held in &model.adapters {
                 let key = key(&model.name, &held.name);
-                self.memory.note(&key, held.version);
+                self.memory.record(&key, held.version);
                 let mut place = old
                     .remove(&key)
                     .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Loaded, now));
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -198,11 +198,11 @@
             let adapter = order.adapter.as_deref().unwrap_or_default();
             order.kind == OrderKind::Load && !self.places.contains_key(&key(&order.model, adapter))
         }));
-        let late = self.sequence.map_or(0, |sequence| {
+        let unanswered = self.sequence.map_or(0, |sequence| {
             self.unanswered_orders.reserved_slots(sequence, now)
         });
         self.room
-            .saturating_sub(self.places.len() + unsettled + late)
+            .saturating_sub(self.places.len() + unsettled + unanswered)
     }
 
     /// Returns the idle adapter with the fewest recent requests.
--- a/src/process/engines/unanswered_orders.rs
+++ b/src/process/engines/unanswered_orders.rs
@@ -5,7 +5,7 @@
 };
 
 /// Time after which an unanswered order can no longer take effect.
-const MOST_LATE: Duration = Duration::from_secs(15);
+const MAX_DELIVERY_DELAY: Duration = Duration::from_secs(15);
 
 /// Orders that got no reply and may still reach the engine.
 ///
@@ -19,38 +19,40 @@
 #[derive(Debug)]
 struct UnansweredOrder {
     order: PlannedOrder,
-    unanswered_at: Instant,
+    timed_out_at: Instant,
     /// True if the engine has restarted since.
-    of_earlier_start: bool,
+    from_earlier_incarnation: bool,
 }
 
 impl UnansweredOrders {
     /// Records an order without a reply, or whose reply may come from an earlier incarnation.
-    pub fn note(
+    pub fn record(
         &mut self,
         order: PlannedOrder,
         now: Instant,
     ) {
-        self.forget_old(now);
+        self.evict_expired(now);
         self.orders.push(UnansweredOrder {
             order,
-            unanswered_at: now,
-            of_earlier_start: false,
+            timed_out_at: now,
+            from_earlier_incarnation: false,
         });
     }
 
     /// Returns true if none of the orders can reach the engine any more.
-    pub fn is_over(
+    pub fn all_expired(
         &self,
         now: Instant,
     ) -> bool {
-        self.orders.iter().all(|late| late.is_too_old(now))
+        self.orders
+            .iter()
+            .all(|unanswered| unanswered.is_expired(now))
     }
 
     /// Records a restart of the engine.
-    pub fn on_new_start(&mut self) {
-        for late in &mut self.orders {
-            late.of_earlier_start = true;
+    pub fn on_restart(&mut self) {
+        for unanswered in &mut self.orders {
+            unanswered.from_earlier_incarnation = true;
         }
     }
 
@@ -64,19 +66,21 @@
         let mut adapters: Vec<String> = self
             .orders
             .iter()
-            .filter(|late| late.of_earlier_start && !late.is_void(sequence, now))
-            .filter_map(|late| late.loaded_adapter())
+            .filter(|unanswered| {
+                unanswered.from_earlier_incarnation && !unanswered.is_void(sequence, now)
+            })
+            .filter_map(|unanswered| unanswered.loaded_adapter())
             .collect();
         adapters.sort_unstable();
         adapters.dedup();
         adapters.len()
     }
 
-    fn forget_old(
+    fn evict_expired(
         &mut self,
         now: Instant,
     ) {
-        self.orders.retain(|late| !late.is_too_old(now));
+        self.orders.retain(|unanswered| !unanswered.is_expired(now));
     }
 }
 
@@ -86,14 +90,14 @@
         sequence: u64,
         now: Instant,
     ) -> bool {
-        self.order.expected_sequence < sequence || self.is_too_old(now)
+        self.order.expected_sequence < sequence || self.is_expired(now)
     }
 
-    fn is_too_old(
+    fn is_expired(
         &self,
         now: Instant,
     ) -> bool {
-        now.saturating_duration_since(self.unanswered_at) >= MOST_LATE
+        now.saturating_duration_since(self.timed_out_at) >= MAX_DELIVERY_DELAY
     }
 
     /// Returns the adapter that would take a slot.
