--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -260,7 +260,7 @@
             self.shared.forget(&target);
             self.changed = true;
         }
-        self.late_orders.retain(|_, late| !late.is_over(now));
+        self.late_orders.retain(|_, late| !late.all_expired(now));
         for target in held {
             if self.desks.contains_key(&target) {
                 continue;
