--- a/src/process/engines/engine_usage.rs
+++ b/src/process/engines/engine_usage.rs
@@ -7,13 +7,13 @@
 };
 
 /// Time after which a host that queried an engine has sent its request, there or elsewhere.
-const EXPECTED_FOR: Duration = Duration::from_millis(40);
+const EXPECTED_SEND_TTL: Duration = Duration::from_millis(40);
 
 /// A request that a host may send after its query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ExpectedSend {
     host: SocketAddr,
-    asked: Instant,
+    queried_at: Instant,
     /// Probability, from 0 to 1.
     probability: f64,
     tokens: u32,
@@ -63,11 +63,11 @@
         now: Instant,
     ) {
         self.expected
-            .retain(|send| now.saturating_duration_since(send.asked) < EXPECTED_FOR);
+            .retain(|send| now.saturating_duration_since(send.queried_at) < EXPECTED_SEND_TTL);
         if query.chance > 0 {
             self.expected.push(ExpectedSend {
                 host,
-                asked: now,
+                queried_at: now,
                 probability: f64::from(query.chance.min(100)) / 100.0,
                 tokens: query.tokens,
                 prompt_tokens: query.prompt_tokens,
