--- a/src/process/engines/engine_usage.rs
+++ b/src/process/engines/engine_usage.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the load to expect from queries of other hosts.
-    fn expected_of_others(
+    fn expected_from_others(
         &self,
         host: SocketAddr,
     ) -> UsageTotals {
@@ -114,12 +114,12 @@
     }
 
     /// Returns the reported and expected load of all hosts but one.
-    pub fn of_others(
+    pub fn excluding(
         &self,
         host: SocketAddr,
     ) -> UsageTotals {
         let others = self.by_host.iter().filter(|(other, _)| **other != host);
-        others.fold(self.expected_of_others(host), |sum, (_, of_host)| {
+        others.fold(self.expected_from_others(host), |sum, (_, of_host)| {
             UsageTotals {
                 in_flight: sum.in_flight + of_host.in_flight,
                 tokens: sum.tokens.saturating_add(of_host.tokens),
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -315,7 +315,7 @@
     desk: &EngineAllocator,
     host: SocketAddr,
 ) -> EngineLoad {
-    let others = desk.usage().of_others(host);
+    let others = desk.usage().excluding(host);
     EngineLoad {
         target: target.to_string(),
         in_flight: others.in_flight,
--- a/tests/engine_standing.rs
+++ b/tests/engine_standing.rs
@@ -45,10 +45,10 @@
     let mut seen = Vec::new();
     for at in 0..5 {
         engine.on_query(host(at), &query(100), now);
-        seen.push(engine.of_others(host(at)).in_flight);
+        seen.push(engine.excluding(host(at)).in_flight);
     }
     assert_eq!(seen, [0, 1, 2, 3, 4]);
-    assert_eq!(engine.of_others(host(9)).unread_tokens, 5 * 600);
+    assert_eq!(engine.excluding(host(9)).unread_tokens, 5 * 600);
 }
 
 #[test]
@@ -57,8 +57,8 @@
     let mut engine = EngineUsage::default();
     engine.on_query(host(1), &query(100), now);
     engine.on_usage(host(1), &usage(1));
-    assert_eq!(engine.of_others(host(2)).in_flight, 1);
-    assert_eq!(engine.of_others(host(2)).tokens, 1_000);
+    assert_eq!(engine.excluding(host(2)).in_flight, 1);
+    assert_eq!(engine.excluding(host(2)).tokens, 1_000);
 }
 
 #[test]
@@ -66,9 +66,9 @@
     let now = Instant::now();
     let mut engine = EngineUsage::default();
     engine.on_query(host(1), &query(100), now);
-    assert_eq!(engine.of_others(host(2)).in_flight, 1);
+    assert_eq!(engine.excluding(host(2)).in_flight, 1);
     engine.on_query(host(2), &query(0), now + ms(50));
-    assert_eq!(engine.of_others(host(2)).in_flight, 0);
+    assert_eq!(engine.excluding(host(2)).in_flight, 0);
 }
 
 #[rstest]
@@ -84,7 +84,7 @@
     for at in 0..queries {
         engine.on_query(host(at), &query(chance), now);
     }
-    assert_eq!(engine.of_others(host(99)).in_flight, expected);
+    assert_eq!(engine.excluding(host(99)).in_flight, expected);
 }
 
 #[test]
@@ -95,7 +95,7 @@
     engine.on_usage(host(2), &usage(3));
     engine.on_host_gone(host(1));
     engine.on_host_gone(host(2));
-    assert_eq!(engine.of_others(host(3)).in_flight, 0);
+    assert_eq!(engine.excluding(host(3)).in_flight, 0);
 }
 
 fn loads(
