--- a/src/process/engines/resident_adapter.rs
+++ b/src/process/engines/resident_adapter.rs
@@ -8,7 +8,7 @@
 };
 
 /// Half-life of an adapter's request count, by which adapters are ranked for eviction.
-const USE_HALF_LIFE: Duration = Duration::from_secs(10);
+const USAGE_HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// State of an adapter that occupies a slot of its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,10 +35,10 @@
     /// Hosts that may send requests for it.
     pub interested: BTreeSet<SocketAddr>,
     /// In-flight requests of each host.
-    users: BTreeMap<SocketAddr, u32>,
-    /// Exponentially decayed count of started requests, as of `uses_at`.
-    uses: f64,
-    uses_at: Instant,
+    in_flight_by_host: BTreeMap<SocketAddr, u32>,
+    /// Exponentially decayed count of started requests, as of `decayed_at`.
+    decayed_starts: f64,
+    decayed_at: Instant,
 }
 
 impl ResidentAdapter {
@@ -53,9 +53,9 @@
             last_used: now,
             from_store: false,
             interested: BTreeSet::new(),
-            users: BTreeMap::new(),
-            uses: 0.0,
-            uses_at: now,
+            in_flight_by_host: BTreeMap::new(),
+            decayed_starts: 0.0,
+            decayed_at: now,
         }
     }
 
@@ -66,7 +66,7 @@
 
     /// Returns the in-flight requests of all hosts.
     pub fn in_flight(&self) -> u32 {
-        self.users.values().sum()
+        self.in_flight_by_host.values().sum()
     }
 
     /// Returns the exponentially decayed number of started requests.
@@ -74,9 +74,9 @@
         &self,
         now: Instant,
     ) -> f64 {
-        let half_lives =
-            now.saturating_duration_since(self.uses_at).as_secs_f64() / USE_HALF_LIFE.as_secs_f64();
-        self.uses * 0.5f64.powf(half_lives)
+        let half_lives = now.saturating_duration_since(self.decayed_at).as_secs_f64()
+            / USAGE_HALF_LIFE.as_secs_f64();
+        self.decayed_starts * 0.5f64.powf(half_lives)
     }
 
     /// Records a host's usage report for this adapter.
@@ -89,14 +89,14 @@
     ) {
         self.interested.insert(host);
         match in_flight {
-            0 => self.users.remove(&host),
-            count => self.users.insert(host, count),
+            0 => self.in_flight_by_host.remove(&host),
+            count => self.in_flight_by_host.insert(host, count),
         };
         if in_flight > 0 || started > 0 {
             self.last_used = now;
         }
-        self.uses = self.recent_uses(now) + f64::from(started);
-        self.uses_at = now;
+        self.decayed_starts = self.recent_uses(now) + f64::from(started);
+        self.decayed_at = now;
     }
 
     /// Records a host's usage report that does not name this adapter.
@@ -104,7 +104,7 @@
         &mut self,
         host: SocketAddr,
     ) {
-        self.users.remove(&host);
+        self.in_flight_by_host.remove(&host);
     }
 
     /// Removes a lost host and its requests.
@@ -112,7 +112,7 @@
         &mut self,
         host: SocketAddr,
     ) {
-        self.users.remove(&host);
+        self.in_flight_by_host.remove(&host);
         self.interested.remove(&host);
     }
 }
