--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -293,7 +293,9 @@
     pub(super) fn tell_desks(&self) {
         let adapters = self.places.values();
         let loads = EngineLoads {
-            in_progress: adapters.filter(|place| place.comes_from_store()).count(),
+            in_progress: adapters
+                .filter(|place| place.is_loading_from_store())
+                .count(),
             queued: self.wishes.values().filter(|wish| !wish.spare).count(),
         };
         self.shared.limiter.borrow_mut().set(&self.target, loads);
@@ -561,7 +563,7 @@
             version: place.map_or(0, |place| place.version),
             state: state as i32,
             due_ms: millis(due),
-            uses: place.map_or(0, |place| place.recent_uses(now).round() as u32),
+            uses: place.map_or(0, |place| place.recent_starts(now).round() as u32),
         }
     }
 }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -214,7 +214,7 @@
             .iter()
             .filter(|(_, place)| self.is_idle(place, now))
             .min_by(|(_, a), (_, b)| {
-                let uses = a.recent_uses(now).total_cmp(&b.recent_uses(now));
+                let uses = a.recent_starts(now).total_cmp(&b.recent_starts(now));
                 uses.then(a.last_used.cmp(&b.last_used))
             })
             .map(|(adapter, _)| adapter.clone())
--- a/src/process/engines/resident_adapter.rs
+++ b/src/process/engines/resident_adapter.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns true while it is being loaded from the weight store.
-    pub fn comes_from_store(&self) -> bool {
+    pub fn is_loading_from_store(&self) -> bool {
         self.from_store && matches!(self.state, Residency::Loading { .. })
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Returns the exponentially decayed number of started requests.
-    pub fn recent_uses(
+    pub fn recent_starts(
         &self,
         now: Instant,
     ) -> f64 {
@@ -95,7 +95,7 @@
         if in_flight > 0 || started > 0 {
             self.last_used = now;
         }
-        self.decayed_starts = self.recent_uses(now) + f64::from(started);
+        self.decayed_starts = self.recent_starts(now) + f64::from(started);
         self.decayed_at = now;
     }
 
