--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -201,7 +201,7 @@
         let Some(place) = self.places.get_mut(&want.adapter) else {
             return self.wish(host, want, version, now);
         };
-        place.interested.insert(host);
+        place.interested_hosts.insert(host);
         place.last_used = now;
         if place.version < version || place.state == Residency::Unloading {
             return self.wish(host, want, version, now);
@@ -222,7 +222,7 @@
             return None;
         }
         if let Some(place) = self.places.get_mut(adapter) {
-            place.interested.insert(host);
+            place.interested_hosts.insert(host);
             place.last_used = now;
             return Some(self.placement(adapter, now));
         }
@@ -318,7 +318,7 @@
     ) -> Option<AllocatorAction> {
         let place = self.places.get(adapter)?;
         Some(AllocatorAction::Announce {
-            interested: place.interested.iter().copied().collect(),
+            interested_hosts: place.interested_hosts.iter().copied().collect(),
             placement: self.placement(adapter, now),
         })
     }
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -100,7 +100,7 @@
             .places
             .iter()
             .map(|(adapter, place)| AllocatorAction::Announce {
-                interested: place.interested.iter().copied().collect(),
+                interested_hosts: place.interested_hosts.iter().copied().collect(),
                 placement: self.placement_to_come(adapter, place.version, PlacementState::Full),
             });
         gone.collect()
--- a/src/process/engines/planned_order.rs
+++ b/src/process/engines/planned_order.rs
@@ -40,7 +40,7 @@
     },
     /// Sends a placement to all hosts, or on a large site to the interested ones.
     Announce {
-        interested: Vec<SocketAddr>,
+        interested_hosts: Vec<SocketAddr>,
         placement: Placement,
     },
     /// Logs and counts a load request that was rejected.
--- a/src/process/engines/resident_adapter.rs
+++ b/src/process/engines/resident_adapter.rs
@@ -33,7 +33,7 @@
     /// Loaded, or being loaded, from the weight store.
     pub from_store: bool,
     /// Hosts that may send requests for it.
-    pub interested: BTreeSet<SocketAddr>,
+    pub interested_hosts: BTreeSet<SocketAddr>,
     /// In-flight requests of each host.
     in_flight_by_host: BTreeMap<SocketAddr, u32>,
     /// Exponentially decayed count of started requests, as of `decayed_at`.
@@ -52,7 +52,7 @@
             state,
             last_used: now,
             from_store: false,
-            interested: BTreeSet::new(),
+            interested_hosts: BTreeSet::new(),
             in_flight_by_host: BTreeMap::new(),
             decayed_starts: 0.0,
             decayed_at: now,
@@ -87,7 +87,7 @@
         started: u32,
         now: Instant,
     ) {
-        self.interested.insert(host);
+        self.interested_hosts.insert(host);
         match in_flight {
             0 => self.in_flight_by_host.remove(&host),
             count => self.in_flight_by_host.insert(host, count),
@@ -113,6 +113,6 @@
         host: SocketAddr,
     ) {
         self.in_flight_by_host.remove(&host);
-        self.interested.remove(&host);
+        self.interested_hosts.remove(&host);
     }
 }
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -216,9 +216,9 @@
                 vec![self.send(host, Message::Placement(placement))]
             }
             AllocatorAction::Announce {
-                interested,
+                interested_hosts,
                 placement,
-            } => self.announce(&interested, &placement),
+            } => self.announce(&interested_hosts, &placement),
             AllocatorAction::LoadRejected { adapter, reason } => {
                 let labels = WaitLabels {
                     cause: reason.word(),
@@ -251,7 +251,7 @@
     /// Tells every host of a small site, and the interested ones of a large one.
     fn announce(
         &self,
-        interested: &[SocketAddr],
+        interested_hosts: &[SocketAddr],
         placement: &Placement,
     ) -> Vec<ControlAction> {
         let me = self.hosts.me().peer;
@@ -259,7 +259,7 @@
         let mut receivers: Vec<SocketAddr> = up.map(|host| host.identity.peer).collect();
         receivers.push(me);
         if receivers.len() > MAX_ANNOUNCED {
-            receivers = interested.to_vec();
+            receivers = interested_hosts.to_vec();
         }
         receivers
             .into_iter()
