--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -299,14 +299,14 @@
             queued: self.wishes.values().filter(|wish| !wish.spare).count(),
         };
         self.shared.limiter.borrow_mut().set(&self.target, loads);
-        let fill = EngineUtilization {
+        let utilization = EngineUtilization {
             running: self.usage.running(),
             slots: self.spec.slots,
         };
         let mut pool = self.shared.pool.borrow_mut();
         for model in &self.spec.models {
             let holds = self.model.as_ref() == Some(&model.name);
-            pool.set(&model.name, &self.target, holds.then_some(fill));
+            pool.set(&model.name, &self.target, holds.then_some(utilization));
         }
     }
 
--- a/src/process/engines/engine_pool.rs
+++ b/src/process/engines/engine_pool.rs
@@ -1,7 +1,7 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
 /// Utilization at which an empty engine loads its base model from the weight store.
-const NEEDED_SHARE: f64 = 0.65;
+const SCALE_UP_UTILIZATION: f64 = 0.65;
 
 /// Request slots of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct EnginePool {
     /// By base model, then by engine.
-    fills: BTreeMap<String, BTreeMap<String, EngineUtilization>>,
+    utilizations: BTreeMap<String, BTreeMap<String, EngineUtilization>>,
 }
 
 impl EnginePool {
@@ -31,11 +31,11 @@
         &mut self,
         model: &str,
         target: &str,
-        fill: Option<EngineUtilization>,
+        utilization: Option<EngineUtilization>,
     ) {
-        let engines = self.fills.entry(model.to_string()).or_default();
-        match fill {
-            Some(fill) => engines.insert(target.to_string(), fill),
+        let engines = self.utilizations.entry(model.to_string()).or_default();
+        match utilization {
+            Some(utilization) => engines.insert(target.to_string(), utilization),
             None => engines.remove(target),
         };
     }
@@ -45,20 +45,24 @@
         &mut self,
         target: &str,
     ) {
-        for engines in self.fills.values_mut() {
+        for engines in self.utilizations.values_mut() {
             engines.remove(target);
         }
     }
 
     /// Returns true if another engine with this base model is needed.
-    pub fn needs_another(
+    pub fn needs_another_engine(
         &self,
         model: &str,
     ) -> bool {
-        let engines = self.fills.get(model).into_iter().flat_map(BTreeMap::values);
-        let (running, slots) = engines.fold((0, 0), |(running, slots), fill| {
-            (running + fill.running, slots + fill.slots)
+        let engines = self
+            .utilizations
+            .get(model)
+            .into_iter()
+            .flat_map(BTreeMap::values);
+        let (running, slots) = engines.fold((0, 0), |(running, slots), utilization| {
+            (running + utilization.running, slots + utilization.slots)
         });
-        f64::from(running) >= NEEDED_SHARE * f64::from(slots)
+        f64::from(running) >= SCALE_UP_UTILIZATION * f64::from(slots)
     }
 }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -49,7 +49,7 @@
             .iter()
             .find(|model| model.weights_mb <= self.spec.weights_mb)?;
         let at_hand = self.models_at_hand.contains(&fits.name);
-        if !at_hand && !self.shared.pool.borrow().needs_another(&fits.name) {
+        if !at_hand && !self.shared.pool.borrow().needs_another_engine(&fits.name) {
             return None;
         }
         let rate = self.spec.loads_per_second;
