--- a/src/process/engines/base_load_limiter.rs
+++ b/src/process/engines/base_load_limiter.rs
@@ -5,7 +5,7 @@
 
 /// Window over which loads are counted.
 /// Several seconds long, so that engines replaced in quick succession need not wait for their model.
-const WINDOW: Duration = Duration::from_secs(5);
+const RATE_WINDOW: Duration = Duration::from_secs(5);
 
 /// A limiter shared by the engine allocators of a host, all on one thread.
 pub type SharedBaseLoadLimiter = Rc<RefCell<BaseLoadLimiter>>;
@@ -19,7 +19,7 @@
     /// Share of the site's engines that this host holds; unlimited if `None`.
     share: Option<f64>,
     /// When `share` was first set.
-    started: Option<Instant>,
+    share_known_since: Option<Instant>,
     /// Times of the loads ordered within the window.
     ordered: VecDeque<Instant>,
 }
@@ -33,7 +33,7 @@
         now: Instant,
     ) {
         self.share = Some(held as f64 / engines.max(1) as f64);
-        self.started.get_or_insert(now);
+        self.share_known_since.get_or_insert(now);
     }
 
     /// Returns true, and counts the load, if a load may be ordered now.
@@ -45,13 +45,13 @@
         let Some(share) = self.share else {
             return true;
         };
-        let is_over = |at: &Instant| now.saturating_duration_since(*at) > WINDOW;
+        let is_over = |at: &Instant| now.saturating_duration_since(*at) > RATE_WINDOW;
         while self.ordered.front().is_some_and(is_over) {
             self.ordered.pop_front();
         }
-        let part = (loads_per_second * WINDOW.as_secs_f64() * share).round();
-        let allowed = match self.started.as_ref().is_some_and(is_over) {
-            true => part.max(1.0),
+        let allowance = (loads_per_second * RATE_WINDOW.as_secs_f64() * share).round();
+        let allowed = match self.share_known_since.as_ref().is_some_and(is_over) {
+            true => allowance.max(1.0),
             false => 1.0,
         };
         if self.ordered.len() as f64 >= allowed {
