--- a/src/process/engines/pending_load.rs
+++ b/src/process/engines/pending_load.rs
@@ -4,18 +4,18 @@
 };
 
 /// Priorities from this one on are treated alike.
-const LEAST_URGENT: u32 = 2;
+const LOWEST_PRIORITY: u32 = 2;
 
 /// Delay in the queue for each step of lower priority.
-const RANK_HANDICAP: Duration = Duration::from_millis(100);
+const PRIORITY_DELAY: Duration = Duration::from_millis(100);
 
 /// Advance in the queue for each additional waiting request.
-const WAITING_START: Duration = Duration::from_millis(50);
+const REQUEST_ADVANCE: Duration = Duration::from_millis(50);
 
 /// Maximum number of additional requests that count.
-const MOST_WAITING: u32 = 8;
+const MAX_COUNTED_REQUESTS: u32 = 8;
 
-const MOST_START: Duration = Duration::from_millis(400);
+const MAX_ADVANCE: Duration = Duration::from_millis(400);
 
 /// A load that hosts wait for and that has not been ordered.
 #[derive(Debug, Clone)]
@@ -32,7 +32,7 @@
 }
 
 /// Time beyond `promised` after which the load is overdue.
-const PROMISE_SLACK: Duration = Duration::from_millis(250);
+const OVERDUE_SLACK: Duration = Duration::from_millis(250);
 
 impl PendingLoad {
     /// Returns true if the load has not completed when it was promised.
@@ -40,18 +40,18 @@
         &self,
         now: Instant,
     ) -> bool {
-        now > self.promised + PROMISE_SLACK
+        now > self.promised + OVERDUE_SLACK
     }
 
     /// Returns the queue rank: by age, with an advance for urgent requests and for adapters with many requests.
     pub fn rank(&self) -> PendingLoadRank {
         let requests: u32 = self.waiting.values().sum();
-        let others = requests.saturating_sub(1).min(MOST_WAITING);
-        let handicap = RANK_HANDICAP * self.priority.min(LEAST_URGENT);
-        let start = WAITING_START * others;
+        let additional = requests.saturating_sub(1).min(MAX_COUNTED_REQUESTS);
+        let delay = PRIORITY_DELAY * self.priority.min(LOWEST_PRIORITY);
+        let advance = REQUEST_ADVANCE * additional;
         PendingLoadRank {
             spare: self.spare,
-            due: self.since + MOST_START + handicap - start,
+            due: self.since + MAX_ADVANCE + delay - advance,
         }
     }
 
