--- a/src/process/engines/pending_load.rs
+++ b/src/process/engines/pending_load.rs
@@ -24,14 +24,14 @@
     /// Another engine holds a copy.
     pub spare: bool,
     pub priority: u32,
-    pub since: Instant,
+    pub requested_at: Instant,
     /// Expected completion, as given in the first reply.
-    pub promised: Instant,
+    pub promised_at: Instant,
     /// Waiting requests of each host.
-    pub waiting: BTreeMap<SocketAddr, u32>,
+    pub waiting_requests: BTreeMap<SocketAddr, u32>,
 }
 
-/// Time beyond `promised` after which the load is overdue.
+/// Time beyond `promised_at` after which the load is overdue.
 const OVERDUE_SLACK: Duration = Duration::from_millis(250);
 
 impl PendingLoad {
@@ -40,18 +40,18 @@
         &self,
         now: Instant,
     ) -> bool {
-        now > self.promised + OVERDUE_SLACK
+        now > self.promised_at + OVERDUE_SLACK
     }
 
     /// Returns the queue rank: by age, with an advance for urgent requests and for adapters with many requests.
     pub fn rank(&self) -> PendingLoadRank {
-        let requests: u32 = self.waiting.values().sum();
+        let requests: u32 = self.waiting_requests.values().sum();
         let additional = requests.saturating_sub(1).min(MAX_COUNTED_REQUESTS);
         let delay = PRIORITY_DELAY * self.priority.min(LOWEST_PRIORITY);
         let advance = REQUEST_ADVANCE * additional;
         PendingLoadRank {
             spare: self.spare,
-            due: self.since + MAX_ADVANCE + delay - advance,
+            due: self.requested_at + MAX_ADVANCE + delay - advance,
         }
     }
 
@@ -59,7 +59,7 @@
     pub fn rank_by_age(&self) -> PendingLoadRank {
         PendingLoadRank {
             spare: self.spare,
-            due: self.since,
+            due: self.requested_at,
         }
     }
 }
