--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -340,14 +340,14 @@
                 version,
                 spare: want.spare,
                 priority: want.priority,
-                since: now,
-                promised,
-                waiting: BTreeMap::new(),
+                requested_at: now,
+                promised_at: promised,
+                waiting_requests: BTreeMap::new(),
             });
         wish.version = wish.version.max(version);
         wish.priority = wish.priority.min(want.priority);
         wish.spare &= want.spare;
-        wish.waiting.insert(host, want.waiting.max(1));
+        wish.waiting_requests.insert(host, want.waiting.max(1));
         let overdue = wish.is_overdue(now);
         let mut actions = self.next_orders(now);
         if self.wishes.contains_key(&want.adapter) {
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -152,7 +152,7 @@
                 host,
                 placement: placement.clone(),
             };
-            actions.extend(wish.waiting.into_keys().map(tell));
+            actions.extend(wish.waiting_requests.into_keys().map(tell));
         }
         actions
     }
