--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -332,7 +332,7 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         let is_new = !self.wishes.contains_key(&want.adapter);
-        let promised = now + self.queue_time();
+        let promised_at = now + self.queue_time();
         let wish = self
             .wishes
             .entry(want.adapter.clone())
@@ -341,7 +341,7 @@
                 spare: want.spare,
                 priority: want.priority,
                 requested_at: now,
-                promised_at: promised,
+                promised_at: promised_at,
                 waiting_requests: BTreeMap::new(),
             });
         wish.version = wish.version.max(version);
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -142,7 +142,9 @@
             },
             now,
         );
-        place.interested_hosts.extend(wish.waiting_requests.into_keys());
+        place
+            .interested_hosts
+            .extend(wish.waiting_requests.into_keys());
         place.from_store = !self.memory.contains(&next, wish.version);
         let reason = match !place.from_store {
             true => "held_lately",
