--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -173,10 +173,13 @@
             return None;
         }
         let may_order = self.sequence.is_some() && !self.busy;
-        let looks = self.places.values().filter_map(|place| match place.state {
-            Residency::Loading { due, .. } if may_order => Some(due),
-            _ => None,
-        });
+        let looks = self
+            .places
+            .values()
+            .filter_map(|resident| match resident.state {
+                Residency::Loading { due, .. } if may_order => Some(due),
+                _ => None,
+            });
         looks.chain(self.report_due).min()
     }
 
@@ -198,12 +201,12 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         let version = self.wanted_version(want);
-        let Some(place) = self.places.get_mut(&want.adapter) else {
+        let Some(resident) = self.places.get_mut(&want.adapter) else {
             return self.wish(host, want, version, now);
         };
-        place.interested_hosts.insert(host);
-        place.last_used = now;
-        if place.version < version || place.state == Residency::Unloading {
+        resident.interested_hosts.insert(host);
+        resident.last_used = now;
+        if resident.version < version || resident.state == Residency::Unloading {
             return self.wish(host, want, version, now);
         }
         vec![self.tell(host, &want.adapter, now)]
@@ -221,9 +224,9 @@
         if adapter.is_empty() {
             return None;
         }
-        if let Some(place) = self.places.get_mut(adapter) {
-            place.interested_hosts.insert(host);
-            place.last_used = now;
+        if let Some(resident) = self.places.get_mut(adapter) {
+            resident.interested_hosts.insert(host);
+            resident.last_used = now;
             return Some(self.placement(adapter, now));
         }
         let mut placement = self.placement(adapter, now);
@@ -246,10 +249,10 @@
         adapter: &str,
         now: Instant,
     ) {
-        let Some(place) = self.places.get(adapter) else {
+        let Some(resident) = self.places.get(adapter) else {
             return;
         };
-        if place.state == Residency::Loaded {
+        if resident.state == Residency::Loaded {
             self.report_due.get_or_insert(now);
         }
     }
@@ -262,10 +265,10 @@
         now: Instant,
     ) {
         self.usage.on_usage(host, usage);
-        for (adapter, place) in &mut self.places {
+        for (adapter, resident) in &mut self.places {
             match usage.adapters.iter().find(|used| used.adapter == *adapter) {
-                Some(used) => place.on_usage(host, used.in_flight, used.started, now),
-                None => place.on_unused(host),
+                Some(used) => resident.on_usage(host, used.in_flight, used.started, now),
+                None => resident.on_unused(host),
             }
         }
     }
@@ -276,8 +279,8 @@
         host: SocketAddr,
     ) {
         self.usage.on_host_gone(host);
-        for place in self.places.values_mut() {
-            place.on_host_gone(host);
+        for resident in self.places.values_mut() {
+            resident.on_host_gone(host);
         }
     }
 
@@ -294,7 +297,7 @@
         let adapters = self.places.values();
         let loads = EngineLoads {
             in_progress: adapters
-                .filter(|place| place.is_loading_from_store())
+                .filter(|resident| resident.is_loading_from_store())
                 .count(),
             queued: self.wishes.values().filter(|wish| !wish.spare).count(),
         };
@@ -316,9 +319,9 @@
         adapter: &str,
         now: Instant,
     ) -> Option<AllocatorAction> {
-        let place = self.places.get(adapter)?;
+        let resident = self.places.get(adapter)?;
         Some(AllocatorAction::Announce {
-            interested_hosts: place.interested_hosts.iter().copied().collect(),
+            interested_hosts: resident.interested_hosts.iter().copied().collect(),
             placement: self.placement(adapter, now),
         })
     }
@@ -396,7 +399,7 @@
     pub(super) fn queue_time(&self) -> Duration {
         let of_host = self.shared.limiter.borrow().queue_time();
         let coming = self.places.values();
-        let coming = coming.filter(|place| matches!(place.state, Residency::Loading { .. }));
+        let coming = coming.filter(|resident| matches!(resident.state, Residency::Loading { .. }));
         let here = (coming.count() + self.wishes.len()) as f64 / MAX_COMING as f64;
         let load_time = self.shared.limiter.borrow().load_time();
         of_host.max(load_time.mul_f64(here.max(1.0)))
@@ -446,7 +449,7 @@
         now: Instant,
     ) -> bool {
         match self.places.get(adapter) {
-            Some(place) => place.in_flight() == 0,
+            Some(resident) => resident.in_flight() == 0,
             None => self.free_places(now) > 0 || self.victim(now).is_some(),
         }
     }
@@ -549,8 +552,8 @@
         adapter: &str,
         now: Instant,
     ) -> Placement {
-        let place = self.places.get(adapter);
-        let (state, due) = match place.map(|place| place.state) {
+        let resident = self.places.get(adapter);
+        let (state, due) = match resident.map(|resident| resident.state) {
             Some(Residency::Loaded) => (PlacementState::Ready, Duration::ZERO),
             Some(Residency::Loading { due, .. }) => {
                 (PlacementState::Coming, due.saturating_duration_since(now))
@@ -560,10 +563,10 @@
         Placement {
             target: self.target.clone(),
             adapter: adapter.to_string(),
-            version: place.map_or(0, |place| place.version),
+            version: resident.map_or(0, |resident| resident.version),
             state: state as i32,
             due_ms: millis(due),
-            uses: place.map_or(0, |place| place.recent_starts(now).round() as u32),
+            uses: resident.map_or(0, |resident| resident.recent_starts(now).round() as u32),
         }
     }
 }
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -99,9 +99,9 @@
         let gone = self
             .places
             .iter()
-            .map(|(adapter, place)| AllocatorAction::Announce {
-                interested_hosts: place.interested_hosts.iter().copied().collect(),
-                placement: self.placement_to_come(adapter, place.version, PlacementState::Full),
+            .map(|(adapter, resident)| AllocatorAction::Announce {
+                interested_hosts: resident.interested_hosts.iter().copied().collect(),
+                placement: self.placement_to_come(adapter, resident.version, PlacementState::Full),
             });
         gone.collect()
     }
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -163,12 +163,12 @@
         now: Instant,
     ) {
         let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
-        let Some(place) = self.places.get_mut(&adapter) else {
+        let Some(resident) = self.places.get_mut(&adapter) else {
             return;
         };
-        if let Residency::Loading { since, .. } = place.state {
+        if let Residency::Loading { since, .. } = resident.state {
             let due = now + LEAST_LOOK_PAUSE;
-            place.state = Residency::Loading { since, due };
+            resident.state = Residency::Loading { since, due };
         }
     }
 
@@ -189,16 +189,16 @@
     ) -> Vec<AllocatorAction> {
         let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
         let mut actions = Vec::new();
-        if let Some(place) = self.places.get_mut(&adapter) {
-            let since = match place.state {
+        if let Some(resident) = self.places.get_mut(&adapter) {
+            let since = match resident.state {
                 Residency::Loading { since, .. } => since,
                 _ => now,
             };
             let passed = now.saturating_duration_since(since);
             if reply == OrderReply::Done {
-                place.state = Residency::Loaded;
+                resident.state = Residency::Loaded;
                 // The hosts that waited for it send their requests now.
-                place.last_used = now;
+                resident.last_used = now;
                 self.note_load_time(passed);
                 actions.push(AllocatorAction::LoadCompleted {
                     adapter: adapter.clone(),
@@ -207,7 +207,7 @@
                 actions.extend(self.announce(&adapter, now));
             } else {
                 let pause = passed.mul_f64(LOOK_SHARE).max(LEAST_LOOK_PAUSE);
-                place.state = Residency::Loading {
+                resident.state = Residency::Loading {
                     since,
                     due: now + pause,
                 };
@@ -277,10 +277,10 @@
             false => IDLE_STORE_LOAD_TIME,
         };
         self.memory.record(adapter, version);
-        let Some(place) = self.places.get_mut(adapter) else {
+        let Some(resident) = self.places.get_mut(adapter) else {
             return Vec::new();
         };
-        place.state = match reply {
+        resident.state = match reply {
             OrderReply::Done => Residency::Loaded,
             _ => Residency::Loading {
                 since: now,
@@ -316,8 +316,8 @@
                 self.places.remove(&key);
             }
             OrderKind::Unload => {
-                if let Some(place) = self.places.get_mut(&key) {
-                    place.state = Residency::Loaded;
+                if let Some(resident) = self.places.get_mut(&key) {
+                    resident.state = Residency::Loaded;
                 }
             }
         }
@@ -344,18 +344,18 @@
             for held in &model.adapters {
                 let key = key(&model.name, &held.name);
                 self.memory.record(&key, held.version);
-                let mut place = old
+                let mut resident = old
                     .remove(&key)
                     .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Loaded, now));
-                place.version = held.version;
-                if matches!(place.state, Residency::Loading { .. }) {
-                    place.last_used = now;
+                resident.version = held.version;
+                if matches!(resident.state, Residency::Loading { .. }) {
+                    resident.last_used = now;
                     came.push(key.clone());
                 }
-                if place.state != Residency::Unloading {
-                    place.state = Residency::Loaded;
+                if resident.state != Residency::Unloading {
+                    resident.state = Residency::Loaded;
                 }
-                self.places.insert(key, place);
+                self.places.insert(key, resident);
             }
         }
         for (model, name, version) in &report.coming {
@@ -364,21 +364,21 @@
                 since: now,
                 due: now + IDLE_STORE_LOAD_TIME,
             };
-            let mut place = self
+            let mut resident = self
                 .places
                 .remove(&key)
                 .or_else(|| old.remove(&key))
                 .unwrap_or_else(|| {
                     // Ordered by a previous holder. Counts towards the limit, as it may come from the weight store.
-                    let mut place = ResidentAdapter::new(*version, coming, now);
-                    place.from_store = !self.memory.contains(&key, *version);
-                    place
+                    let mut resident = ResidentAdapter::new(*version, coming, now);
+                    resident.from_store = !self.memory.contains(&key, *version);
+                    resident
                 });
-            place.version = *version;
-            if !matches!(place.state, Residency::Loading { .. }) {
-                place.state = coming;
+            resident.version = *version;
+            if !matches!(resident.state, Residency::Loading { .. }) {
+                resident.state = coming;
             }
-            self.places.insert(key, place);
+            self.places.insert(key, resident);
         }
         came
     }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -76,21 +76,21 @@
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
-        let due = |place: &ResidentAdapter| match place.state {
+        let due = |resident: &ResidentAdapter| match resident.state {
             Residency::Loading { due, .. } if due <= now => Some(due),
             _ => None,
         };
-        let (adapter, place, _) = self
+        let (adapter, resident, _) = self
             .places
             .iter()
-            .filter_map(|(adapter, place)| Some((adapter, place, due(place)?)))
+            .filter_map(|(adapter, resident)| Some((adapter, resident, due(resident)?)))
             .min_by_key(|(_, _, due)| *due)?;
         Some(PlannedOrder {
             purpose: OrderPurpose::Probe,
             kind: OrderKind::Load,
             model: model.to_string(),
             adapter: Some(name_of(adapter, model)?.to_string()),
-            version: Some(place.version),
+            version: Some(resident.version),
             expected_sequence: sequence,
             reason: "look",
             tries: 1,
@@ -107,7 +107,7 @@
         let coming = self
             .places
             .values()
-            .filter(|place| matches!(place.state, Residency::Loading { .. }))
+            .filter(|resident| matches!(resident.state, Residency::Loading { .. }))
             .count();
         if coming + usize::from(self.unsettled.is_some()) >= MAX_COMING {
             return None;
@@ -124,7 +124,7 @@
                 !crowded || (policy.uses_engine_memory && at_hand)
             })
             .filter(|(adapter, _)| match self.places.get(*adapter) {
-                Some(place) => place.in_flight() == 0 && place.state == Residency::Loaded,
+                Some(resident) => resident.in_flight() == 0 && resident.state == Residency::Loaded,
                 None => free > 0,
             })
             .min_by_key(|(_, wish)| match policy.ranks_wishes {
@@ -134,7 +134,7 @@
             .map(|(adapter, _)| adapter.clone())?;
         let name = name_of(&next, model)?.to_string();
         let wish = self.wishes.remove(&next)?;
-        let mut place = ResidentAdapter::new(
+        let mut resident = ResidentAdapter::new(
             wish.version,
             Residency::Loading {
                 since: now,
@@ -142,16 +142,16 @@
             },
             now,
         );
-        place
+        resident
             .interested_hosts
             .extend(wish.waiting_requests.into_keys());
-        place.from_store = !self.memory.contains(&next, wish.version);
-        let reason = match !place.from_store {
+        resident.from_store = !self.memory.contains(&next, wish.version);
+        let reason = match !resident.from_store {
             true => "held_lately",
             false if wish.spare => "spare",
             false => "missing",
         };
-        self.places.insert(next, place);
+        self.places.insert(next, resident);
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Load,
@@ -214,7 +214,7 @@
     ) -> Option<String> {
         self.places
             .iter()
-            .filter(|(_, place)| self.is_idle(place, now))
+            .filter(|(_, resident)| self.is_idle(resident, now))
             .min_by(|(_, a), (_, b)| {
                 let uses = a.recent_starts(now).total_cmp(&b.recent_starts(now));
                 uses.then(a.last_used.cmp(&b.last_used))
@@ -228,20 +228,20 @@
     ) -> Option<String> {
         self.places
             .iter()
-            .find(|(adapter, place)| {
+            .find(|(adapter, resident)| {
                 let newest = self.newest.get(*adapter).copied().unwrap_or_default();
-                place.version < newest && self.is_idle(place, now)
+                resident.version < newest && self.is_idle(resident, now)
             })
             .map(|(adapter, _)| adapter.clone())
     }
 
     pub(super) fn is_idle(
         &self,
-        place: &ResidentAdapter,
+        resident: &ResidentAdapter,
         now: Instant,
     ) -> bool {
-        place.state == Residency::Loaded
-            && place.in_flight() == 0
-            && now.saturating_duration_since(place.last_used) >= IDLE_TIME
+        resident.state == Residency::Loaded
+            && resident.in_flight() == 0
+            && now.saturating_duration_since(resident.last_used) >= IDLE_TIME
     }
 }
