--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -75,7 +75,7 @@
     pub(super) started: Option<TargetStart>,
     /// Base model that the engine holds.
     pub(super) model: Option<String>,
-    pub(super) places: BTreeMap<String, ResidentAdapter>,
+    pub(super) adapters: BTreeMap<String, ResidentAdapter>,
     /// Slots for adapters beside the base model.
     pub(super) room: usize,
     pub(super) wishes: HashMap<String, PendingLoad>,
@@ -118,7 +118,7 @@
             spec,
             started: None,
             model: None,
-            places: BTreeMap::new(),
+            adapters: BTreeMap::new(),
             room: 0,
             wishes: HashMap::new(),
             memory,
@@ -152,8 +152,8 @@
         self.count_room();
     }
 
-    pub fn places(&self) -> &BTreeMap<String, ResidentAdapter> {
-        &self.places
+    pub fn adapters(&self) -> &BTreeMap<String, ResidentAdapter> {
+        &self.adapters
     }
 
     pub fn usage(&self) -> &EngineUsage {
@@ -174,7 +174,7 @@
         }
         let may_order = self.sequence.is_some() && !self.busy;
         let looks = self
-            .places
+            .adapters
             .values()
             .filter_map(|resident| match resident.state {
                 Residency::Loading { due, .. } if may_order => Some(due),
@@ -201,7 +201,7 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         let version = self.wanted_version(want);
-        let Some(resident) = self.places.get_mut(&want.adapter) else {
+        let Some(resident) = self.adapters.get_mut(&want.adapter) else {
             return self.wish(host, want, version, now);
         };
         resident.interested_hosts.insert(host);
@@ -224,7 +224,7 @@
         if adapter.is_empty() {
             return None;
         }
-        if let Some(resident) = self.places.get_mut(adapter) {
+        if let Some(resident) = self.adapters.get_mut(adapter) {
             resident.interested_hosts.insert(host);
             resident.last_used = now;
             return Some(self.placement(adapter, now));
@@ -249,7 +249,7 @@
         adapter: &str,
         now: Instant,
     ) {
-        let Some(resident) = self.places.get(adapter) else {
+        let Some(resident) = self.adapters.get(adapter) else {
             return;
         };
         if resident.state == Residency::Loaded {
@@ -265,7 +265,7 @@
         now: Instant,
     ) {
         self.usage.on_usage(host, usage);
-        for (adapter, resident) in &mut self.places {
+        for (adapter, resident) in &mut self.adapters {
             match usage.adapters.iter().find(|used| used.adapter == *adapter) {
                 Some(used) => resident.on_usage(host, used.in_flight, used.started, now),
                 None => resident.on_unused(host),
@@ -279,7 +279,7 @@
         host: SocketAddr,
     ) {
         self.usage.on_host_gone(host);
-        for resident in self.places.values_mut() {
+        for resident in self.adapters.values_mut() {
             resident.on_host_gone(host);
         }
     }
@@ -294,7 +294,7 @@
 
     /// Publishes this engine's loads and utilization to the other allocators of the host.
     pub(super) fn tell_desks(&self) {
-        let adapters = self.places.values();
+        let adapters = self.adapters.values();
         let loads = EngineLoads {
             in_progress: adapters
                 .filter(|resident| resident.is_loading_from_store())
@@ -319,7 +319,7 @@
         adapter: &str,
         now: Instant,
     ) -> Option<AllocatorAction> {
-        let resident = self.places.get(adapter)?;
+        let resident = self.adapters.get(adapter)?;
         Some(AllocatorAction::Announce {
             interested_hosts: resident.interested_hosts.iter().copied().collect(),
             placement: self.placement(adapter, now),
@@ -398,7 +398,7 @@
     /// Returns the expected time until a load requested now has completed.
     pub(super) fn queue_time(&self) -> Duration {
         let of_host = self.shared.limiter.borrow().queue_time();
-        let coming = self.places.values();
+        let coming = self.adapters.values();
         let coming = coming.filter(|resident| matches!(resident.state, Residency::Loading { .. }));
         let here = (coming.count() + self.wishes.len()) as f64 / MAX_COMING as f64;
         let load_time = self.shared.limiter.borrow().load_time();
@@ -435,7 +435,7 @@
             Some(LoadRejection::EngineBusy)
         } else if self.is_unresponsive(now) {
             Some(LoadRejection::Unresponsive)
-        } else if !self.has_place(adapter, now) {
+        } else if !self.has_slot(adapter, now) {
             Some(LoadRejection::NoPlace)
         } else {
             None
@@ -443,14 +443,14 @@
     }
 
     /// Returns true if the adapter has a slot without requests in flight, or can get one.
-    fn has_place(
+    fn has_slot(
         &self,
         adapter: &str,
         now: Instant,
     ) -> bool {
-        match self.places.get(adapter) {
+        match self.adapters.get(adapter) {
             Some(resident) => resident.in_flight() == 0,
-            None => self.free_places(now) > 0 || self.victim(now).is_some(),
+            None => self.free_slots(now) > 0 || self.victim(now).is_some(),
         }
     }
 
@@ -552,7 +552,7 @@
         adapter: &str,
         now: Instant,
     ) -> Placement {
-        let resident = self.places.get(adapter);
+        let resident = self.adapters.get(adapter);
         let (state, due) = match resident.map(|resident| resident.state) {
             Some(Residency::Loaded) => (PlacementState::Ready, Duration::ZERO),
             Some(Residency::Loading { due, .. }) => {
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -77,7 +77,7 @@
     ) -> Vec<AllocatorAction> {
         let mut actions = self.tell_gone();
         actions.extend(self.turn_wishes_away());
-        self.places.clear();
+        self.adapters.clear();
         self.usage = EngineUsage::default();
         self.memory = EngineCacheEstimate::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
         self.models_at_hand.clear();
@@ -97,7 +97,7 @@
     /// Announces that no adapter is loaded any more. Sends `Full`, as `Absent` would count as cached and quick to load.
     fn tell_gone(&self) -> Vec<AllocatorAction> {
         let gone = self
-            .places
+            .adapters
             .iter()
             .map(|(adapter, resident)| AllocatorAction::Announce {
                 interested_hosts: resident.interested_hosts.iter().copied().collect(),
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -71,7 +71,7 @@
             .take()
             .filter(|order| order.expected_sequence == report.sequence);
         self.model = report.models.first().map(|model| model.name.clone());
-        let came = self.take_places(&report, now);
+        let came = self.apply_report(&report, now);
         self.count_room();
         if !report.busy && !report.coming.is_empty() {
             self.report_due = Some(now + LOAD_OVERDUE);
@@ -163,7 +163,7 @@
         now: Instant,
     ) {
         let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
-        let Some(resident) = self.places.get_mut(&adapter) else {
+        let Some(resident) = self.adapters.get_mut(&adapter) else {
             return;
         };
         if let Residency::Loading { since, .. } = resident.state {
@@ -189,7 +189,7 @@
     ) -> Vec<AllocatorAction> {
         let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
         let mut actions = Vec::new();
-        if let Some(resident) = self.places.get_mut(&adapter) {
+        if let Some(resident) = self.adapters.get_mut(&adapter) {
             let since = match resident.state {
                 Residency::Loading { since, .. } => since,
                 _ => now,
@@ -253,7 +253,7 @@
             (Some(adapter), OrderKind::Unload) => {
                 let key = key(&order.model, adapter);
                 if reply == OrderReply::Done {
-                    self.places.remove(&key);
+                    self.adapters.remove(&key);
                 } else {
                     // The unload waits for requests that this host does not know of.
                     self.busy = true;
@@ -277,7 +277,7 @@
             false => IDLE_STORE_LOAD_TIME,
         };
         self.memory.record(adapter, version);
-        let Some(resident) = self.places.get_mut(adapter) else {
+        let Some(resident) = self.adapters.get_mut(adapter) else {
             return Vec::new();
         };
         resident.state = match reply {
@@ -313,10 +313,10 @@
         let key = key(&order.model, adapter);
         match order.kind {
             OrderKind::Load => {
-                self.places.remove(&key);
+                self.adapters.remove(&key);
             }
             OrderKind::Unload => {
-                if let Some(resident) = self.places.get_mut(&key) {
+                if let Some(resident) = self.adapters.get_mut(&key) {
                     resident.state = Residency::Loaded;
                 }
             }
@@ -333,13 +333,13 @@
     }
 
     /// Applies a report, keeping what is known of each adapter besides. Returns the adapters whose loads have completed.
-    pub(super) fn take_places(
+    pub(super) fn apply_report(
         &mut self,
         report: &TargetReport,
         now: Instant,
     ) -> Vec<String> {
         let mut came = Vec::new();
-        let mut old = std::mem::take(&mut self.places);
+        let mut old = std::mem::take(&mut self.adapters);
         for model in &report.models {
             for held in &model.adapters {
                 let key = key(&model.name, &held.name);
@@ -355,7 +355,7 @@
                 if resident.state != Residency::Unloading {
                     resident.state = Residency::Loaded;
                 }
-                self.places.insert(key, resident);
+                self.adapters.insert(key, resident);
             }
         }
         for (model, name, version) in &report.coming {
@@ -365,7 +365,7 @@
                 due: now + IDLE_STORE_LOAD_TIME,
             };
             let mut resident = self
-                .places
+                .adapters
                 .remove(&key)
                 .or_else(|| old.remove(&key))
                 .unwrap_or_else(|| {
@@ -378,7 +378,7 @@
             if !matches!(resident.state, Residency::Loading { .. }) {
                 resident.state = coming;
             }
-            self.places.insert(key, resident);
+            self.adapters.insert(key, resident);
         }
         came
     }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -81,7 +81,7 @@
             _ => None,
         };
         let (adapter, resident, _) = self
-            .places
+            .adapters
             .iter()
             .filter_map(|(adapter, resident)| Some((adapter, resident, due(resident)?)))
             .min_by_key(|(_, _, due)| *due)?;
@@ -105,14 +105,14 @@
         now: Instant,
     ) -> Option<PlannedOrder> {
         let coming = self
-            .places
+            .adapters
             .values()
             .filter(|resident| matches!(resident.state, Residency::Loading { .. }))
             .count();
         if coming + usize::from(self.unsettled.is_some()) >= MAX_COMING {
             return None;
         }
-        let free = self.free_places(now);
+        let free = self.free_slots(now);
         let policy = self.shared.policy;
         let crowded = policy.limits_loads && !self.shared.limiter.borrow().has_room();
         let next = self
@@ -123,7 +123,7 @@
                 let at_hand = self.memory.contains(adapter, wish.version);
                 !crowded || (policy.uses_engine_memory && at_hand)
             })
-            .filter(|(adapter, _)| match self.places.get(*adapter) {
+            .filter(|(adapter, _)| match self.adapters.get(*adapter) {
                 Some(resident) => resident.in_flight() == 0 && resident.state == Residency::Loaded,
                 None => free > 0,
             })
@@ -151,7 +151,7 @@
             false if wish.spare => "spare",
             false => "missing",
         };
-        self.places.insert(next, resident);
+        self.adapters.insert(next, resident);
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Load,
@@ -171,14 +171,14 @@
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
-        let short = self.free_places(now) < self.wishes.len().min(MAX_COMING);
+        let short = self.free_slots(now) < self.wishes.len().min(MAX_COMING);
         let (victim, reason) = match self.stale_and_idle(now) {
             Some(stale) => (stale, "old_version"),
             None if short => (self.victim(now)?, "room"),
             None => return None,
         };
         let name = name_of(&victim, model)?.to_string();
-        self.places.get_mut(&victim)?.state = Residency::Unloading;
+        self.adapters.get_mut(&victim)?.state = Residency::Unloading;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Unload,
@@ -192,19 +192,20 @@
     }
 
     /// Returns the slots that are neither occupied nor may be taken by an unanswered order.
-    pub(super) fn free_places(
+    pub(super) fn free_slots(
         &self,
         now: Instant,
     ) -> usize {
         let unsettled = usize::from(self.unsettled.as_ref().is_some_and(|order| {
             let adapter = order.adapter.as_deref().unwrap_or_default();
-            order.kind == OrderKind::Load && !self.places.contains_key(&key(&order.model, adapter))
+            order.kind == OrderKind::Load
+                && !self.adapters.contains_key(&key(&order.model, adapter))
         }));
         let unanswered = self.sequence.map_or(0, |sequence| {
             self.unanswered_orders.reserved_slots(sequence, now)
         });
         self.room
-            .saturating_sub(self.places.len() + unsettled + unanswered)
+            .saturating_sub(self.adapters.len() + unsettled + unanswered)
     }
 
     /// Returns the idle adapter with the fewest recent requests.
@@ -212,7 +213,7 @@
         &self,
         now: Instant,
     ) -> Option<String> {
-        self.places
+        self.adapters
             .iter()
             .filter(|(_, resident)| self.is_idle(resident, now))
             .min_by(|(_, a), (_, b)| {
@@ -226,7 +227,7 @@
         &self,
         now: Instant,
     ) -> Option<String> {
-        self.places
+        self.adapters
             .iter()
             .find(|(adapter, resident)| {
                 let newest = self.newest.get(*adapter).copied().unwrap_or_default();
