--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -78,7 +78,7 @@
         let holds = self.holding.lease().holds(now);
         metrics().lease_held.set(i64::from(holds));
         metrics().engines_held.set(self.desks.len() as i64);
-        let adapters: usize = self.desks.values().map(|desk| desk.places().len()).sum();
+        let adapters: usize = self.desks.values().map(|desk| desk.adapters().len()).sum();
         metrics().adapters_held.set(adapters as i64);
     }
 }
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -764,9 +764,9 @@
     world.run(ms(400));
     world.request("a1", 1);
     world.tell_usage(&[]);
-    assert_eq!(world.desk.places()["m0/a1"].in_flight(), 1);
+    assert_eq!(world.desk.adapters()["m0/a1"].in_flight(), 1);
     world.desk.on_host_gone(host(1));
-    assert_eq!(world.desk.places()["m0/a1"].in_flight(), 0);
+    assert_eq!(world.desk.adapters()["m0/a1"].in_flight(), 0);
 }
 
 /// Guards against a request that waits at one engine until its caller leaves, as each reply renews the promise.
@@ -873,7 +873,7 @@
     }
     assert_eq!(world.state("a1"), PlacementState::Full);
     assert_eq!(world.state("a2"), PlacementState::Full);
-    assert_eq!(world.desk.places().len(), 0);
+    assert_eq!(world.desk.adapters().len(), 0);
     world.run(ms(2_500));
     assert!(world.engine.model, "base model not loaded again");
     let before = world.engine.loads_from_store;
@@ -915,7 +915,7 @@
     );
     let actions = world.desk.on_report(Some(old_report), world.now);
     world.take(actions);
-    assert_eq!(world.desk.places().len(), 0);
+    assert_eq!(world.desk.adapters().len(), 0);
     world.run(ms(3_000));
     assert!(world.engine.model);
 }
@@ -962,7 +962,7 @@
         world.engine.coming.insert(name.to_string(), (1, over));
     }
     world.run(ms(150));
-    assert_eq!(world.desk.places().len(), 2);
+    assert_eq!(world.desk.adapters().len(), 2);
     assert!(!shared.limiter.borrow().has_room());
     world.run(ms(2_500));
     assert_eq!(world.engine.held.len(), 2);
