--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -77,7 +77,7 @@
     pub(super) model: Option<String>,
     pub(super) adapters: BTreeMap<String, ResidentAdapter>,
     /// Slots for adapters beside the base model.
-    pub(super) room: usize,
+    pub(super) adapter_capacity: usize,
     pub(super) wishes: HashMap<String, PendingLoad>,
     pub(super) memory: EngineCacheEstimate,
     pub(super) shared: SharedAllocatorState,
@@ -119,7 +119,7 @@
             started: None,
             model: None,
             adapters: BTreeMap::new(),
-            room: 0,
+            adapter_capacity: 0,
             wishes: HashMap::new(),
             memory,
             shared,
@@ -149,7 +149,7 @@
         spec: EngineSpec,
     ) {
         self.spec = spec;
-        self.count_room();
+        self.update_adapter_capacity();
     }
 
     pub fn adapters(&self) -> &BTreeMap<String, ResidentAdapter> {
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -89,7 +89,7 @@
         self.under_way_is_of_earlier_start = self.under_way.is_some();
         self.unanswered_orders.on_restart();
         self.sequence = None;
-        self.count_room();
+        self.update_adapter_capacity();
         self.tell_desks();
         actions
     }
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -72,7 +72,7 @@
             .filter(|order| order.expected_sequence == report.sequence);
         self.model = report.models.first().map(|model| model.name.clone());
         let came = self.apply_report(&report, now);
-        self.count_room();
+        self.update_adapter_capacity();
         if !report.busy && !report.coming.is_empty() {
             self.report_due = Some(now + LOAD_OVERDUE);
         }
@@ -383,8 +383,8 @@
         came
     }
 
-    pub(super) fn count_room(&mut self) {
+    pub(super) fn update_adapter_capacity(&mut self) {
         let model = self.model.as_deref().and_then(|name| self.spec.model(name));
-        self.room = model.map_or(0, |model| self.spec.adapter_room(model));
+        self.adapter_capacity = model.map_or(0, |model| self.spec.adapter_room(model));
     }
 }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -204,7 +204,7 @@
         let unanswered = self.sequence.map_or(0, |sequence| {
             self.unanswered_orders.reserved_slots(sequence, now)
         });
-        self.room
+        self.adapter_capacity
             .saturating_sub(self.adapters.len() + unsettled + unanswered)
     }
 
