--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -78,7 +78,7 @@
     pub(super) adapters: BTreeMap<String, ResidentAdapter>,
     /// Slots for adapters beside the base model.
     pub(super) adapter_capacity: usize,
-    pub(super) wishes: HashMap<String, PendingLoad>,
+    pub(super) pending_loads: HashMap<String, PendingLoad>,
     pub(super) memory: EngineCacheEstimate,
     pub(super) shared: SharedAllocatorState,
     /// Base models that the engine has in its memory or on its disk.
@@ -120,7 +120,7 @@
             model: None,
             adapters: BTreeMap::new(),
             adapter_capacity: 0,
-            wishes: HashMap::new(),
+            pending_loads: HashMap::new(),
             memory,
             shared,
             models_at_hand: Vec::new(),
@@ -162,7 +162,7 @@
 
     /// Returns the rank of the most urgent pending load.
     pub fn first_waiting(&self) -> Option<PendingLoadRank> {
-        self.wishes.values().map(PendingLoad::rank).min()
+        self.pending_loads.values().map(PendingLoad::rank).min()
     }
 
     /// Returns the next time at which `on_tick` has something to do.
@@ -202,12 +202,12 @@
     ) -> Vec<AllocatorAction> {
         let version = self.wanted_version(want);
         let Some(resident) = self.adapters.get_mut(&want.adapter) else {
-            return self.wish(host, want, version, now);
+            return self.pending(host, want, version, now);
         };
         resident.interested_hosts.insert(host);
         resident.last_used = now;
         if resident.version < version || resident.state == Residency::Unloading {
-            return self.wish(host, want, version, now);
+            return self.pending(host, want, version, now);
         }
         vec![self.tell(host, &want.adapter, now)]
     }
@@ -230,8 +230,8 @@
             return Some(self.placement(adapter, now));
         }
         let mut placement = self.placement(adapter, now);
-        if let Some(wish) = self.wishes.get(adapter) {
-            placement.version = wish.version;
+        if let Some(pending) = self.pending_loads.get(adapter) {
+            placement.version = pending.version;
             placement.state = PlacementState::Coming as i32;
             placement.due_ms = millis(self.queue_time());
         } else if self.memory.contains(adapter, self.newest_version(adapter)) {
@@ -299,7 +299,11 @@
             in_progress: adapters
                 .filter(|resident| resident.is_loading_from_store())
                 .count(),
-            queued: self.wishes.values().filter(|wish| !wish.spare).count(),
+            queued: self
+                .pending_loads
+                .values()
+                .filter(|pending| !pending.spare)
+                .count(),
         };
         self.shared.limiter.borrow_mut().set(&self.target, loads);
         let utilization = EngineUtilization {
@@ -327,17 +331,17 @@
     }
 
     /// Queues a load, or rejects it if it has no prospect of completing in time.
-    pub(super) fn wish(
+    pub(super) fn pending(
         &mut self,
         host: SocketAddr,
         want: &Want,
         version: u64,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let is_new = !self.wishes.contains_key(&want.adapter);
+        let is_new = !self.pending_loads.contains_key(&want.adapter);
         let promised_at = now + self.queue_time();
-        let wish = self
-            .wishes
+        let pending = self
+            .pending_loads
             .entry(want.adapter.clone())
             .or_insert(PendingLoad {
                 version,
@@ -347,13 +351,13 @@
                 promised_at: promised_at,
                 waiting_requests: BTreeMap::new(),
             });
-        wish.version = wish.version.max(version);
-        wish.priority = wish.priority.min(want.priority);
-        wish.spare &= want.spare;
-        wish.waiting_requests.insert(host, want.waiting.max(1));
-        let overdue = wish.is_overdue(now);
+        pending.version = pending.version.max(version);
+        pending.priority = pending.priority.min(want.priority);
+        pending.spare &= want.spare;
+        pending.waiting_requests.insert(host, want.waiting.max(1));
+        let overdue = pending.is_overdue(now);
         let mut actions = self.next_orders(now);
-        if self.wishes.contains_key(&want.adapter) {
+        if self.pending_loads.contains_key(&want.adapter) {
             // Still queued: waits for other orders or for a slot.
             let reason = if overdue {
                 Some(LoadRejection::Overdue)
@@ -367,7 +371,7 @@
                 Some(_) => PlacementState::Full,
             };
             if let Some(reason) = reason {
-                self.wishes.remove(&want.adapter);
+                self.pending_loads.remove(&want.adapter);
                 self.tell_desks();
                 let adapter = want.adapter.clone();
                 actions.push(AllocatorAction::LoadRejected { adapter, reason });
@@ -400,7 +404,7 @@
         let of_host = self.shared.limiter.borrow().queue_time();
         let coming = self.adapters.values();
         let coming = coming.filter(|resident| matches!(resident.state, Residency::Loading { .. }));
-        let here = (coming.count() + self.wishes.len()) as f64 / MAX_COMING as f64;
+        let here = (coming.count() + self.pending_loads.len()) as f64 / MAX_COMING as f64;
         let load_time = self.shared.limiter.borrow().load_time();
         of_host.max(load_time.mul_f64(here.max(1.0)))
     }
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -146,13 +146,13 @@
     /// Rejects all pending loads, so that the waiting hosts try other engines.
     pub(super) fn turn_wishes_away(&mut self) -> Vec<AllocatorAction> {
         let mut actions = Vec::new();
-        for (adapter, wish) in std::mem::take(&mut self.wishes) {
-            let placement = self.placement_to_come(&adapter, wish.version, PlacementState::Full);
+        for (adapter, pending) in std::mem::take(&mut self.pending_loads) {
+            let placement = self.placement_to_come(&adapter, pending.version, PlacementState::Full);
             let tell = |host| AllocatorAction::Reply {
                 host,
                 placement: placement.clone(),
             };
-            actions.extend(wish.waiting_requests.into_keys().map(tell));
+            actions.extend(pending.waiting_requests.into_keys().map(tell));
         }
         actions
     }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -116,26 +116,26 @@
         let policy = self.shared.policy;
         let crowded = policy.limits_loads && !self.shared.limiter.borrow().has_room();
         let next = self
-            .wishes
+            .pending_loads
             .iter()
             .filter(|(adapter, _)| name_of(adapter, model).is_some())
-            .filter(|(adapter, wish)| {
-                let at_hand = self.memory.contains(adapter, wish.version);
+            .filter(|(adapter, pending)| {
+                let at_hand = self.memory.contains(adapter, pending.version);
                 !crowded || (policy.uses_engine_memory && at_hand)
             })
             .filter(|(adapter, _)| match self.adapters.get(*adapter) {
                 Some(resident) => resident.in_flight() == 0 && resident.state == Residency::Loaded,
                 None => free > 0,
             })
-            .min_by_key(|(_, wish)| match policy.ranks_wishes {
-                true => wish.rank(),
-                false => wish.rank_by_age(),
+            .min_by_key(|(_, pending)| match policy.ranks_wishes {
+                true => pending.rank(),
+                false => pending.rank_by_age(),
             })
             .map(|(adapter, _)| adapter.clone())?;
         let name = name_of(&next, model)?.to_string();
-        let wish = self.wishes.remove(&next)?;
+        let pending = self.pending_loads.remove(&next)?;
         let mut resident = ResidentAdapter::new(
-            wish.version,
+            pending.version,
             Residency::Loading {
                 since: now,
                 due: now + IDLE_STORE_LOAD_TIME,
@@ -144,11 +144,11 @@
         );
         resident
             .interested_hosts
-            .extend(wish.waiting_requests.into_keys());
-        resident.from_store = !self.memory.contains(&next, wish.version);
+            .extend(pending.waiting_requests.into_keys());
+        resident.from_store = !self.memory.contains(&next, pending.version);
         let reason = match !resident.from_store {
             true => "held_lately",
-            false if wish.spare => "spare",
+            false if pending.spare => "spare",
             false => "missing",
         };
         self.adapters.insert(next, resident);
@@ -157,7 +157,7 @@
             kind: OrderKind::Load,
             model: model.to_string(),
             adapter: Some(name),
-            version: Some(wish.version),
+            version: Some(pending.version),
             expected_sequence: sequence,
             reason,
             tries: 1,
@@ -171,7 +171,7 @@
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
-        let short = self.free_slots(now) < self.wishes.len().min(MAX_COMING);
+        let short = self.free_slots(now) < self.pending_loads.len().min(MAX_COMING);
         let (victim, reason) = match self.stale_and_idle(now) {
             Some(stale) => (stale, "old_version"),
             None if short => (self.victim(now)?, "room"),
