--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -79,12 +79,12 @@
     /// Slots for adapters beside the base model.
     pub(super) adapter_capacity: usize,
     pub(super) pending_loads: HashMap<String, PendingLoad>,
-    pub(super) memory: EngineCacheEstimate,
+    pub(super) cache: EngineCacheEstimate,
     pub(super) shared: SharedAllocatorState,
     /// Base models that the engine has in its memory or on its disk.
-    pub(super) models_at_hand: Vec<String>,
+    pub(super) local_models: Vec<String>,
     /// Newest versions of adapters that have several.
-    pub(super) newest: HashMap<String, u64>,
+    pub(super) newest_versions: HashMap<String, u64>,
     /// Orders that the engine has accepted; `None` until a report arrives.
     pub(super) sequence: Option<u64>,
     /// Order whose reply is pending.
@@ -112,7 +112,7 @@
         shared: SharedAllocatorState,
         now: Instant,
     ) -> Self {
-        let memory = EngineCacheEstimate::new(spec.adapter_slots * REMEMBERED_PER_PLACE);
+        let cache = EngineCacheEstimate::new(spec.adapter_slots * REMEMBERED_PER_PLACE);
         Self {
             target: target.to_string(),
             spec,
@@ -121,10 +121,10 @@
             adapters: BTreeMap::new(),
             adapter_capacity: 0,
             pending_loads: HashMap::new(),
-            memory,
+            cache,
             shared,
-            models_at_hand: Vec::new(),
-            newest: HashMap::new(),
+            local_models: Vec::new(),
+            newest_versions: HashMap::new(),
             sequence: None,
             under_way: None,
             unsettled: None,
@@ -189,8 +189,11 @@
         adapter: &str,
         version: u64,
     ) {
-        let newest = self.newest.entry(adapter.to_string()).or_insert(version);
-        *newest = (*newest).max(version);
+        let newest_versions = self
+            .newest_versions
+            .entry(adapter.to_string())
+            .or_insert(version);
+        *newest_versions = (*newest_versions).max(version);
     }
 
     /// Handles a host's load request.
@@ -234,7 +237,7 @@
             placement.version = pending.version;
             placement.state = PlacementState::Coming as i32;
             placement.due_ms = millis(self.queue_time());
-        } else if self.memory.contains(adapter, self.newest_version(adapter)) {
+        } else if self.cache.contains(adapter, self.newest_version(adapter)) {
             placement.version = self.newest_version(adapter);
             placement.state = PlacementState::Remembered as i32;
         } else {
@@ -535,7 +538,7 @@
         &self,
         adapter: &str,
     ) -> u64 {
-        self.newest.get(adapter).copied().unwrap_or(1)
+        self.newest_versions.get(adapter).copied().unwrap_or(1)
     }
 
     /// Returns a reply to a host with an adapter's placement.
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -79,8 +79,8 @@
         actions.extend(self.turn_wishes_away());
         self.adapters.clear();
         self.usage = EngineUsage::default();
-        self.memory = EngineCacheEstimate::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
-        self.models_at_hand.clear();
+        self.cache = EngineCacheEstimate::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
+        self.local_models.clear();
         self.model = None;
         self.model_not_before = now;
         self.busy = false;
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -64,7 +64,7 @@
         }
         self.sequence = Some(report.sequence);
         self.busy = report.busy;
-        self.models_at_hand.clone_from(&report.at_hand);
+        self.local_models.clone_from(&report.at_hand);
         // An unanswered order is void once the engine has accepted another one.
         self.unsettled = self
             .unsettled
@@ -271,12 +271,12 @@
         reply: OrderReply,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let time = match self.memory.contains(adapter, version) {
+        let time = match self.cache.contains(adapter, version) {
             true => RELOAD_TIME,
             // Probed from the earliest completion time on, as late probes overestimate load times.
             false => IDLE_STORE_LOAD_TIME,
         };
-        self.memory.record(adapter, version);
+        self.cache.record(adapter, version);
         let Some(resident) = self.adapters.get_mut(adapter) else {
             return Vec::new();
         };
@@ -343,7 +343,7 @@
         for model in &report.models {
             for held in &model.adapters {
                 let key = key(&model.name, &held.name);
-                self.memory.record(&key, held.version);
+                self.cache.record(&key, held.version);
                 let mut resident = old
                     .remove(&key)
                     .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Loaded, now));
@@ -371,7 +371,7 @@
                 .unwrap_or_else(|| {
                     // Ordered by a previous holder. Counts towards the limit, as it may come from the weight store.
                     let mut resident = ResidentAdapter::new(*version, coming, now);
-                    resident.from_store = !self.memory.contains(&key, *version);
+                    resident.from_store = !self.cache.contains(&key, *version);
                     resident
                 });
             resident.version = *version;
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -48,7 +48,7 @@
             .models
             .iter()
             .find(|model| model.weights_mb <= self.spec.weights_mb)?;
-        let at_hand = self.models_at_hand.contains(&fits.name);
+        let at_hand = self.local_models.contains(&fits.name);
         if !at_hand && !self.shared.pool.borrow().needs_another_engine(&fits.name) {
             return None;
         }
@@ -120,7 +120,7 @@
             .iter()
             .filter(|(adapter, _)| name_of(adapter, model).is_some())
             .filter(|(adapter, pending)| {
-                let at_hand = self.memory.contains(adapter, pending.version);
+                let at_hand = self.cache.contains(adapter, pending.version);
                 !crowded || (policy.uses_engine_memory && at_hand)
             })
             .filter(|(adapter, _)| match self.adapters.get(*adapter) {
@@ -145,7 +145,7 @@
         resident
             .interested_hosts
             .extend(pending.waiting_requests.into_keys());
-        resident.from_store = !self.memory.contains(&next, pending.version);
+        resident.from_store = !self.cache.contains(&next, pending.version);
         let reason = match !resident.from_store {
             true => "held_lately",
             false if pending.spare => "spare",
@@ -230,8 +230,12 @@
         self.adapters
             .iter()
             .find(|(adapter, resident)| {
-                let newest = self.newest.get(*adapter).copied().unwrap_or_default();
-                resident.version < newest && self.is_idle(resident, now)
+                let newest_versions = self
+                    .newest_versions
+                    .get(*adapter)
+                    .copied()
+                    .unwrap_or_default();
+                resident.version < newest_versions && self.is_idle(resident, now)
             })
             .map(|(adapter, _)| adapter.clone())
     }
