--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -88,16 +88,16 @@
     /// Orders that the engine has accepted; `None` until a report arrives.
     pub(super) sequence: Option<u64>,
     /// Order whose reply is pending.
-    pub(super) under_way: Option<PlannedOrder>,
+    pub(super) in_flight_order: Option<PlannedOrder>,
     /// Unanswered order that may take effect while the sequence is unchanged.
-    pub(super) unsettled: Option<PlannedOrder>,
+    pub(super) unresolved_order: Option<PlannedOrder>,
     /// True if the engine has restarted while the reply was pending.
-    pub(super) under_way_is_of_earlier_start: bool,
+    pub(super) in_flight_order_is_stale: bool,
     /// Unanswered orders that may take effect after a restart of the engine.
     pub(super) unanswered_orders: UnansweredOrders,
-    pub(super) report_asked: Option<Instant>,
-    pub(super) report_due: Option<Instant>,
-    pub(super) model_not_before: Instant,
+    pub(super) report_requested_at: Option<Instant>,
+    pub(super) report_due_at: Option<Instant>,
+    pub(super) base_load_not_before: Instant,
     /// Load requests are rejected until then, as the engine leaves orders unanswered.
     pub(super) unresponsive_until: Option<Instant>,
     /// The engine rejects orders: it is loading a base model, or an unload or a replacement waits for requests.
@@ -126,13 +126,13 @@
             local_models: Vec::new(),
             newest_versions: HashMap::new(),
             sequence: None,
-            under_way: None,
-            unsettled: None,
-            under_way_is_of_earlier_start: false,
+            in_flight_order: None,
+            unresolved_order: None,
+            in_flight_order_is_stale: false,
             unanswered_orders: UnansweredOrders::default(),
-            report_asked: None,
-            report_due: Some(now),
-            model_not_before: now,
+            report_requested_at: None,
+            report_due_at: Some(now),
+            base_load_not_before: now,
             unresponsive_until: None,
             busy: false,
             usage: EngineUsage::default(),
@@ -169,7 +169,7 @@
     ///
     /// While no order can be sent, loads are not probed and only the next report counts.
     pub fn next_due(&self) -> Option<Instant> {
-        if self.under_way.is_some() || self.report_asked.is_some() {
+        if self.in_flight_order.is_some() || self.report_requested_at.is_some() {
             return None;
         }
         let may_order = self.sequence.is_some() && !self.busy;
@@ -180,7 +180,7 @@
                 Residency::Loading { due, .. } if may_order => Some(due),
                 _ => None,
             });
-        looks.chain(self.report_due).min()
+        looks.chain(self.report_due_at).min()
     }
 
     /// Records a newer version of the adapter `MODEL/NAME`.
@@ -256,7 +256,7 @@
             return;
         };
         if resident.state == Residency::Loaded {
-            self.report_due.get_or_insert(now);
+            self.report_due_at.get_or_insert(now);
         }
     }
 
@@ -485,26 +485,26 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         let mut actions = Vec::new();
-        if self.under_way.is_some() {
+        if self.in_flight_order.is_some() {
             return actions;
         }
-        if let Some(due) = self.report_due
+        if let Some(due) = self.report_due_at
             && now >= due
-            && self.report_asked.is_none()
+            && self.report_requested_at.is_none()
         {
-            self.report_due = None;
-            self.report_asked = Some(now);
+            self.report_due_at = None;
+            self.report_requested_at = Some(now);
             actions.push(AllocatorAction::RequestReport);
         }
-        if self.report_asked.is_some() {
+        if self.report_requested_at.is_some() {
             return actions;
         }
         let Some(sequence) = self.sequence else {
-            self.report_due.get_or_insert(now + REPORT_LAG);
+            self.report_due_at.get_or_insert(now + REPORT_LAG);
             return actions;
         };
         if self.busy {
-            self.report_due.get_or_insert(now + BUSY_LOOK);
+            self.report_due_at.get_or_insert(now + BUSY_LOOK);
             return actions;
         }
         if let Some(order) = self.choose(sequence, now) {
@@ -512,7 +512,7 @@
                 // Hosts are notified before the engine, and send no more requests for the adapter.
                 actions.extend(self.announce_order(&order, now));
             }
-            self.under_way = Some(order.clone());
+            self.in_flight_order = Some(order.clone());
             actions.push(AllocatorAction::Order(order));
         }
         actions
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -22,7 +22,7 @@
         if !self.takes_start(told) {
             return Vec::new();
         }
-        self.report_due = Some(now);
+        self.report_due_at = Some(now);
         self.begin_anew(now)
     }
 
@@ -52,7 +52,7 @@
         mut self,
         now: Instant,
     ) -> UnansweredOrders {
-        if let Some(order) = self.under_way.take() {
+        if let Some(order) = self.in_flight_order.take() {
             self.unanswered_orders.record(order, now);
         }
         // The next allocator does not know which orders the engine accepts in the meantime.
@@ -82,11 +82,11 @@
         self.cache = EngineCacheEstimate::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
         self.local_models.clear();
         self.model = None;
-        self.model_not_before = now;
+        self.base_load_not_before = now;
         self.busy = false;
         self.unresponsive_until = None;
-        self.unsettled = None;
-        self.under_way_is_of_earlier_start = self.under_way.is_some();
+        self.unresolved_order = None;
+        self.in_flight_order_is_stale = self.in_flight_order.is_some();
         self.unanswered_orders.on_restart();
         self.sequence = None;
         self.update_adapter_capacity();
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -44,13 +44,13 @@
         report: Option<TargetReport>,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let asked = self.report_asked.take();
+        let asked = self.report_requested_at.take();
         let Some(report) = report else {
-            self.report_due = Some(now + REPORT_RETRY);
+            self.report_due_at = Some(now + REPORT_RETRY);
             return Vec::new();
         };
         if self.is_before_last_start(&report) {
-            self.report_due = Some(now + REPORT_LAG);
+            self.report_due_at = Some(now + REPORT_LAG);
             return Vec::new();
         }
         let mut actions = match self.takes_start(report.started) {
@@ -58,23 +58,23 @@
             false => Vec::new(),
         };
         // The report may not include an order that was sent in the meantime.
-        if self.under_way.is_some() || asked.is_none() {
-            self.report_due = Some(now + REPORT_LAG);
+        if self.in_flight_order.is_some() || asked.is_none() {
+            self.report_due_at = Some(now + REPORT_LAG);
             return actions;
         }
         self.sequence = Some(report.sequence);
         self.busy = report.busy;
         self.local_models.clone_from(&report.at_hand);
         // An unanswered order is void once the engine has accepted another one.
-        self.unsettled = self
-            .unsettled
+        self.unresolved_order = self
+            .unresolved_order
             .take()
             .filter(|order| order.expected_sequence == report.sequence);
         self.model = report.models.first().map(|model| model.name.clone());
         let came = self.apply_report(&report, now);
         self.update_adapter_capacity();
         if !report.busy && !report.coming.is_empty() {
-            self.report_due = Some(now + LOAD_OVERDUE);
+            self.report_due_at = Some(now + LOAD_OVERDUE);
         }
         let came = came
             .iter()
@@ -90,10 +90,10 @@
         reply: Option<OrderReply>,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let Some(order) = self.under_way.take() else {
+        let Some(order) = self.in_flight_order.take() else {
             return Vec::new();
         };
-        if std::mem::take(&mut self.under_way_is_of_earlier_start) {
+        if std::mem::take(&mut self.in_flight_order_is_stale) {
             return self.on_earlier_starts_order_end(order, reply, now);
         }
         match reply {
@@ -124,7 +124,7 @@
             self.postpone_look(&order, now);
             return Vec::new();
         }
-        self.unsettled = Some(order.clone());
+        self.unresolved_order = Some(order.clone());
         let mut actions = Vec::new();
         if order.tries >= UNANSWERED_TRIES {
             self.unresponsive_until = Some(now + UNRESPONSIVE_PAUSE);
@@ -138,7 +138,7 @@
             tries: order.tries + 1,
             ..order
         };
-        self.under_way = Some(again.clone());
+        self.in_flight_order = Some(again.clone());
         actions.push(AllocatorAction::Order(again));
         actions
     }
@@ -174,8 +174,8 @@
 
     /// Reverts the order in flight, which was not sent.
     pub fn on_order_withheld(&mut self) {
-        self.under_way_is_of_earlier_start = false;
-        if let Some(order) = self.under_way.take() {
+        self.in_flight_order_is_stale = false;
+        if let Some(order) = self.in_flight_order.take() {
             self.forget_ordered(&order);
         }
     }
@@ -234,7 +234,7 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         // An earlier unanswered order expected another sequence and is void now.
-        self.unsettled = None;
+        self.unresolved_order = None;
         let counts = reply == OrderReply::Accepted || order.kind == OrderKind::Unload;
         if counts {
             self.sequence = self.sequence.map(|sequence| sequence + 1);
@@ -243,7 +243,7 @@
         match (&order.adapter, order.kind) {
             (None, OrderKind::Load) => {
                 self.busy = reply == OrderReply::Accepted;
-                self.report_due = Some(now + self.base_load_time(&order.model) + REPORT_LAG);
+                self.report_due_at = Some(now + self.base_load_time(&order.model) + REPORT_LAG);
             }
             (None, OrderKind::Unload) => self.learn_anew(now),
             (Some(adapter), OrderKind::Load) => {
@@ -329,7 +329,7 @@
         now: Instant,
     ) {
         self.sequence = None;
-        self.report_due = Some(now + REPORT_LAG);
+        self.report_due_at = Some(now + REPORT_LAG);
     }
 
     /// Applies a report, keeping what is known of each adapter besides. Returns the adapters whose loads have completed.
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -40,7 +40,7 @@
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
-        if now < self.model_not_before {
+        if now < self.base_load_not_before {
             return None;
         }
         let fits = self
@@ -56,7 +56,7 @@
         if !at_hand && !self.shared.base_loads.borrow_mut().admit(rate, now) {
             return None;
         }
-        self.model_not_before = now + MODEL_RETRY;
+        self.base_load_not_before = now + MODEL_RETRY;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Load,
@@ -109,7 +109,7 @@
             .values()
             .filter(|resident| matches!(resident.state, Residency::Loading { .. }))
             .count();
-        if coming + usize::from(self.unsettled.is_some()) >= MAX_COMING {
+        if coming + usize::from(self.unresolved_order.is_some()) >= MAX_COMING {
             return None;
         }
         let free = self.free_slots(now);
@@ -196,7 +196,7 @@
         &self,
         now: Instant,
     ) -> usize {
-        let unsettled = usize::from(self.unsettled.as_ref().is_some_and(|order| {
+        let unresolved_order = usize::from(self.unresolved_order.as_ref().is_some_and(|order| {
             let adapter = order.adapter.as_deref().unwrap_or_default();
             order.kind == OrderKind::Load
                 && !self.adapters.contains_key(&key(&order.model, adapter))
@@ -205,7 +205,7 @@
             self.unanswered_orders.reserved_slots(sequence, now)
         });
         self.adapter_capacity
-            .saturating_sub(self.adapters.len() + unsettled + unanswered)
+            .saturating_sub(self.adapters.len() + unresolved_order + unanswered)
     }
 
     /// Returns the idle adapter with the fewest recent requests.
