--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -72,7 +72,7 @@
     pub(super) target: String,
     pub(super) spec: EngineSpec,
     /// Last known incarnation of the engine.
-    pub(super) started: Option<TargetStart>,
+    pub(super) incarnation: Option<TargetStart>,
     /// Base model that the engine holds.
     pub(super) model: Option<String>,
     pub(super) adapters: BTreeMap<String, ResidentAdapter>,
@@ -116,7 +116,7 @@
         Self {
             target: target.to_string(),
             spec,
-            started: None,
+            incarnation: None,
             model: None,
             adapters: BTreeMap::new(),
             adapter_capacity: 0,
@@ -270,7 +270,7 @@
         self.usage.on_usage(host, usage);
         for (adapter, resident) in &mut self.adapters {
             match usage.adapters.iter().find(|used| used.adapter == *adapter) {
-                Some(used) => resident.on_usage(host, used.in_flight, used.started, now),
+                Some(used) => resident.on_usage(host, used.in_flight, used.incarnation, now),
                 None => resident.on_unused(host),
             }
         }
