--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -205,12 +205,12 @@
     ) -> Vec<AllocatorAction> {
         let version = self.wanted_version(want);
         let Some(resident) = self.adapters.get_mut(&want.adapter) else {
-            return self.pending(host, want, version, now);
+            return self.enqueue_load(host, want, version, now);
         };
         resident.interested_hosts.insert(host);
         resident.last_used = now;
         if resident.version < version || resident.state == Residency::Unloading {
-            return self.pending(host, want, version, now);
+            return self.enqueue_load(host, want, version, now);
         }
         vec![self.tell(host, &want.adapter, now)]
     }
@@ -270,7 +270,7 @@
         self.usage.on_usage(host, usage);
         for (adapter, resident) in &mut self.adapters {
             match usage.adapters.iter().find(|used| used.adapter == *adapter) {
-                Some(used) => resident.on_usage(host, used.in_flight, used.incarnation, now),
+                Some(used) => resident.on_usage(host, used.in_flight, used.started, now),
                 None => resident.on_unused(host),
             }
         }
@@ -334,7 +334,7 @@
     }
 
     /// Queues a load, or rejects it if it has no prospect of completing in time.
-    pub(super) fn pending(
+    pub(super) fn enqueue_load(
         &mut self,
         host: SocketAddr,
         want: &Want,
@@ -351,7 +351,7 @@
                 spare: want.spare,
                 priority: want.priority,
                 requested_at: now,
-                promised_at: promised_at,
+                promised_at,
                 waiting_requests: BTreeMap::new(),
             });
         pending.version = pending.version.max(version);
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -31,11 +31,11 @@
         &mut self,
         told: Option<TargetStart>,
     ) -> bool {
-        let known = self.started;
+        let known = self.incarnation;
         if told <= known {
             return false;
         }
-        self.started = told;
+        self.incarnation = told;
         known.is_some()
     }
 
@@ -44,7 +44,7 @@
         &self,
         report: &TargetReport,
     ) -> bool {
-        report.started.is_some() && report.started < self.started
+        report.started.is_some() && report.started < self.incarnation
     }
 
     /// Returns the orders that may still reach the engine after this allocator is closed.
