--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -20,19 +20,19 @@
 };
 
 /// Maximum concurrent adapter loads per engine, as set by the platform.
-pub(super) const MAX_COMING: usize = 4;
+pub(super) const MAX_CONCURRENT_LOADS: usize = 4;
 
 /// Maximum queue time; beyond it the adapter is better loaded at another engine.
-const MOST_QUEUE: Duration = Duration::from_millis(900);
+const MAX_QUEUE_TIME: Duration = Duration::from_millis(900);
 
 /// Estimated number of adapters that an engine caches, per slot.
 pub const REMEMBERED_PER_PLACE: usize = 6;
 
 /// Interval between reports while the engine is busy.
-const BUSY_LOOK: Duration = Duration::from_millis(300);
+const BUSY_REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum age of a report on arrival.
-pub(super) const REPORT_LAG: Duration = Duration::from_millis(250);
+pub(super) const MAX_REPORT_AGE: Duration = Duration::from_millis(250);
 
 /// State shared by the engine allocators of a host, all on one thread.
 #[derive(Debug, Clone, Default)]
@@ -407,7 +407,7 @@
         let of_host = self.shared.limiter.borrow().queue_time();
         let coming = self.adapters.values();
         let coming = coming.filter(|resident| matches!(resident.state, Residency::Loading { .. }));
-        let here = (coming.count() + self.pending_loads.len()) as f64 / MAX_COMING as f64;
+        let here = (coming.count() + self.pending_loads.len()) as f64 / MAX_CONCURRENT_LOADS as f64;
         let load_time = self.shared.limiter.borrow().load_time();
         of_host.max(load_time.mul_f64(here.max(1.0)))
     }
@@ -420,7 +420,7 @@
         let queue_time = self.queue_time();
         let load_time = self.shared.limiter.borrow().load_time();
         let patience = Duration::from_millis(u64::from(want.patience_ms));
-        queue_time > load_time && queue_time > patience.min(MOST_QUEUE)
+        queue_time > load_time && queue_time > patience.min(MAX_QUEUE_TIME)
     }
 
     /// Returns the reason why a queued adapter can't be loaded soon, or `None` if it can.
@@ -500,11 +500,11 @@
             return actions;
         }
         let Some(sequence) = self.sequence else {
-            self.report_due_at.get_or_insert(now + REPORT_LAG);
+            self.report_due_at.get_or_insert(now + MAX_REPORT_AGE);
             return actions;
         };
         if self.busy {
-            self.report_due_at.get_or_insert(now + BUSY_LOOK);
+            self.report_due_at.get_or_insert(now + BUSY_REPORT_INTERVAL);
             return actions;
         }
         if let Some(order) = self.choose(sequence, now) {
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         AllocatorAction, EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
-        engine_allocator::{REPORT_LAG, key},
+        engine_allocator::{MAX_REPORT_AGE, key},
         load_limiter::IDLE_STORE_LOAD_TIME,
     },
     crate::{
@@ -15,27 +15,27 @@
 };
 
 /// Interval between probes of a load, as a share of its duration so far.
-const LOOK_SHARE: f64 = 0.08;
+const PROBE_INTERVAL_SHARE: f64 = 0.08;
 
-const LEAST_LOOK_PAUSE: Duration = Duration::from_millis(14);
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(14);
 
 /// Loads that take longer are looked up in the engine's report.
-const LOAD_OVERDUE: Duration = Duration::from_millis(1500);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Attempts to send one order before a report is requested.
-const MAX_TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Unanswered attempts of one order after which the engine counts as unresponsive.
-const UNANSWERED_TRIES: u32 = 2;
+const UNRESPONSIVE_ATTEMPTS: u32 = 2;
 
 /// Time for which load requests to an unresponsive engine are rejected.
-const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(2);
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Interval before a missing report is requested again.
-const REPORT_RETRY: Duration = Duration::from_millis(500);
+const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Load time of an adapter that the engine still caches.
-const RELOAD_TIME: Duration = Duration::from_millis(27);
+const CACHED_LOAD_TIME: Duration = Duration::from_millis(27);
 
 impl EngineAllocator {
     /// Handles the engine's report, or `None` if none arrived.
@@ -46,11 +46,11 @@
     ) -> Vec<AllocatorAction> {
         let asked = self.report_requested_at.take();
         let Some(report) = report else {
-            self.report_due_at = Some(now + REPORT_RETRY);
+            self.report_due_at = Some(now + REPORT_RETRY_INTERVAL);
             return Vec::new();
         };
         if self.is_before_last_start(&report) {
-            self.report_due_at = Some(now + REPORT_LAG);
+            self.report_due_at = Some(now + MAX_REPORT_AGE);
             return Vec::new();
         }
         let mut actions = match self.takes_start(report.started) {
@@ -59,7 +59,7 @@
         };
         // The report may not include an order that was sent in the meantime.
         if self.in_flight_order.is_some() || asked.is_none() {
-            self.report_due_at = Some(now + REPORT_LAG);
+            self.report_due_at = Some(now + MAX_REPORT_AGE);
             return actions;
         }
         self.sequence = Some(report.sequence);
@@ -74,7 +74,7 @@
         let came = self.apply_report(&report, now);
         self.update_adapter_capacity();
         if !report.busy && !report.coming.is_empty() {
-            self.report_due_at = Some(now + LOAD_OVERDUE);
+            self.report_due_at = Some(now + LOAD_TIMEOUT);
         }
         let came = came
             .iter()
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends an unanswered order again, up to `MAX_TRIES` attempts.
+    /// Sends an unanswered order again, up to `MAX_ATTEMPTS` attempts.
     ///
     /// An unanswered order can take effect until the engine accepts another one. Once the repeated order is
     /// accepted, the first one is void.
@@ -126,11 +126,11 @@
         }
         self.unresolved_order = Some(order.clone());
         let mut actions = Vec::new();
-        if order.tries >= UNANSWERED_TRIES {
-            self.unresponsive_until = Some(now + UNRESPONSIVE_PAUSE);
+        if order.tries >= UNRESPONSIVE_ATTEMPTS {
+            self.unresponsive_until = Some(now + UNRESPONSIVE_BACKOFF);
             actions.extend(self.turn_wishes_away());
         }
-        if order.tries >= MAX_TRIES {
+        if order.tries >= MAX_ATTEMPTS {
             self.learn_anew(now);
             return actions;
         }
@@ -167,7 +167,7 @@
             return;
         };
         if let Residency::Loading { since, .. } = resident.state {
-            let due = now + LEAST_LOOK_PAUSE;
+            let due = now + MIN_PROBE_INTERVAL;
             resident.state = Residency::Loading { since, due };
         }
     }
@@ -206,7 +206,7 @@
                 });
                 actions.extend(self.announce(&adapter, now));
             } else {
-                let pause = passed.mul_f64(LOOK_SHARE).max(LEAST_LOOK_PAUSE);
+                let pause = passed.mul_f64(PROBE_INTERVAL_SHARE).max(MIN_PROBE_INTERVAL);
                 resident.state = Residency::Loading {
                     since,
                     due: now + pause,
@@ -243,7 +243,7 @@
         match (&order.adapter, order.kind) {
             (None, OrderKind::Load) => {
                 self.busy = reply == OrderReply::Accepted;
-                self.report_due_at = Some(now + self.base_load_time(&order.model) + REPORT_LAG);
+                self.report_due_at = Some(now + self.base_load_time(&order.model) + MAX_REPORT_AGE);
             }
             (None, OrderKind::Unload) => self.learn_anew(now),
             (Some(adapter), OrderKind::Load) => {
@@ -272,7 +272,7 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         let time = match self.cache.contains(adapter, version) {
-            true => RELOAD_TIME,
+            true => CACHED_LOAD_TIME,
             // Probed from the earliest completion time on, as late probes overestimate load times.
             false => IDLE_STORE_LOAD_TIME,
         };
@@ -296,7 +296,7 @@
         model: &str,
     ) -> Duration {
         let model = self.spec.model(model);
-        model.map_or(LOAD_OVERDUE, |model| model.load_time)
+        model.map_or(LOAD_TIMEOUT, |model| model.load_time)
     }
 
     /// Reverts the expected effect of an order that was not carried out.
@@ -329,7 +329,7 @@
         now: Instant,
     ) {
         self.sequence = None;
-        self.report_due_at = Some(now + REPORT_LAG);
+        self.report_due_at = Some(now + MAX_REPORT_AGE);
     }
 
     /// Applies a report, keeping what is known of each adapter besides. Returns the adapters whose loads have completed.
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
-        engine_allocator::{MAX_COMING, key, name_of},
+        engine_allocator::{MAX_CONCURRENT_LOADS, key, name_of},
         load_limiter::IDLE_STORE_LOAD_TIME,
     },
     crate::{clock::Instant, formats::OrderKind},
@@ -11,10 +11,10 @@
 };
 
 /// Minimum idle time before an adapter is unloaded: two usage report periods, as one report may be lost.
-const IDLE_TIME: Duration = Duration::from_millis(100);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
 
 /// Minimum interval between two orders of a base model.
-const MODEL_RETRY: Duration = Duration::from_secs(2);
+const BASE_LOAD_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl EngineAllocator {
     pub(super) fn choose(
@@ -56,7 +56,7 @@
         if !at_hand && !self.shared.base_loads.borrow_mut().admit(rate, now) {
             return None;
         }
-        self.base_load_not_before = now + MODEL_RETRY;
+        self.base_load_not_before = now + BASE_LOAD_RETRY_INTERVAL;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Load,
@@ -109,7 +109,7 @@
             .values()
             .filter(|resident| matches!(resident.state, Residency::Loading { .. }))
             .count();
-        if coming + usize::from(self.unresolved_order.is_some()) >= MAX_COMING {
+        if coming + usize::from(self.unresolved_order.is_some()) >= MAX_CONCURRENT_LOADS {
             return None;
         }
         let free = self.free_slots(now);
@@ -171,7 +171,7 @@
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
-        let short = self.free_slots(now) < self.pending_loads.len().min(MAX_COMING);
+        let short = self.free_slots(now) < self.pending_loads.len().min(MAX_CONCURRENT_LOADS);
         let (victim, reason) = match self.stale_and_idle(now) {
             Some(stale) => (stale, "old_version"),
             None if short => (self.victim(now)?, "room"),
@@ -247,6 +247,6 @@
     ) -> bool {
         resident.state == Residency::Loaded
             && resident.in_flight() == 0
-            && now.saturating_duration_since(resident.last_used) >= IDLE_TIME
+            && now.saturating_duration_since(resident.last_used) >= MIN_IDLE_TIME
     }
 }
