--- a/src/cli/report_command.rs
+++ b/src/cli/report_command.rs
@@ -5,7 +5,7 @@
     },
     crate::{
         errors::RunError,
-        process::engines::REMEMBERED_PER_PLACE,
+        process::engines::CACHED_ADAPTERS_PER_SLOT,
         report::{AdapterLoads, BeliefReport, DayReport, KindCount},
     },
     clap::{Arg, ArgMatches, Command, value_parser},
@@ -13,7 +13,7 @@
 };
 
 /// Adapters that an engine keeps for each of its places: the one that it holds and those in its memory.
-const KEPT_PER_PLACE: usize = 1 + REMEMBERED_PER_PLACE;
+const KEPT_PER_PLACE: usize = 1 + CACHED_ADAPTERS_PER_SLOT;
 
 /// Arguments of `coveproxy report`.
 pub fn report_command() -> Command {
--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -26,7 +26,7 @@
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(900);
 
 /// Estimated number of adapters that an engine caches, per slot.
-pub const REMEMBERED_PER_PLACE: usize = 6;
+pub const CACHED_ADAPTERS_PER_SLOT: usize = 6;
 
 /// Interval between reports while the engine is busy.
 const BUSY_REPORT_INTERVAL: Duration = Duration::from_millis(300);
@@ -112,7 +112,7 @@
         shared: SharedAllocatorState,
         now: Instant,
     ) -> Self {
-        let cache = EngineCacheEstimate::new(spec.adapter_slots * REMEMBERED_PER_PLACE);
+        let cache = EngineCacheEstimate::new(spec.adapter_slots * CACHED_ADAPTERS_PER_SLOT);
         Self {
             target: target.to_string(),
             spec,
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         AllocatorAction, EngineAllocator, EngineCacheEstimate, EngineUsage, PlannedOrder,
-        UnansweredOrders, engine_allocator::REMEMBERED_PER_PLACE,
+        UnansweredOrders, engine_allocator::CACHED_ADAPTERS_PER_SLOT,
     },
     crate::{
         clock::Instant,
@@ -79,7 +79,7 @@
         actions.extend(self.turn_wishes_away());
         self.adapters.clear();
         self.usage = EngineUsage::default();
-        self.cache = EngineCacheEstimate::new(self.spec.adapter_slots * REMEMBERED_PER_PLACE);
+        self.cache = EngineCacheEstimate::new(self.spec.adapter_slots * CACHED_ADAPTERS_PER_SLOT);
         self.local_models.clear();
         self.model = None;
         self.base_load_not_before = now;
--- a/src/process/engines/mod.rs
+++ b/src/process/engines/mod.rs
@@ -18,7 +18,7 @@
 
 pub use {
     base_load_limiter::{BaseLoadLimiter, SharedBaseLoadLimiter},
-    engine_allocator::{EngineAllocator, REMEMBERED_PER_PLACE, SharedAllocatorState},
+    engine_allocator::{CACHED_ADAPTERS_PER_SLOT, EngineAllocator, SharedAllocatorState},
     engine_cache_estimate::EngineCacheEstimate,
     engine_pool::{EnginePool, EngineUtilization, SharedEnginePool},
     engine_usage::{EngineUsage, UsageTotals},
