--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -457,7 +457,7 @@
     ) -> bool {
         match self.adapters.get(adapter) {
             Some(resident) => resident.in_flight() == 0,
-            None => self.free_slots(now) > 0 || self.victim(now).is_some(),
+            None => self.free_slots(now) > 0 || self.eviction_candidate(now).is_some(),
         }
     }
 
@@ -507,7 +507,7 @@
             self.report_due_at.get_or_insert(now + BUSY_REPORT_INTERVAL);
             return actions;
         }
-        if let Some(order) = self.choose(sequence, now) {
+        if let Some(order) = self.choose_order(sequence, now) {
             if order.kind == OrderKind::Unload {
                 // Hosts are notified before the engine, and send no more requests for the adapter.
                 actions.extend(self.announce_order(&order, now));
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -17,25 +17,25 @@
 const BASE_LOAD_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl EngineAllocator {
-    pub(super) fn choose(
+    pub(super) fn choose_order(
         &mut self,
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
         let Some(model) = self.model.clone() else {
-            return self.choose_model(sequence, now);
+            return self.choose_base_load(sequence, now);
         };
-        if let Some(order) = self.choose_look(&model, sequence, now) {
+        if let Some(order) = self.choose_probe(&model, sequence, now) {
             return Some(order);
         }
         if let Some(order) = self.choose_load(&model, sequence, now) {
             return Some(order);
         }
-        self.choose_drop(&model, sequence, now)
+        self.choose_unload(&model, sequence, now)
     }
 
     /// Chooses the first base model that fits an empty engine, if it is locally available or another engine is needed.
-    pub(super) fn choose_model(
+    pub(super) fn choose_base_load(
         &mut self,
         sequence: u64,
         now: Instant,
@@ -70,7 +70,7 @@
     }
 
     /// Chooses a probe for the load that has been due the longest.
-    pub(super) fn choose_look(
+    pub(super) fn choose_probe(
         &self,
         model: &str,
         sequence: u64,
@@ -165,20 +165,20 @@
     }
 
     /// Chooses an idle outdated version, or the least used idle adapter if slots are short.
-    pub(super) fn choose_drop(
+    pub(super) fn choose_unload(
         &mut self,
         model: &str,
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
         let short = self.free_slots(now) < self.pending_loads.len().min(MAX_CONCURRENT_LOADS);
-        let (victim, reason) = match self.stale_and_idle(now) {
+        let (eviction_candidate, reason) = match self.idle_outdated_adapter(now) {
             Some(stale) => (stale, "old_version"),
-            None if short => (self.victim(now)?, "room"),
+            None if short => (self.eviction_candidate(now)?, "room"),
             None => return None,
         };
-        let name = name_of(&victim, model)?.to_string();
-        self.adapters.get_mut(&victim)?.state = Residency::Unloading;
+        let name = name_of(&eviction_candidate, model)?.to_string();
+        self.adapters.get_mut(&eviction_candidate)?.state = Residency::Unloading;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Unload,
@@ -209,7 +209,7 @@
     }
 
     /// Returns the idle adapter with the fewest recent requests.
-    pub(super) fn victim(
+    pub(super) fn eviction_candidate(
         &self,
         now: Instant,
     ) -> Option<String> {
@@ -223,7 +223,7 @@
             .map(|(adapter, _)| adapter.clone())
     }
 
-    pub(super) fn stale_and_idle(
+    pub(super) fn idle_outdated_adapter(
         &self,
         now: Instant,
     ) -> Option<String> {
