--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -431,7 +431,7 @@
     ) -> Option<LoadRejection> {
         let adapter = want.adapter.as_str();
         let model = self.model.as_deref();
-        let fits = model.and_then(|model| name_of(adapter, model));
+        let fits = model.and_then(|model| adapter_name(adapter, model));
         if want.spare && self.shared.limiter.borrow().is_busy() {
             Some(LoadRejection::StoreBusy)
         } else if self.sequence.is_none() {
@@ -524,7 +524,7 @@
         now: Instant,
     ) -> Option<AllocatorAction> {
         let adapter = order.adapter.as_deref()?;
-        self.announce(&key(&order.model, adapter), now)
+        self.announce(&adapter_key(&order.model, adapter), now)
     }
 
     pub(super) fn wanted_version(
@@ -579,18 +579,18 @@
 }
 
 /// Formats an adapter as `MODEL/NAME`, as in requests.
-pub(super) fn key(
+pub(super) fn adapter_key(
     model: &str,
     adapter: &str,
 ) -> String {
     format!("{model}/{adapter}")
 }
 
-pub(super) fn name_of<'a>(
-    key: &'a str,
+pub(super) fn adapter_name<'a>(
+    adapter_key: &'a str,
     model: &str,
 ) -> Option<&'a str> {
-    key.strip_prefix(model)?.strip_prefix('/')
+    adapter_key.strip_prefix(model)?.strip_prefix('/')
 }
 
 fn millis(time: Duration) -> u32 {
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         AllocatorAction, EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
-        engine_allocator::{MAX_REPORT_AGE, key},
+        engine_allocator::{MAX_REPORT_AGE, adapter_key},
         load_limiter::IDLE_STORE_LOAD_TIME,
     },
     crate::{
@@ -162,7 +162,7 @@
         order: &PlannedOrder,
         now: Instant,
     ) {
-        let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
+        let adapter = adapter_key(&order.model, order.adapter.as_deref().unwrap_or_default());
         let Some(resident) = self.adapters.get_mut(&adapter) else {
             return;
         };
@@ -187,7 +187,7 @@
         reply: OrderReply,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let adapter = key(&order.model, order.adapter.as_deref().unwrap_or_default());
+        let adapter = adapter_key(&order.model, order.adapter.as_deref().unwrap_or_default());
         let mut actions = Vec::new();
         if let Some(resident) = self.adapters.get_mut(&adapter) {
             let since = match resident.state {
@@ -247,13 +247,18 @@
             }
             (None, OrderKind::Unload) => self.learn_anew(now),
             (Some(adapter), OrderKind::Load) => {
-                let key = key(&order.model, adapter);
-                actions.extend(self.on_load_taken(&key, order.version.unwrap_or(1), reply, now));
+                let adapter_key = adapter_key(&order.model, adapter);
+                actions.extend(self.on_load_taken(
+                    &adapter_key,
+                    order.version.unwrap_or(1),
+                    reply,
+                    now,
+                ));
             }
             (Some(adapter), OrderKind::Unload) => {
-                let key = key(&order.model, adapter);
+                let adapter_key = adapter_key(&order.model, adapter);
                 if reply == OrderReply::Done {
-                    self.adapters.remove(&key);
+                    self.adapters.remove(&adapter_key);
                 } else {
                     // The unload waits for requests that this host does not know of.
                     self.busy = true;
@@ -310,13 +315,13 @@
         if order.purpose == OrderPurpose::Probe {
             return;
         }
-        let key = key(&order.model, adapter);
+        let adapter_key = adapter_key(&order.model, adapter);
         match order.kind {
             OrderKind::Load => {
-                self.adapters.remove(&key);
+                self.adapters.remove(&adapter_key);
             }
             OrderKind::Unload => {
-                if let Some(resident) = self.adapters.get_mut(&key) {
+                if let Some(resident) = self.adapters.get_mut(&adapter_key) {
                     resident.state = Residency::Loaded;
                 }
             }
@@ -342,43 +347,43 @@
         let mut old = std::mem::take(&mut self.adapters);
         for model in &report.models {
             for held in &model.adapters {
-                let key = key(&model.name, &held.name);
-                self.cache.record(&key, held.version);
+                let adapter_key = adapter_key(&model.name, &held.name);
+                self.cache.record(&adapter_key, held.version);
                 let mut resident = old
-                    .remove(&key)
+                    .remove(&adapter_key)
                     .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Loaded, now));
                 resident.version = held.version;
                 if matches!(resident.state, Residency::Loading { .. }) {
                     resident.last_used = now;
-                    came.push(key.clone());
+                    came.push(adapter_key.clone());
                 }
                 if resident.state != Residency::Unloading {
                     resident.state = Residency::Loaded;
                 }
-                self.adapters.insert(key, resident);
+                self.adapters.insert(adapter_key, resident);
             }
         }
         for (model, name, version) in &report.coming {
-            let key = key(model, name);
+            let adapter_key = adapter_key(model, name);
             let coming = Residency::Loading {
                 since: now,
                 due: now + IDLE_STORE_LOAD_TIME,
             };
             let mut resident = self
                 .adapters
-                .remove(&key)
-                .or_else(|| old.remove(&key))
+                .remove(&adapter_key)
+                .or_else(|| old.remove(&adapter_key))
                 .unwrap_or_else(|| {
                     // Ordered by a previous holder. Counts towards the limit, as it may come from the weight store.
                     let mut resident = ResidentAdapter::new(*version, coming, now);
-                    resident.from_store = !self.cache.contains(&key, *version);
+                    resident.from_store = !self.cache.contains(&adapter_key, *version);
                     resident
                 });
             resident.version = *version;
             if !matches!(resident.state, Residency::Loading { .. }) {
                 resident.state = coming;
             }
-            self.adapters.insert(key, resident);
+            self.adapters.insert(adapter_key, resident);
         }
         came
     }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         EngineAllocator, OrderPurpose, PlannedOrder, Residency, ResidentAdapter,
-        engine_allocator::{MAX_CONCURRENT_LOADS, key, name_of},
+        engine_allocator::{MAX_CONCURRENT_LOADS, adapter_key, adapter_name},
         load_limiter::IDLE_STORE_LOAD_TIME,
     },
     crate::{clock::Instant, formats::OrderKind},
@@ -89,7 +89,7 @@
             purpose: OrderPurpose::Probe,
             kind: OrderKind::Load,
             model: model.to_string(),
-            adapter: Some(name_of(adapter, model)?.to_string()),
+            adapter: Some(adapter_name(adapter, model)?.to_string()),
             version: Some(resident.version),
             expected_sequence: sequence,
             reason: "look",
@@ -118,7 +118,7 @@
         let next = self
             .pending_loads
             .iter()
-            .filter(|(adapter, _)| name_of(adapter, model).is_some())
+            .filter(|(adapter, _)| adapter_name(adapter, model).is_some())
             .filter(|(adapter, pending)| {
                 let at_hand = self.cache.contains(adapter, pending.version);
                 !crowded || (policy.uses_engine_memory && at_hand)
@@ -132,7 +132,7 @@
                 false => pending.rank_by_age(),
             })
             .map(|(adapter, _)| adapter.clone())?;
-        let name = name_of(&next, model)?.to_string();
+        let name = adapter_name(&next, model)?.to_string();
         let pending = self.pending_loads.remove(&next)?;
         let mut resident = ResidentAdapter::new(
             pending.version,
@@ -177,7 +177,7 @@
             None if short => (self.eviction_candidate(now)?, "room"),
             None => return None,
         };
-        let name = name_of(&eviction_candidate, model)?.to_string();
+        let name = adapter_name(&eviction_candidate, model)?.to_string();
         self.adapters.get_mut(&eviction_candidate)?.state = Residency::Unloading;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
@@ -199,7 +199,9 @@
         let unresolved_order = usize::from(self.unresolved_order.as_ref().is_some_and(|order| {
             let adapter = order.adapter.as_deref().unwrap_or_default();
             order.kind == OrderKind::Load
-                && !self.adapters.contains_key(&key(&order.model, adapter))
+                && !self
+                    .adapters
+                    .contains_key(&adapter_key(&order.model, adapter))
         }));
         let unanswered = self.sequence.map_or(0, |sequence| {
             self.unanswered_orders.reserved_slots(sequence, now)
--- a/src/process/engines/unanswered_orders.rs
+++ b/src/process/engines/unanswered_orders.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PlannedOrder, engine_allocator::key},
+    super::{PlannedOrder, engine_allocator::adapter_key},
     crate::{clock::Instant, formats::OrderKind},
     std::time::Duration,
 };
@@ -104,7 +104,7 @@
     fn loaded_adapter(&self) -> Option<String> {
         let adapter = self.order.adapter.as_deref()?;
         match self.order.kind {
-            OrderKind::Load => Some(key(&self.order.model, adapter)),
+            OrderKind::Load => Some(adapter_key(&self.order.model, adapter)),
             OrderKind::Unload => None,
         }
     }
