--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -161,14 +161,14 @@
     }
 
     /// Returns the rank of the most urgent pending load.
-    pub fn first_waiting(&self) -> Option<PendingLoadRank> {
+    pub fn first_pending(&self) -> Option<PendingLoadRank> {
         self.pending_loads.values().map(PendingLoad::rank).min()
     }
 
     /// Returns the next time at which `on_tick` has something to do.
     ///
     /// While no order can be sent, loads are not probed and only the next report counts.
-    pub fn next_due(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         if self.in_flight_order.is_some() || self.report_requested_at.is_some() {
             return None;
         }
@@ -203,7 +203,7 @@
         want: &Want,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let version = self.wanted_version(want);
+        let version = self.requested_version(want);
         let Some(resident) = self.adapters.get_mut(&want.adapter) else {
             return self.enqueue_load(host, want, version, now);
         };
@@ -212,7 +212,7 @@
         if resident.version < version || resident.state == Residency::Unloading {
             return self.enqueue_load(host, want, version, now);
         }
-        vec![self.tell(host, &want.adapter, now)]
+        vec![self.reply(host, &want.adapter, now)]
     }
 
     /// Answers a host's query for an adapter, and counts the request that the host may send.
@@ -296,7 +296,7 @@
     }
 
     /// Publishes this engine's loads and utilization to the other allocators of the host.
-    pub(super) fn tell_desks(&self) {
+    pub(super) fn publish_state(&self) {
         let adapters = self.adapters.values();
         let loads = EngineLoads {
             in_progress: adapters
@@ -364,10 +364,10 @@
             // Still queued: waits for other orders or for a slot.
             let reason = if overdue {
                 Some(LoadRejection::Overdue)
-            } else if is_new && self.comes_too_late(want) {
+            } else if is_new && self.exceeds_load_deadline(want) {
                 Some(LoadRejection::LongQueue)
             } else {
-                self.no_prospect(want, now)
+                self.rejection_reason(want, now)
             };
             let state = match reason {
                 None => PlacementState::Coming,
@@ -375,18 +375,18 @@
             };
             if let Some(reason) = reason {
                 self.pending_loads.remove(&want.adapter);
-                self.tell_desks();
+                self.publish_state();
                 let adapter = want.adapter.clone();
                 actions.push(AllocatorAction::LoadRejected { adapter, reason });
             }
-            let placement = self.placement_to_come(&want.adapter, version, state);
+            let placement = self.pending_placement(&want.adapter, version, state);
             actions.push(AllocatorAction::Reply { host, placement });
         }
         actions
     }
 
     /// Returns the placement of an adapter that is queued or can't be loaded.
-    pub(super) fn placement_to_come(
+    pub(super) fn pending_placement(
         &self,
         adapter: &str,
         version: u64,
@@ -413,7 +413,7 @@
     }
 
     /// Returns true if loads are queued and this one would complete after the request's load deadline.
-    fn comes_too_late(
+    fn exceeds_load_deadline(
         &self,
         want: &Want,
     ) -> bool {
@@ -424,7 +424,7 @@
     }
 
     /// Returns the reason why a queued adapter can't be loaded soon, or `None` if it can.
-    fn no_prospect(
+    fn rejection_reason(
         &self,
         want: &Want,
         now: Instant,
@@ -474,9 +474,9 @@
         &mut self,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        self.tell_desks();
+        self.publish_state();
         let actions = self.decide_orders(now);
-        self.tell_desks();
+        self.publish_state();
         actions
     }
 
@@ -527,7 +527,7 @@
         self.announce(&adapter_key(&order.model, adapter), now)
     }
 
-    pub(super) fn wanted_version(
+    pub(super) fn requested_version(
         &self,
         want: &Want,
     ) -> u64 {
@@ -542,7 +542,7 @@
     }
 
     /// Returns a reply to a host with an adapter's placement.
-    pub(super) fn tell(
+    pub(super) fn reply(
         &self,
         host: SocketAddr,
         adapter: &str,
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -90,7 +90,7 @@
         self.unanswered_orders.on_restart();
         self.sequence = None;
         self.update_adapter_capacity();
-        self.tell_desks();
+        self.publish_state();
         actions
     }
 
@@ -101,7 +101,7 @@
             .iter()
             .map(|(adapter, resident)| AllocatorAction::Announce {
                 interested_hosts: resident.interested_hosts.iter().copied().collect(),
-                placement: self.placement_to_come(adapter, resident.version, PlacementState::Full),
+                placement: self.pending_placement(adapter, resident.version, PlacementState::Full),
             });
         gone.collect()
     }
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -147,12 +147,12 @@
     pub(super) fn turn_wishes_away(&mut self) -> Vec<AllocatorAction> {
         let mut actions = Vec::new();
         for (adapter, pending) in std::mem::take(&mut self.pending_loads) {
-            let placement = self.placement_to_come(&adapter, pending.version, PlacementState::Full);
-            let tell = |host| AllocatorAction::Reply {
+            let placement = self.pending_placement(&adapter, pending.version, PlacementState::Full);
+            let reply = |host| AllocatorAction::Reply {
                 host,
                 placement: placement.clone(),
             };
-            actions.extend(pending.waiting_requests.into_keys().map(tell));
+            actions.extend(pending.waiting_requests.into_keys().map(reply));
         }
         actions
     }
@@ -173,7 +173,7 @@
     }
 
     /// Reverts the order in flight, which was not sent.
-    pub fn on_order_withheld(&mut self) {
+    pub fn on_order_cancelled(&mut self) {
         self.in_flight_order_is_stale = false;
         if let Some(order) = self.in_flight_order.take() {
             self.forget_ordered(&order);
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -60,7 +60,7 @@
         let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
             .desks
             .iter()
-            .map(|(target, desk)| (target, desk.first_waiting()))
+            .map(|(target, desk)| (target, desk.first_pending()))
             .collect();
         desks.sort_by_key(|(_, first)| (first.is_none(), *first));
         desks
@@ -113,7 +113,7 @@
     pub(super) fn next_desk_due(&self) -> Option<Instant> {
         self.desks
             .values()
-            .filter_map(EngineAllocator::next_due)
+            .filter_map(EngineAllocator::next_deadline)
             .min()
     }
 
@@ -287,7 +287,7 @@
         let held = self.holding.may_order(target, now);
         let (Some(held), Some(address), true) = (held, address, self.is_usable(target)) else {
             if let Some(desk) = self.desks.get_mut(target) {
-                desk.on_order_withheld();
+                desk.on_order_cancelled();
             }
             return None;
         };
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -291,7 +291,7 @@
             ControlEvent::OrderEnded { target, reply } => self.on_order_ended(&target, reply, now),
             ControlEvent::OrderWithheld { target } => {
                 if let Some(desk) = self.desks.get_mut(&target) {
-                    desk.on_order_withheld();
+                    desk.on_order_cancelled();
                 }
                 Vec::new()
             }
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -321,7 +321,7 @@
             self.deliver();
             let actions = self.desk.on_tick(self.now);
             // An allocator that is always due would use a full processor.
-            let due = self.desk.next_due();
+            let due = self.desk.next_deadline();
             assert!(
                 due.is_none_or(|due| due > self.now),
                 "next deadline is not in the future"
