--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -14,20 +14,20 @@
 
 impl EngineAllocator {
     /// Handles the incarnation named in the target list. Ignores incarnations older than the known one.
-    pub fn on_start(
+    pub fn on_incarnation(
         &mut self,
         told: Option<TargetStart>,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        if !self.takes_start(told) {
+        if !self.update_incarnation(told) {
             return Vec::new();
         }
         self.report_due_at = Some(now);
-        self.begin_anew(now)
+        self.reset(now)
     }
 
     /// Updates the known incarnation. Returns true if it replaces an earlier one.
-    pub(super) fn takes_start(
+    pub(super) fn update_incarnation(
         &mut self,
         told: Option<TargetStart>,
     ) -> bool {
@@ -40,7 +40,7 @@
     }
 
     /// Returns true if the report comes from an incarnation before the known one.
-    pub(super) fn is_before_last_start(
+    pub(super) fn is_from_earlier_incarnation(
         &self,
         report: &TargetReport,
     ) -> bool {
@@ -71,12 +71,12 @@
     /// Resets the state of the previous incarnation.
     ///
     /// Rejects pending loads: the base model must be loaded first, which takes longer than most requests can wait.
-    pub(super) fn begin_anew(
+    pub(super) fn reset(
         &mut self,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let mut actions = self.tell_gone();
-        actions.extend(self.turn_wishes_away());
+        let mut actions = self.withdraw_adapters();
+        actions.extend(self.reject_pending_loads());
         self.adapters.clear();
         self.usage = EngineUsage::default();
         self.cache = EngineCacheEstimate::new(self.spec.adapter_slots * CACHED_ADAPTERS_PER_SLOT);
@@ -95,7 +95,7 @@
     }
 
     /// Announces that no adapter is loaded any more. Sends `Full`, as `Absent` would count as cached and quick to load.
-    fn tell_gone(&self) -> Vec<AllocatorAction> {
+    fn withdraw_adapters(&self) -> Vec<AllocatorAction> {
         let gone = self
             .adapters
             .iter()
@@ -107,7 +107,7 @@
     }
 
     /// Handles the end of an order to an earlier incarnation. Either incarnation may have accepted it.
-    pub(super) fn on_earlier_starts_order_end(
+    pub(super) fn on_stale_order_end(
         &mut self,
         order: PlannedOrder,
         reply: Option<OrderReply>,
@@ -117,7 +117,7 @@
             self.unanswered_orders.record(order, now);
             self.unanswered_orders.on_restart();
         }
-        self.learn_anew(now);
+        self.discard_sequence(now);
         Vec::new()
     }
 }
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -49,12 +49,12 @@
             self.report_due_at = Some(now + REPORT_RETRY_INTERVAL);
             return Vec::new();
         };
-        if self.is_before_last_start(&report) {
+        if self.is_from_earlier_incarnation(&report) {
             self.report_due_at = Some(now + MAX_REPORT_AGE);
             return Vec::new();
         }
-        let mut actions = match self.takes_start(report.started) {
-            true => self.begin_anew(now),
+        let mut actions = match self.update_incarnation(report.started) {
+            true => self.reset(now),
             false => Vec::new(),
         };
         // The report may not include an order that was sent in the meantime.
@@ -94,16 +94,16 @@
             return Vec::new();
         };
         if std::mem::take(&mut self.in_flight_order_is_stale) {
-            return self.on_earlier_starts_order_end(order, reply, now);
+            return self.on_stale_order_end(order, reply, now);
         }
         match reply {
             Some(reply @ (OrderReply::Accepted | OrderReply::Done)) => match order.purpose {
-                OrderPurpose::Change => self.on_order_taken(&order, reply, now),
-                OrderPurpose::Probe => self.on_look(&order, reply, now),
+                OrderPurpose::Change => self.on_order_accepted(&order, reply, now),
+                OrderPurpose::Probe => self.on_probe_reply(&order, reply, now),
             },
             Some(_) => {
-                self.forget_ordered(&order);
-                self.learn_anew(now);
+                self.revert_order(&order);
+                self.discard_sequence(now);
                 Vec::new()
             }
             None => self.on_unanswered(order, now),
@@ -121,17 +121,17 @@
     ) -> Vec<AllocatorAction> {
         self.unanswered_orders.record(order.clone(), now);
         if order.purpose == OrderPurpose::Probe {
-            self.postpone_look(&order, now);
+            self.postpone_probe(&order, now);
             return Vec::new();
         }
         self.unresolved_order = Some(order.clone());
         let mut actions = Vec::new();
         if order.tries >= UNRESPONSIVE_ATTEMPTS {
             self.unresponsive_until = Some(now + UNRESPONSIVE_BACKOFF);
-            actions.extend(self.turn_wishes_away());
+            actions.extend(self.reject_pending_loads());
         }
         if order.tries >= MAX_ATTEMPTS {
-            self.learn_anew(now);
+            self.discard_sequence(now);
             return actions;
         }
         let again = PlannedOrder {
@@ -144,7 +144,7 @@
     }
 
     /// Rejects all pending loads, so that the waiting hosts try other engines.
-    pub(super) fn turn_wishes_away(&mut self) -> Vec<AllocatorAction> {
+    pub(super) fn reject_pending_loads(&mut self) -> Vec<AllocatorAction> {
         let mut actions = Vec::new();
         for (adapter, pending) in std::mem::take(&mut self.pending_loads) {
             let placement = self.pending_placement(&adapter, pending.version, PlacementState::Full);
@@ -157,7 +157,7 @@
         actions
     }
 
-    pub(super) fn postpone_look(
+    pub(super) fn postpone_probe(
         &mut self,
         order: &PlannedOrder,
         now: Instant,
@@ -176,12 +176,12 @@
     pub fn on_order_cancelled(&mut self) {
         self.in_flight_order_is_stale = false;
         if let Some(order) = self.in_flight_order.take() {
-            self.forget_ordered(&order);
+            self.revert_order(&order);
         }
     }
 
     /// Handles the reply to a probe: marks the load as completed, or schedules the next probe.
-    pub(super) fn on_look(
+    pub(super) fn on_probe_reply(
         &mut self,
         order: &PlannedOrder,
         reply: OrderReply,
@@ -199,7 +199,7 @@
                 resident.state = Residency::Loaded;
                 // The hosts that waited for it send their requests now.
                 resident.last_used = now;
-                self.note_load_time(passed);
+                self.record_load_time(passed);
                 actions.push(AllocatorAction::LoadCompleted {
                     adapter: adapter.clone(),
                     time: passed,
@@ -218,7 +218,7 @@
     }
 
     /// Records a load time, unless it is so short that the adapter came from the engine's cache.
-    pub(super) fn note_load_time(
+    pub(super) fn record_load_time(
         &mut self,
         time: Duration,
     ) {
@@ -227,7 +227,7 @@
         }
     }
 
-    pub(super) fn on_order_taken(
+    pub(super) fn on_order_accepted(
         &mut self,
         order: &PlannedOrder,
         reply: OrderReply,
@@ -245,10 +245,10 @@
                 self.busy = reply == OrderReply::Accepted;
                 self.report_due_at = Some(now + self.base_load_time(&order.model) + MAX_REPORT_AGE);
             }
-            (None, OrderKind::Unload) => self.learn_anew(now),
+            (None, OrderKind::Unload) => self.discard_sequence(now),
             (Some(adapter), OrderKind::Load) => {
                 let adapter_key = adapter_key(&order.model, adapter);
-                actions.extend(self.on_load_taken(
+                actions.extend(self.on_load_accepted(
                     &adapter_key,
                     order.version.unwrap_or(1),
                     reply,
@@ -269,7 +269,7 @@
         actions
     }
 
-    pub(super) fn on_load_taken(
+    pub(super) fn on_load_accepted(
         &mut self,
         adapter: &str,
         version: u64,
@@ -305,7 +305,7 @@
     }
 
     /// Reverts the expected effect of an order that was not carried out.
-    pub(super) fn forget_ordered(
+    pub(super) fn revert_order(
         &mut self,
         order: &PlannedOrder,
     ) {
@@ -329,7 +329,7 @@
     }
 
     /// Discards the sequence, and schedules a report recent enough to include the last order.
-    pub(super) fn learn_anew(
+    pub(super) fn discard_sequence(
         &mut self,
         now: Instant,
     ) {
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -273,7 +273,7 @@
                 continue;
             };
             let mut desk = EngineAllocator::new(&target, spec, self.shared.clone(), now);
-            desk.on_start(listed.record.started, now);
+            desk.on_incarnation(listed.record.started, now);
             desk.set_unanswered_orders(self.late_orders.remove(&target).unwrap_or_default());
             for (adapter, versions) in self.versions.iter() {
                 desk.on_newest(adapter, versions.newest());
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -448,7 +448,7 @@
         self.engine.restart();
         if told {
             let started = TargetStart::from_unix_ms(self.engine.started);
-            let actions = self.desk.on_start(Some(started), self.now);
+            let actions = self.desk.on_incarnation(Some(started), self.now);
             self.take(actions);
         }
     }
@@ -907,7 +907,7 @@
     let old_report = world.engine.report();
     world.restart(true);
     let earlier = TargetStart::from_unix_ms(world.engine.started - 1);
-    assert_eq!(world.desk.on_start(Some(earlier), world.now), []);
+    assert_eq!(world.desk.on_incarnation(Some(earlier), world.now), []);
     let actions = world.desk.on_tick(world.now);
     assert!(
         actions.contains(&AllocatorAction::RequestReport),
