--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -16,10 +16,10 @@
     /// Handles the incarnation named in the target list. Ignores incarnations older than the known one.
     pub fn on_incarnation(
         &mut self,
-        told: Option<TargetStart>,
+        reported: Option<TargetStart>,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        if !self.update_incarnation(told) {
+        if !self.update_incarnation(reported) {
             return Vec::new();
         }
         self.report_due_at = Some(now);
@@ -29,14 +29,14 @@
     /// Updates the known incarnation. Returns true if it replaces an earlier one.
     pub(super) fn update_incarnation(
         &mut self,
-        told: Option<TargetStart>,
+        reported: Option<TargetStart>,
     ) -> bool {
-        let known = self.incarnation;
-        if told <= known {
+        let previous = self.incarnation;
+        if reported <= previous {
             return false;
         }
-        self.incarnation = told;
-        known.is_some()
+        self.incarnation = reported;
+        previous.is_some()
     }
 
     /// Returns true if the report comes from an incarnation before the known one.
