--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -71,15 +71,15 @@
             .take()
             .filter(|order| order.expected_sequence == report.sequence);
         self.model = report.models.first().map(|model| model.name.clone());
-        let came = self.apply_report(&report, now);
+        let completed = self.apply_report(&report, now);
         self.update_adapter_capacity();
         if !report.busy && !report.coming.is_empty() {
             self.report_due_at = Some(now + LOAD_TIMEOUT);
         }
-        let came = came
+        let completed = completed
             .iter()
             .filter_map(|adapter| self.announce(adapter, now));
-        actions.extend(came);
+        actions.extend(completed);
         actions.extend(self.next_orders(now));
         actions
     }
@@ -343,19 +343,19 @@
         report: &TargetReport,
         now: Instant,
     ) -> Vec<String> {
-        let mut came = Vec::new();
-        let mut old = std::mem::take(&mut self.adapters);
+        let mut completed = Vec::new();
+        let mut previous = std::mem::take(&mut self.adapters);
         for model in &report.models {
-            for held in &model.adapters {
-                let adapter_key = adapter_key(&model.name, &held.name);
-                self.cache.record(&adapter_key, held.version);
-                let mut resident = old
-                    .remove(&adapter_key)
-                    .unwrap_or_else(|| ResidentAdapter::new(held.version, Residency::Loaded, now));
-                resident.version = held.version;
+            for reported in &model.adapters {
+                let adapter_key = adapter_key(&model.name, &reported.name);
+                self.cache.record(&adapter_key, reported.version);
+                let mut resident = previous.remove(&adapter_key).unwrap_or_else(|| {
+                    ResidentAdapter::new(reported.version, Residency::Loaded, now)
+                });
+                resident.version = reported.version;
                 if matches!(resident.state, Residency::Loading { .. }) {
                     resident.last_used = now;
-                    came.push(adapter_key.clone());
+                    completed.push(adapter_key.clone());
                 }
                 if resident.state != Residency::Unloading {
                     resident.state = Residency::Loaded;
@@ -372,7 +372,7 @@
             let mut resident = self
                 .adapters
                 .remove(&adapter_key)
-                .or_else(|| old.remove(&adapter_key))
+                .or_else(|| previous.remove(&adapter_key))
                 .unwrap_or_else(|| {
                     // Ordered by a previous holder. Counts towards the limit, as it may come from the weight store.
                     let mut resident = ResidentAdapter::new(*version, coming, now);
@@ -385,7 +385,7 @@
             }
             self.adapters.insert(adapter_key, resident);
         }
-        came
+        completed
     }
 
     pub(super) fn update_adapter_capacity(&mut self) {
