--- a/src/process/engines/published_loads.rs
+++ b/src/process/engines/published_loads.rs
@@ -4,13 +4,13 @@
 };
 
 /// Interval at which unchanged loads are sent again, as messages may be lost.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
+const REPUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Load of one engine as last sent to a host.
 #[derive(Debug, Clone, PartialEq)]
 struct PublishedLoad {
     load: EngineLoad,
-    at: Instant,
+    sent_at: Instant,
 }
 
 /// Tracks the engine loads sent to other hosts, so that only changes are sent.
@@ -21,30 +21,35 @@
 
 impl PublishedLoads {
     /// Returns true if the load must be sent to the host, and records it as sent.
-    pub fn is_news(
+    pub fn should_publish(
         &mut self,
         host: SocketAddr,
         load: &EngineLoad,
         now: Instant,
     ) -> bool {
         let key = (host, load.target.clone());
-        let is_old = |told: &PublishedLoad| now.saturating_duration_since(told.at) >= TELL_AGAIN;
-        let told = self.by_host.get(&key);
-        if told.is_some_and(|told| told.load == *load && !is_old(told)) {
+        let is_expired = |published: &PublishedLoad| {
+            now.saturating_duration_since(published.sent_at) >= REPUBLISH_INTERVAL
+        };
+        let published = self.by_host.get(&key);
+        if published.is_some_and(|published| published.load == *load && !is_expired(published)) {
             return false;
         }
         let load = load.clone();
-        self.by_host.insert(key, PublishedLoad { load, at: now });
+        self.by_host
+            .insert(key, PublishedLoad { load, sent_at: now });
         true
     }
 
     /// Evicts entries of engines that are no longer held and of lost hosts.
-    pub fn forget_old(
+    pub fn evict_expired(
         &mut self,
         now: Instant,
     ) {
-        let keeps = |told: &PublishedLoad| now.saturating_duration_since(told.at) <= TELL_AGAIN * 2;
-        self.by_host.retain(|_, told| keeps(told));
+        let keeps = |published: &PublishedLoad| {
+            now.saturating_duration_since(published.sent_at) <= REPUBLISH_INTERVAL * 2
+        };
+        self.by_host.retain(|_, published| keeps(published));
     }
 
     /// Removes all entries.
--- a/tests/told_loads.rs
+++ b/tests/told_loads.rs
@@ -7,8 +7,8 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-fn host(at: u8) -> SocketAddr {
-    format!("10.0.0.{at}:7000").parse().unwrap()
+fn host(sent_at: u8) -> SocketAddr {
+    format!("10.0.0.{sent_at}:7000").parse().unwrap()
 }
 
 fn load(
@@ -24,28 +24,28 @@
 
 #[test]
 fn a_load_is_told_when_it_changes_and_again_after_a_second() {
-    let mut told = PublishedLoads::default();
+    let mut published = PublishedLoads::default();
     let start = Instant::now();
-    assert!(told.is_news(host(1), &load("e", 1), start));
-    assert!(!told.is_news(host(1), &load("e", 1), start + Duration::from_millis(900)));
-    assert!(told.is_news(host(1), &load("e", 2), start + Duration::from_millis(950)));
-    assert!(told.is_news(host(1), &load("e", 2), start + Duration::from_millis(1_950)));
+    assert!(published.should_publish(host(1), &load("e", 1), start));
+    assert!(!published.should_publish(host(1), &load("e", 1), start + Duration::from_millis(900)));
+    assert!(published.should_publish(host(1), &load("e", 2), start + Duration::from_millis(950)));
+    assert!(published.should_publish(host(1), &load("e", 2), start + Duration::from_millis(1_950)));
 }
 
 #[test]
 fn each_host_is_told_of_each_engine() {
-    let mut told = PublishedLoads::default();
+    let mut published = PublishedLoads::default();
     let now = Instant::now();
-    assert!(told.is_news(host(1), &load("e", 1), now));
-    assert!(told.is_news(host(2), &load("e", 1), now));
-    assert!(told.is_news(host(1), &load("f", 1), now));
+    assert!(published.should_publish(host(1), &load("e", 1), now));
+    assert!(published.should_publish(host(2), &load("e", 1), now));
+    assert!(published.should_publish(host(1), &load("f", 1), now));
 }
 
 #[test]
 fn what_was_told_long_ago_is_forgotten() {
-    let mut told = PublishedLoads::default();
+    let mut published = PublishedLoads::default();
     let start = Instant::now();
-    told.is_news(host(1), &load("e", 1), start);
-    told.forget_old(start + Duration::from_secs(3));
-    assert!(told.is_news(host(1), &load("e", 1), start + Duration::from_secs(3)));
+    published.should_publish(host(1), &load("e", 1), start);
+    published.evict_expired(start + Duration::from_secs(3));
+    assert!(published.should_publish(host(1), &load("e", 1), start + Duration::from_secs(3)));
 }
