--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -190,8 +190,8 @@
                 news.push((host, load_for(target, desk, host)));
             }
         }
-        news.retain(|(host, load)| self.told_loads.is_news(*host, load, now));
-        self.told_loads.forget_old(now);
+        news.retain(|(host, load)| self.told_loads.should_publish(*host, load, now));
+        self.told_loads.evict_expired(now);
         news.into_iter()
             .map(|(host, load)| self.send(host, Message::EngineLoad(load)))
             .collect()
