--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -56,12 +56,12 @@
     }
 
     /// Removes an engine that this host no longer holds.
-    pub fn forget(
+    pub fn remove_engine(
         &self,
         target: &str,
     ) {
-        self.limiter.borrow_mut().forget(target);
-        self.pool.borrow_mut().forget(target);
+        self.limiter.borrow_mut().remove_engine(target);
+        self.pool.borrow_mut().remove_engine(target);
     }
 }
 
--- a/src/process/engines/engine_pool.rs
+++ b/src/process/engines/engine_pool.rs
@@ -41,7 +41,7 @@
     }
 
     /// Removes an engine that this host no longer holds.
-    pub fn forget(
+    pub fn remove_engine(
         &mut self,
         target: &str,
     ) {
--- a/src/process/engines/load_limiter.rs
+++ b/src/process/engines/load_limiter.rs
@@ -78,7 +78,7 @@
     }
 
     /// Removes an engine that this host no longer holds.
-    pub fn forget(
+    pub fn remove_engine(
         &mut self,
         target: &str,
     ) {
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -257,7 +257,7 @@
                 self.late_orders
                     .insert(target.clone(), desk.into_unanswered_orders(now));
             }
-            self.shared.forget(&target);
+            self.shared.remove_engine(&target);
             self.changed = true;
         }
         self.late_orders.retain(|_, late| !late.all_expired(now));
--- a/tests/engine_standing.rs
+++ b/tests/engine_standing.rs
@@ -116,7 +116,7 @@
     limiter.set("b", loads(1, 3));
     assert!(!limiter.has_room(), "two loads in progress");
     assert!(limiter.queue_time() > ms(500), "three loads queued");
-    limiter.forget("b");
+    limiter.remove_engine("b");
     assert!(limiter.has_room());
 }
 
