--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -236,12 +236,12 @@
         if let Some(pending) = self.pending_loads.get(adapter) {
             placement.version = pending.version;
             placement.state = PlacementState::Coming as i32;
-            placement.due_ms = millis(self.queue_time());
+            placement.due_ms = millis(self.completion_time());
         } else if self.cache.contains(adapter, self.newest_version(adapter)) {
             placement.version = self.newest_version(adapter);
             placement.state = PlacementState::Remembered as i32;
         } else {
-            placement.due_ms = millis(self.queue_time());
+            placement.due_ms = millis(self.completion_time());
         }
         Some(placement)
     }
@@ -342,7 +342,7 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         let is_new = !self.pending_loads.contains_key(&want.adapter);
-        let promised_at = now + self.queue_time();
+        let promised_at = now + self.completion_time();
         let pending = self
             .pending_loads
             .entry(want.adapter.clone())
@@ -397,14 +397,14 @@
             adapter: adapter.to_string(),
             version,
             state: state as i32,
-            due_ms: millis(self.queue_time()),
+            due_ms: millis(self.completion_time()),
             uses: 0,
         }
     }
 
     /// Returns the expected time until a load requested now has completed.
-    pub(super) fn queue_time(&self) -> Duration {
-        let of_host = self.shared.limiter.borrow().queue_time();
+    pub(super) fn completion_time(&self) -> Duration {
+        let of_host = self.shared.limiter.borrow().completion_time();
         let coming = self.adapters.values();
         let coming = coming.filter(|resident| matches!(resident.state, Residency::Loading { .. }));
         let here = (coming.count() + self.pending_loads.len()) as f64 / MAX_CONCURRENT_LOADS as f64;
@@ -417,10 +417,10 @@
         &self,
         want: &Want,
     ) -> bool {
-        let queue_time = self.queue_time();
+        let completion_time = self.completion_time();
         let load_time = self.shared.limiter.borrow().load_time();
         let patience = Duration::from_millis(u64::from(want.patience_ms));
-        queue_time > load_time && queue_time > patience.min(MAX_QUEUE_TIME)
+        completion_time > load_time && completion_time > patience.min(MAX_QUEUE_TIME)
     }
 
     /// Returns the reason why a queued adapter can't be loaded soon, or `None` if it can.
--- a/src/process/engines/load_limiter.rs
+++ b/src/process/engines/load_limiter.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns the expected time until a load requested now has completed.
-    pub fn queue_time(&self) -> Duration {
+    pub fn completion_time(&self) -> Duration {
         let ahead = (self.in_progress() + self.queued()) as f64;
         self.load_time.mul_f64((ahead / self.window).max(1.0))
     }
--- a/tests/engine_standing.rs
+++ b/tests/engine_standing.rs
@@ -115,7 +115,7 @@
     assert!(limiter.has_room());
     limiter.set("b", loads(1, 3));
     assert!(!limiter.has_room(), "two loads in progress");
-    assert!(limiter.queue_time() > ms(500), "three loads queued");
+    assert!(limiter.completion_time() > ms(500), "three loads queued");
     limiter.remove_engine("b");
     assert!(limiter.has_room());
 }
