--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -365,7 +365,7 @@
             let reason = if overdue {
                 Some(LoadRejection::Overdue)
             } else if is_new && self.exceeds_load_deadline(want) {
-                Some(LoadRejection::LongQueue)
+                Some(LoadRejection::QueueTooLong)
             } else {
                 self.rejection_reason(want, now)
             };
@@ -435,15 +435,15 @@
         if want.spare && self.shared.limiter.borrow().is_busy() {
             Some(LoadRejection::StoreBusy)
         } else if self.sequence.is_none() {
-            Some(LoadRejection::Unknown)
+            Some(LoadRejection::StateUnknown)
         } else if fits.is_none() {
-            Some(LoadRejection::NoModel)
+            Some(LoadRejection::NoBaseModel)
         } else if self.busy {
             Some(LoadRejection::EngineBusy)
         } else if self.is_unresponsive(now) {
             Some(LoadRejection::Unresponsive)
         } else if !self.has_slot(adapter, now) {
-            Some(LoadRejection::NoPlace)
+            Some(LoadRejection::NoFreeSlot)
         } else {
             None
         }
--- a/src/process/engines/load_rejection.rs
+++ b/src/process/engines/load_rejection.rs
@@ -6,17 +6,17 @@
     /// The load has not completed when it was promised.
     Overdue,
     /// The queue is so long that the load would complete too late.
-    LongQueue,
+    QueueTooLong,
     /// The engine's state is not known yet.
-    Unknown,
+    StateUnknown,
     /// The engine does not hold the adapter's base model.
-    NoModel,
+    NoBaseModel,
     /// The engine is carrying out an order and rejects others.
     EngineBusy,
     /// The engine leaves orders unanswered.
     Unresponsive,
     /// All slots are taken by adapters in use.
-    NoPlace,
+    NoFreeSlot,
 }
 
 impl LoadRejection {
@@ -25,12 +25,12 @@
         match self {
             Self::StoreBusy => "store_busy",
             Self::Overdue => "overdue",
-            Self::LongQueue => "long_queue",
-            Self::Unknown => "unknown",
-            Self::NoModel => "no_model",
+            Self::QueueTooLong => "long_queue",
+            Self::StateUnknown => "unknown",
+            Self::NoBaseModel => "no_model",
             Self::EngineBusy => "engine_busy",
             Self::Unresponsive => "unresponsive",
-            Self::NoPlace => "no_place",
+            Self::NoFreeSlot => "no_place",
         }
     }
 }
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -791,7 +791,7 @@
 
 /// Guards against a queue so long that every load completes after the deadline of the request that caused it.
 #[rstest]
-#[case::no_time_left_for_the_queue(600, 4, Some(LoadRejection::LongQueue))]
+#[case::no_time_left_for_the_queue(600, 4, Some(LoadRejection::QueueTooLong))]
 #[case::time_enough(890, 4, None)]
 #[case::nothing_waits(0, 0, None)]
 fn a_load_that_comes_too_late_for_whoever_asks_is_not_queued(
