--- a/src/process/engines/load_rejection.rs
+++ b/src/process/engines/load_rejection.rs
@@ -21,7 +21,7 @@
 
 impl LoadRejection {
     /// Returns the label used in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::StoreBusy => "store_busy",
             Self::Overdue => "overdue",
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -221,14 +221,14 @@
             } => self.announce(&interested_hosts, &placement),
             AllocatorAction::LoadRejected { adapter, reason } => {
                 let labels = WaitLabels {
-                    cause: reason.word(),
+                    cause: reason.label(),
                 };
                 metrics().wants_turned_away.get_or_create(&labels).inc();
                 note!(
                     Event::AdapterNoRoom,
                     target = target,
                     adapter = adapter,
-                    reason = reason.word()
+                    reason = reason.label()
                 );
                 Vec::new()
             }
