--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -342,7 +342,7 @@
         now: Instant,
     ) -> Vec<AllocatorAction> {
         let is_new = !self.pending_loads.contains_key(&want.adapter);
-        let promised_at = now + self.completion_time();
+        let promised_by = now + self.completion_time();
         let pending = self
             .pending_loads
             .entry(want.adapter.clone())
@@ -351,7 +351,7 @@
                 spare: want.spare,
                 priority: want.priority,
                 requested_at: now,
-                promised_at,
+                promised_by,
                 waiting_requests: BTreeMap::new(),
             });
         pending.version = pending.version.max(version);
--- a/src/process/engines/pending_load.rs
+++ b/src/process/engines/pending_load.rs
@@ -26,12 +26,12 @@
     pub priority: u32,
     pub requested_at: Instant,
     /// Expected completion, as given in the first reply.
-    pub promised_at: Instant,
+    pub promised_by: Instant,
     /// Waiting requests of each host.
     pub waiting_requests: BTreeMap<SocketAddr, u32>,
 }
 
-/// Time beyond `promised_at` after which the load is overdue.
+/// Time beyond `promised_by` after which the load is overdue.
 const OVERDUE_SLACK: Duration = Duration::from_millis(250);
 
 impl PendingLoad {
@@ -40,7 +40,7 @@
         &self,
         now: Instant,
     ) -> bool {
-        now > self.promised_at + OVERDUE_SLACK
+        now > self.promised_by + OVERDUE_SLACK
     }
 
     /// Returns the queue rank: by age, with an advance for urgent requests and for adapters with many requests.
