--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -23,7 +23,7 @@
 pub(super) const MAX_CONCURRENT_LOADS: usize = 4;
 
 /// Maximum queue time; beyond it the adapter is better loaded at another engine.
-const MAX_QUEUE_TIME: Duration = Duration::from_millis(900);
+const MAX_COMPLETION_TIME: Duration = Duration::from_millis(900);
 
 /// Estimated number of adapters that an engine caches, per slot.
 pub const CACHED_ADAPTERS_PER_SLOT: usize = 6;
@@ -420,7 +420,7 @@
         let completion_time = self.completion_time();
         let load_time = self.shared.limiter.borrow().load_time();
         let patience = Duration::from_millis(u64::from(want.patience_ms));
-        completion_time > load_time && completion_time > patience.min(MAX_QUEUE_TIME)
+        completion_time > load_time && completion_time > patience.min(MAX_COMPLETION_TIME)
     }
 
     /// Returns the reason why a queued adapter can't be loaded soon, or `None` if it can.
