--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -126,16 +126,16 @@
         }
         self.unresolved_order = Some(order.clone());
         let mut actions = Vec::new();
-        if order.tries >= UNRESPONSIVE_ATTEMPTS {
+        if order.attempt >= UNRESPONSIVE_ATTEMPTS {
             self.unresponsive_until = Some(now + UNRESPONSIVE_BACKOFF);
             actions.extend(self.reject_pending_loads());
         }
-        if order.tries >= MAX_ATTEMPTS {
+        if order.attempt >= MAX_ATTEMPTS {
             self.discard_sequence(now);
             return actions;
         }
         let again = PlannedOrder {
-            tries: order.tries + 1,
+            attempt: order.attempt + 1,
             ..order
         };
         self.in_flight_order = Some(again.clone());
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -65,7 +65,7 @@
             version: None,
             expected_sequence: sequence,
             reason: "empty",
-            tries: 1,
+            attempt: 1,
         })
     }
 
@@ -93,7 +93,7 @@
             version: Some(resident.version),
             expected_sequence: sequence,
             reason: "look",
-            tries: 1,
+            attempt: 1,
         })
     }
 
@@ -160,7 +160,7 @@
             version: Some(pending.version),
             expected_sequence: sequence,
             reason,
-            tries: 1,
+            attempt: 1,
         })
     }
 
@@ -187,7 +187,7 @@
             version: None,
             expected_sequence: sequence,
             reason,
-            tries: 1,
+            attempt: 1,
         })
     }
 
--- a/src/process/engines/planned_order.rs
+++ b/src/process/engines/planned_order.rs
@@ -25,7 +25,7 @@
     /// Reason that is logged.
     pub reason: &'static str,
     /// Number of the attempt, from 1.
-    pub tries: u32,
+    pub attempt: u32,
 }
 
 /// An action that an engine allocator requests.
