--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -184,7 +184,7 @@
     }
 
     /// Records a newer version of the adapter `MODEL/NAME`.
-    pub fn on_newest(
+    pub fn on_newest_version(
         &mut self,
         adapter: &str,
         version: u64,
@@ -247,7 +247,7 @@
     }
 
     /// Schedules a report if an adapter that should be loaded is missing at the engine.
-    pub fn on_missing(
+    pub fn on_missing_adapter(
         &mut self,
         adapter: &str,
         now: Instant,
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -276,7 +276,7 @@
             desk.on_incarnation(listed.record.started, now);
             desk.set_unanswered_orders(self.late_orders.remove(&target).unwrap_or_default());
             for (adapter, versions) in self.versions.iter() {
-                desk.on_newest(adapter, versions.newest());
+                desk.on_newest_version(adapter, versions.newest());
             }
             self.desks.insert(target, desk);
             self.changed = true;
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -215,7 +215,7 @@
             }],
             ControlRequest::Missing { target, adapter } => {
                 if let Some(desk) = self.desks.get_mut(&target) {
-                    desk.on_missing(&adapter, now);
+                    desk.on_missing_adapter(&adapter, now);
                 }
                 Vec::new()
             }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -376,7 +376,7 @@
             source = news.source
         );
         for desk in self.desks.values_mut() {
-            desk.on_newest(&adapter, version);
+            desk.on_newest_version(&adapter, version);
         }
         let versions = Arc::make_mut(&mut self.versions);
         let history = versions.entry(adapter).or_default();
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -670,7 +670,7 @@
     world.want("a1", 1);
     world.run(ms(400));
     world.engine.newest.insert("a1".to_string(), 2);
-    world.desk.on_newest("m0/a1", 2);
+    world.desk.on_newest_version("m0/a1", 2);
     world.run(ms(1_500));
     world.want("a1", 2);
     world.run(ms(400));
@@ -689,7 +689,7 @@
     world.engine.runs.get_mut("a1").unwrap()[0] = world.now + ms(5_000);
     world.tell_usage(&[]);
     world.engine.newest.insert("a1".to_string(), 2);
-    world.desk.on_newest("m0/a1", 2);
+    world.desk.on_newest_version("m0/a1", 2);
     world.want("a1", 2);
     assert_eq!(world.state("a1"), PlacementState::Full);
     world.run(ms(4_000));
@@ -739,7 +739,7 @@
                 world.engine.newest.insert(name.clone(), version + 1);
                 world
                     .desk
-                    .on_newest(&format!("{MODEL}/{name}"), version + 1);
+                    .on_newest_version(&format!("{MODEL}/{name}"), version + 1);
             }
             if step % 2 == 0 {
                 world.tell_usage(&started);
