--- a/src/process/engines/base_load_limiter.rs
+++ b/src/process/engines/base_load_limiter.rs
@@ -45,12 +45,12 @@
         let Some(share) = self.share else {
             return true;
         };
-        let is_over = |at: &Instant| now.saturating_duration_since(*at) > RATE_WINDOW;
-        while self.ordered.front().is_some_and(is_over) {
+        let is_past_window = |at: &Instant| now.saturating_duration_since(*at) > RATE_WINDOW;
+        while self.ordered.front().is_some_and(is_past_window) {
             self.ordered.pop_front();
         }
         let allowance = (loads_per_second * RATE_WINDOW.as_secs_f64() * share).round();
-        let allowed = match self.share_known_since.as_ref().is_some_and(is_over) {
+        let allowed = match self.share_known_since.as_ref().is_some_and(is_past_window) {
             true => allowance.max(1.0),
             false => 1.0,
         };
--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -173,14 +173,14 @@
             return None;
         }
         let may_order = self.sequence.is_some() && !self.busy;
-        let looks = self
+        let probe_times = self
             .adapters
             .values()
             .filter_map(|resident| match resident.state {
                 Residency::Loading { due, .. } if may_order => Some(due),
                 _ => None,
             });
-        looks.chain(self.report_due_at).min()
+        probe_times.chain(self.report_due_at).min()
     }
 
     /// Records a newer version of the adapter `MODEL/NAME`.
@@ -405,9 +405,11 @@
     /// Returns the expected time until a load requested now has completed.
     pub(super) fn completion_time(&self) -> Duration {
         let of_host = self.shared.limiter.borrow().completion_time();
-        let coming = self.adapters.values();
-        let coming = coming.filter(|resident| matches!(resident.state, Residency::Loading { .. }));
-        let here = (coming.count() + self.pending_loads.len()) as f64 / MAX_CONCURRENT_LOADS as f64;
+        let loading = self.adapters.values();
+        let loading =
+            loading.filter(|resident| matches!(resident.state, Residency::Loading { .. }));
+        let here =
+            (loading.count() + self.pending_loads.len()) as f64 / MAX_CONCURRENT_LOADS as f64;
         let load_time = self.shared.limiter.borrow().load_time();
         of_host.max(load_time.mul_f64(here.max(1.0)))
     }
@@ -419,8 +421,8 @@
     ) -> bool {
         let completion_time = self.completion_time();
         let load_time = self.shared.limiter.borrow().load_time();
-        let patience = Duration::from_millis(u64::from(want.patience_ms));
-        completion_time > load_time && completion_time > patience.min(MAX_COMPLETION_TIME)
+        let load_deadline = Duration::from_millis(u64::from(want.patience_ms));
+        completion_time > load_time && completion_time > load_deadline.min(MAX_COMPLETION_TIME)
     }
 
     /// Returns the reason why a queued adapter can't be loaded soon, or `None` if it can.
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -48,12 +48,12 @@
             .models
             .iter()
             .find(|model| model.weights_mb <= self.spec.weights_mb)?;
-        let at_hand = self.local_models.contains(&fits.name);
-        if !at_hand && !self.shared.pool.borrow().needs_another_engine(&fits.name) {
+        let is_local = self.local_models.contains(&fits.name);
+        if !is_local && !self.shared.pool.borrow().needs_another_engine(&fits.name) {
             return None;
         }
         let rate = self.spec.loads_per_second;
-        if !at_hand && !self.shared.base_loads.borrow_mut().admit(rate, now) {
+        if !is_local && !self.shared.base_loads.borrow_mut().admit(rate, now) {
             return None;
         }
         self.base_load_not_before = now + BASE_LOAD_RETRY_INTERVAL;
@@ -104,24 +104,24 @@
         sequence: u64,
         now: Instant,
     ) -> Option<PlannedOrder> {
-        let coming = self
+        let loading = self
             .adapters
             .values()
             .filter(|resident| matches!(resident.state, Residency::Loading { .. }))
             .count();
-        if coming + usize::from(self.unresolved_order.is_some()) >= MAX_CONCURRENT_LOADS {
+        if loading + usize::from(self.unresolved_order.is_some()) >= MAX_CONCURRENT_LOADS {
             return None;
         }
         let free = self.free_slots(now);
         let policy = self.shared.policy;
-        let crowded = policy.limits_loads && !self.shared.limiter.borrow().has_room();
+        let is_store_limited = policy.limits_loads && !self.shared.limiter.borrow().has_room();
         let next = self
             .pending_loads
             .iter()
             .filter(|(adapter, _)| adapter_name(adapter, model).is_some())
             .filter(|(adapter, pending)| {
-                let at_hand = self.cache.contains(adapter, pending.version);
-                !crowded || (policy.uses_engine_memory && at_hand)
+                let is_local = self.cache.contains(adapter, pending.version);
+                !is_store_limited || (policy.uses_engine_memory && is_local)
             })
             .filter(|(adapter, _)| match self.adapters.get(*adapter) {
                 Some(resident) => resident.in_flight() == 0 && resident.state == Residency::Loaded,
