--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -189,11 +189,11 @@
         adapter: &str,
         version: u64,
     ) {
-        let newest_versions = self
+        let newest = self
             .newest_versions
             .entry(adapter.to_string())
             .or_insert(version);
-        *newest_versions = (*newest_versions).max(version);
+        *newest = (*newest).max(version);
     }
 
     /// Handles a host's load request.
@@ -589,10 +589,10 @@
 }
 
 pub(super) fn adapter_name<'a>(
-    adapter_key: &'a str,
+    key: &'a str,
     model: &str,
 ) -> Option<&'a str> {
-    adapter_key.strip_prefix(model)?.strip_prefix('/')
+    key.strip_prefix(model)?.strip_prefix('/')
 }
 
 fn millis(time: Duration) -> u32 {
--- a/src/process/engines/engine_restart.rs
+++ b/src/process/engines/engine_restart.rs
@@ -96,14 +96,18 @@
 
     /// Announces that no adapter is loaded any more. Sends `Full`, as `Absent` would count as cached and quick to load.
     fn withdraw_adapters(&self) -> Vec<AllocatorAction> {
-        let gone = self
-            .adapters
-            .iter()
-            .map(|(adapter, resident)| AllocatorAction::Announce {
-                interested_hosts: resident.interested_hosts.iter().copied().collect(),
-                placement: self.pending_placement(adapter, resident.version, PlacementState::Full),
-            });
-        gone.collect()
+        let withdrawals =
+            self.adapters
+                .iter()
+                .map(|(adapter, resident)| AllocatorAction::Announce {
+                    interested_hosts: resident.interested_hosts.iter().copied().collect(),
+                    placement: self.pending_placement(
+                        adapter,
+                        resident.version,
+                        PlacementState::Full,
+                    ),
+                });
+        withdrawals.collect()
     }
 
     /// Handles the end of an order to an earlier incarnation. Either incarnation may have accepted it.
--- a/src/process/engines/engine_usage.rs
+++ b/src/process/engines/engine_usage.rs
@@ -43,12 +43,12 @@
         host: SocketAddr,
         usage: &Usage,
     ) {
-        let sum = UsageTotals {
+        let totals = UsageTotals {
             in_flight: usage.in_flight,
             tokens: usage.tokens,
             unread_tokens: usage.unread_tokens,
         };
-        self.by_host.insert(host, sum);
+        self.by_host.insert(host, totals);
         // The requests of its earlier queries have been sent by now, here or elsewhere.
         self.expected.retain(|send| send.host != host);
     }
--- a/src/process/engines/load_limiter.rs
+++ b/src/process/engines/load_limiter.rs
@@ -70,7 +70,7 @@
         loads: EngineLoads,
     ) {
         match self.engines.get_mut(target) {
-            Some(known) => *known = loads,
+            Some(current) => *current = loads,
             None => {
                 self.engines.insert(target.to_string(), loads);
             }
@@ -112,8 +112,8 @@
         time: Duration,
     ) {
         let time = time.min(MAX_LOAD_TIME_SAMPLE);
-        let old = self.load_time.mul_f64(1.0 - LOAD_TIME_EWMA_WEIGHT);
-        self.load_time = old + time.mul_f64(LOAD_TIME_EWMA_WEIGHT);
+        let previous = self.load_time.mul_f64(1.0 - LOAD_TIME_EWMA_WEIGHT);
+        self.load_time = previous + time.mul_f64(LOAD_TIME_EWMA_WEIGHT);
         self.window = match time < IDLE_STORE_LOAD_TIME.mul_f64(CONTENTION_FACTOR) {
             true => (self.window + WINDOW_INCREASE / self.window).min(MAX_WINDOW),
             false => (self.window * WINDOW_DECREASE_FACTOR).max(MIN_WINDOW),
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -44,7 +44,7 @@
         report: Option<TargetReport>,
         now: Instant,
     ) -> Vec<AllocatorAction> {
-        let asked = self.report_requested_at.take();
+        let requested_at = self.report_requested_at.take();
         let Some(report) = report else {
             self.report_due_at = Some(now + REPORT_RETRY_INTERVAL);
             return Vec::new();
@@ -58,7 +58,7 @@
             false => Vec::new(),
         };
         // The report may not include an order that was sent in the meantime.
-        if self.in_flight_order.is_some() || asked.is_none() {
+        if self.in_flight_order.is_some() || requested_at.is_none() {
             self.report_due_at = Some(now + MAX_REPORT_AGE);
             return actions;
         }
@@ -134,12 +134,12 @@
             self.discard_sequence(now);
             return actions;
         }
-        let again = PlannedOrder {
+        let retry = PlannedOrder {
             attempt: order.attempt + 1,
             ..order
         };
-        self.in_flight_order = Some(again.clone());
-        actions.push(AllocatorAction::Order(again));
+        self.in_flight_order = Some(retry.clone());
+        actions.push(AllocatorAction::Order(retry));
         actions
     }
 
@@ -194,22 +194,24 @@
                 Residency::Loading { since, .. } => since,
                 _ => now,
             };
-            let passed = now.saturating_duration_since(since);
+            let elapsed = now.saturating_duration_since(since);
             if reply == OrderReply::Done {
                 resident.state = Residency::Loaded;
                 // The hosts that waited for it send their requests now.
                 resident.last_used = now;
-                self.record_load_time(passed);
+                self.record_load_time(elapsed);
                 actions.push(AllocatorAction::LoadCompleted {
                     adapter: adapter.clone(),
-                    time: passed,
+                    time: elapsed,
                 });
                 actions.extend(self.announce(&adapter, now));
             } else {
-                let pause = passed.mul_f64(PROBE_INTERVAL_SHARE).max(MIN_PROBE_INTERVAL);
+                let interval = elapsed
+                    .mul_f64(PROBE_INTERVAL_SHARE)
+                    .max(MIN_PROBE_INTERVAL);
                 resident.state = Residency::Loading {
                     since,
-                    due: now + pause,
+                    due: now + interval,
                 };
             }
         }
@@ -247,18 +249,13 @@
             }
             (None, OrderKind::Unload) => self.discard_sequence(now),
             (Some(adapter), OrderKind::Load) => {
-                let adapter_key = adapter_key(&order.model, adapter);
-                actions.extend(self.on_load_accepted(
-                    &adapter_key,
-                    order.version.unwrap_or(1),
-                    reply,
-                    now,
-                ));
+                let key = adapter_key(&order.model, adapter);
+                actions.extend(self.on_load_accepted(&key, order.version.unwrap_or(1), reply, now));
             }
             (Some(adapter), OrderKind::Unload) => {
-                let adapter_key = adapter_key(&order.model, adapter);
+                let key = adapter_key(&order.model, adapter);
                 if reply == OrderReply::Done {
-                    self.adapters.remove(&adapter_key);
+                    self.adapters.remove(&key);
                 } else {
                     // The unload waits for requests that this host does not know of.
                     self.busy = true;
@@ -315,13 +312,13 @@
         if order.purpose == OrderPurpose::Probe {
             return;
         }
-        let adapter_key = adapter_key(&order.model, adapter);
+        let key = adapter_key(&order.model, adapter);
         match order.kind {
             OrderKind::Load => {
-                self.adapters.remove(&adapter_key);
+                self.adapters.remove(&key);
             }
             OrderKind::Unload => {
-                if let Some(resident) = self.adapters.get_mut(&adapter_key) {
+                if let Some(resident) = self.adapters.get_mut(&key) {
                     resident.state = Residency::Loaded;
                 }
             }
@@ -347,43 +344,43 @@
         let mut previous = std::mem::take(&mut self.adapters);
         for model in &report.models {
             for reported in &model.adapters {
-                let adapter_key = adapter_key(&model.name, &reported.name);
-                self.cache.record(&adapter_key, reported.version);
-                let mut resident = previous.remove(&adapter_key).unwrap_or_else(|| {
+                let key = adapter_key(&model.name, &reported.name);
+                self.cache.record(&key, reported.version);
+                let mut resident = previous.remove(&key).unwrap_or_else(|| {
                     ResidentAdapter::new(reported.version, Residency::Loaded, now)
                 });
                 resident.version = reported.version;
                 if matches!(resident.state, Residency::Loading { .. }) {
                     resident.last_used = now;
-                    completed.push(adapter_key.clone());
+                    completed.push(key.clone());
                 }
                 if resident.state != Residency::Unloading {
                     resident.state = Residency::Loaded;
                 }
-                self.adapters.insert(adapter_key, resident);
+                self.adapters.insert(key, resident);
             }
         }
         for (model, name, version) in &report.coming {
-            let adapter_key = adapter_key(model, name);
-            let coming = Residency::Loading {
+            let key = adapter_key(model, name);
+            let loading = Residency::Loading {
                 since: now,
                 due: now + IDLE_STORE_LOAD_TIME,
             };
             let mut resident = self
                 .adapters
-                .remove(&adapter_key)
-                .or_else(|| previous.remove(&adapter_key))
+                .remove(&key)
+                .or_else(|| previous.remove(&key))
                 .unwrap_or_else(|| {
                     // Ordered by a previous holder. Counts towards the limit, as it may come from the weight store.
-                    let mut resident = ResidentAdapter::new(*version, coming, now);
-                    resident.from_store = !self.cache.contains(&adapter_key, *version);
+                    let mut resident = ResidentAdapter::new(*version, loading, now);
+                    resident.from_store = !self.cache.contains(&key, *version);
                     resident
                 });
             resident.version = *version;
             if !matches!(resident.state, Residency::Loading { .. }) {
-                resident.state = coming;
+                resident.state = loading;
             }
-            self.adapters.insert(adapter_key, resident);
+            self.adapters.insert(key, resident);
         }
         completed
     }
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -172,13 +172,13 @@
         now: Instant,
     ) -> Option<PlannedOrder> {
         let short = self.free_slots(now) < self.pending_loads.len().min(MAX_CONCURRENT_LOADS);
-        let (eviction_candidate, reason) = match self.idle_outdated_adapter(now) {
-            Some(stale) => (stale, "old_version"),
+        let (candidate, reason) = match self.idle_outdated_adapter(now) {
+            Some(outdated) => (outdated, "old_version"),
             None if short => (self.eviction_candidate(now)?, "room"),
             None => return None,
         };
-        let name = adapter_name(&eviction_candidate, model)?.to_string();
-        self.adapters.get_mut(&eviction_candidate)?.state = Residency::Unloading;
+        let name = adapter_name(&candidate, model)?.to_string();
+        self.adapters.get_mut(&candidate)?.state = Residency::Unloading;
         Some(PlannedOrder {
             purpose: OrderPurpose::Change,
             kind: OrderKind::Unload,
@@ -196,7 +196,7 @@
         &self,
         now: Instant,
     ) -> usize {
-        let unresolved_order = usize::from(self.unresolved_order.as_ref().is_some_and(|order| {
+        let unresolved = usize::from(self.unresolved_order.as_ref().is_some_and(|order| {
             let adapter = order.adapter.as_deref().unwrap_or_default();
             order.kind == OrderKind::Load
                 && !self
@@ -207,7 +207,7 @@
             self.unanswered_orders.reserved_slots(sequence, now)
         });
         self.adapter_capacity
-            .saturating_sub(self.adapters.len() + unresolved_order + unanswered)
+            .saturating_sub(self.adapters.len() + unresolved + unanswered)
     }
 
     /// Returns the idle adapter with the fewest recent requests.
@@ -219,8 +219,8 @@
             .iter()
             .filter(|(_, resident)| self.is_idle(resident, now))
             .min_by(|(_, a), (_, b)| {
-                let uses = a.recent_starts(now).total_cmp(&b.recent_starts(now));
-                uses.then(a.last_used.cmp(&b.last_used))
+                let starts = a.recent_starts(now).total_cmp(&b.recent_starts(now));
+                starts.then(a.last_used.cmp(&b.last_used))
             })
             .map(|(adapter, _)| adapter.clone())
     }
@@ -232,12 +232,12 @@
         self.adapters
             .iter()
             .find(|(adapter, resident)| {
-                let newest_versions = self
+                let newest = self
                     .newest_versions
                     .get(*adapter)
                     .copied()
                     .unwrap_or_default();
-                resident.version < newest_versions && self.is_idle(resident, now)
+                resident.version < newest && self.is_idle(resident, now)
             })
             .map(|(adapter, _)| adapter.clone())
     }
--- a/src/process/engines/published_loads.rs
+++ b/src/process/engines/published_loads.rs
@@ -28,11 +28,11 @@
         now: Instant,
     ) -> bool {
         let key = (host, load.target.clone());
-        let is_expired = |published: &PublishedLoad| {
+        let is_due = |published: &PublishedLoad| {
             now.saturating_duration_since(published.sent_at) >= REPUBLISH_INTERVAL
         };
         let published = self.by_host.get(&key);
-        if published.is_some_and(|published| published.load == *load && !is_expired(published)) {
+        if published.is_some_and(|published| published.load == *load && !is_due(published)) {
             return false;
         }
         let load = load.clone();
@@ -46,10 +46,10 @@
         &mut self,
         now: Instant,
     ) {
-        let keeps = |published: &PublishedLoad| {
+        let is_recent = |published: &PublishedLoad| {
             now.saturating_duration_since(published.sent_at) <= REPUBLISH_INTERVAL * 2
         };
-        self.by_host.retain(|_, published| keeps(published));
+        self.by_host.retain(|_, published| is_recent(published));
     }
 
     /// Removes all entries.
