--- a/src/process/engines/base_load_limiter.rs
+++ b/src/process/engines/base_load_limiter.rs
@@ -3,8 +3,7 @@
     std::{cell::RefCell, collections::VecDeque, rc::Rc, time::Duration},
 };
 
-/// Window over which loads are counted.
-/// Several seconds long, so that engines replaced in quick succession need not wait for their model.
+/// Window over which loads are counted, long enough for engines that are replaced in quick succession.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
 
 /// A limiter shared by the engine allocators of a host, all on one thread.
--- a/tests/told_loads.rs
+++ b/tests/told_loads.rs
@@ -7,8 +7,8 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-fn host(sent_at: u8) -> SocketAddr {
-    format!("10.0.0.{sent_at}:7000").parse().unwrap()
+fn host(at: u8) -> SocketAddr {
+    format!("10.0.0.{at}:7000").parse().unwrap()
 }
 
 fn load(
