--- a/src/connection/peer/peer_server.rs
+++ b/src/connection/peer/peer_server.rs
@@ -6,7 +6,7 @@
     crate::{
         process::{
             control::{ControlEvent, ControlHandle, Input, SharedView},
-            loads::{AskId, LoadAsk},
+            loads::{LoadAsk, LoadRequestId},
         },
         request::{AnswerPart, OwnerService},
         version::AdapterVersion,
@@ -152,7 +152,7 @@
         &self,
         request: Request<wire::LoadRelease>,
     ) -> Result<Response<wire::Ack>, Status> {
-        let ask = AskId(request.into_inner().grant);
+        let ask = LoadRequestId(request.into_inner().grant);
         self.control.input(Input::LoadReleased { ask });
         Ok(Response::new(wire::Ack {}))
     }
--- a/src/process/control/action.rs
+++ b/src/process/control/action.rs
@@ -1,7 +1,7 @@
 use crate::{
     connection::target::EngineOrder,
     process::{
-        loads::AskId,
+        loads::LoadRequestId,
         membership::MembershipAction,
         ownership::OwnershipAction,
         target::{Admission, TicketId},
@@ -39,7 +39,7 @@
     },
     /// Answer an ask to this process's load queue.
     AnswerLoad {
-        ask: AskId,
+        ask: LoadRequestId,
         granted: bool,
     },
     /// A heartbeat named a newer configuration: read it now.
--- a/src/process/control/control_handle.rs
+++ b/src/process/control/control_handle.rs
@@ -2,7 +2,7 @@
     super::Input,
     crate::{
         process::{
-            loads::{AskId, LoadAsk},
+            loads::{LoadAsk, LoadRequestId},
             membership::{Heartbeat, Rumor},
             target::{Admission, Ticket, TicketId},
         },
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadGrant {
     pub host: String,
-    pub ask: AskId,
+    pub ask: LoadRequestId,
 }
 
 /// What this host sends with a heartbeat.
@@ -38,7 +38,7 @@
     /// An ask to this process's load queue.
     AskLoad {
         ask: LoadAsk,
-        reply: oneshot::Sender<Option<AskId>>,
+        reply: oneshot::Sender<Option<LoadRequestId>>,
     },
     /// The answer to an ask of this process.
     LoadAnswer {
--- a/src/process/control/control_thread.rs
+++ b/src/process/control/control_thread.rs
@@ -3,7 +3,7 @@
     crate::{
         clock::Instant,
         process::{
-            loads::AskId,
+            loads::LoadRequestId,
             node::ActionRunner,
             target::{Admission, TicketId},
         },
@@ -23,7 +23,7 @@
     events: flume::Receiver<ControlEvent>,
     view: SharedView,
     admissions: HashMap<TicketId, oneshot::Sender<Admission>>,
-    asks: HashMap<AskId, oneshot::Sender<Option<AskId>>>,
+    asks: HashMap<LoadRequestId, oneshot::Sender<Option<LoadRequestId>>>,
     grants: HashMap<(String, AdapterVersion), LoadGrant>,
     next_ask: u64,
 }
@@ -84,7 +84,7 @@
                 self.input(Input::Arrival { target, ticket });
             }
             ControlEvent::AskLoad { ask, reply } => {
-                let id = AskId(self.next_ask);
+                let id = LoadRequestId(self.next_ask);
                 self.next_ask += 1;
                 self.asks.insert(id, reply);
                 self.input(Input::LoadAsked { id, ask });
--- a/src/process/control/input.rs
+++ b/src/process/control/input.rs
@@ -7,7 +7,7 @@
         },
         errors::TargetError,
         process::{
-            loads::{AskId, LoadAsk},
+            loads::{LoadAsk, LoadRequestId},
             membership::{Heartbeat, Rumor},
             ownership::{OwnerRow, SessionRow},
             target::{Ticket, TicketId},
@@ -67,14 +67,14 @@
     },
     /// Another owner, or this one, asks this process's load queue.
     LoadAsked {
-        id: AskId,
+        id: LoadRequestId,
         ask: LoadAsk,
     },
     LoadGone {
-        ask: AskId,
+        ask: LoadRequestId,
     },
     LoadReleased {
-        ask: AskId,
+        ask: LoadRequestId,
     },
     HostList(Vec<ListedHost>),
     /// A look at the table succeeded.
--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -8,7 +8,7 @@
 
 /// Identifies a request at the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct AskId(pub u64);
+pub struct LoadRequestId(pub u64);
 
 /// A target owner's request to load an adapter.
 #[derive(Debug, Clone, PartialEq)]
@@ -24,8 +24,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadDecision {
     /// The load may start; the permit is released under the same id.
-    Granted(AskId),
-    NotYet(AskId),
+    Granted(LoadRequestId),
+    NotYet(LoadRequestId),
 }
 
 /// Grants permits for concurrent loads over the complete site, highest score first.
@@ -35,8 +35,8 @@
 pub struct LoadQueue {
     at_once: usize,
     grant_life: Duration,
-    waiting: BTreeMap<AskId, (LoadAsk, Instant)>,
-    granted: BTreeMap<AskId, (LoadAsk, Instant)>,
+    waiting: BTreeMap<LoadRequestId, (LoadAsk, Instant)>,
+    granted: BTreeMap<LoadRequestId, (LoadAsk, Instant)>,
 }
 
 impl LoadQueue {
@@ -64,7 +64,7 @@
     /// Adds a request under a unique id.
     pub fn on_ask(
         &mut self,
-        id: AskId,
+        id: LoadRequestId,
         ask: LoadAsk,
         now: Instant,
     ) {
@@ -74,7 +74,7 @@
     /// Removes a request whose sender has left.
     pub fn on_gone(
         &mut self,
-        id: AskId,
+        id: LoadRequestId,
     ) {
         self.waiting.remove(&id);
     }
@@ -82,7 +82,7 @@
     /// Releases a permit.
     pub fn on_release(
         &mut self,
-        id: AskId,
+        id: LoadRequestId,
     ) {
         self.granted.remove(&id);
     }
@@ -116,7 +116,7 @@
         decisions
     }
 
-    fn heaviest(&self) -> Option<AskId> {
+    fn heaviest(&self) -> Option<LoadRequestId> {
         self.waiting
             .iter()
             .max_by(|(a_id, (a, _)), (b_id, (b, _))| {
@@ -130,7 +130,7 @@
         &mut self,
         now: Instant,
     ) -> Vec<LoadDecision> {
-        let old: Vec<AskId> = self
+        let old: Vec<LoadRequestId> = self
             .waiting
             .iter()
             .filter(|(_, (_, since))| now.saturating_duration_since(*since) >= ASK_LIFE)
--- a/src/process/loads/mod.rs
+++ b/src/process/loads/mod.rs
@@ -2,4 +2,4 @@
 
 mod load_queue;
 
-pub use load_queue::{AskId, LoadAsk, LoadDecision, LoadQueue};
+pub use load_queue::{LoadAsk, LoadDecision, LoadQueue, LoadRequestId};
--- a/src/process/node/action_runner.rs
+++ b/src/process/node/action_runner.rs
@@ -10,7 +10,7 @@
         errors::TargetError,
         process::{
             control::{ControlEvent, ControlHandle, Input, LoadGrant, SharedView},
-            loads::{AskId, LoadAsk},
+            loads::{LoadAsk, LoadRequestId},
             membership::{Heartbeat, MembershipAction, Rumor},
             ownership::{
                 OwnerRow, OwnershipAction, SessionLease, SessionRow, owner_key, session_key,
@@ -299,7 +299,7 @@
         let answer = answer.into_inner();
         let grant = LoadGrant {
             host,
-            ask: AskId(answer.grant),
+            ask: LoadRequestId(answer.grant),
         };
         Some(answer.granted.then_some(grant))
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -9,7 +9,7 @@
         },
         errors::TargetError,
         process::{
-            loads::{AskId, LoadAsk, LoadDecision, LoadQueue},
+            loads::{LoadAsk, LoadDecision, LoadQueue, LoadRequestId},
             membership::{Heartbeat, Liveness, Membership, MembershipAction, Rumor},
             ownership::{
                 OwnerChange, OwnerRow, Ownership, OwnershipAction, SessionLease, SessionRow, assign,
@@ -338,27 +338,27 @@
         score,
     };
     for (id, host, score) in [(1, "x", 1.0), (2, "y", 9.0), (3, "z", 5.0)] {
-        queue.on_ask(AskId(id), ask(host, score), now);
+        queue.on_ask(LoadRequestId(id), ask(host, score), now);
     }
-    assert_eq!(queue.decide(now), [LoadDecision::Granted(AskId(2))]);
+    assert_eq!(queue.decide(now), [LoadDecision::Granted(LoadRequestId(2))]);
     assert!(queue.decide(now).is_empty());
-    queue.on_release(AskId(2));
-    assert_eq!(queue.decide(now), [LoadDecision::Granted(AskId(3))]);
+    queue.on_release(LoadRequestId(2));
+    assert_eq!(queue.decide(now), [LoadDecision::Granted(LoadRequestId(3))]);
     assert_eq!(
         queue.decide(now + ms(600)),
-        [LoadDecision::NotYet(AskId(1))]
+        [LoadDecision::NotYet(LoadRequestId(1))]
     );
-    queue.on_ask(AskId(4), ask("x", 1.0), now + ms(600));
+    queue.on_ask(LoadRequestId(4), ask("x", 1.0), now + ms(600));
     queue.on_host_gone("z");
     assert_eq!(
         queue.decide(now + ms(600)),
-        [LoadDecision::Granted(AskId(4))]
+        [LoadDecision::Granted(LoadRequestId(4))]
     );
-    queue.on_ask(AskId(5), ask("y", 1.0), now + ms(6_000));
+    queue.on_ask(LoadRequestId(5), ask("y", 1.0), now + ms(6_000));
     let void = queue.decide(now + ms(6_000));
     assert_eq!(
         void,
-        [LoadDecision::Granted(AskId(5))],
+        [LoadDecision::Granted(LoadRequestId(5))],
         "a lost permission ends"
     );
 }
