--- a/src/connection/peer/peer_server.rs
+++ b/src/connection/peer/peer_server.rs
@@ -6,7 +6,7 @@
     crate::{
         process::{
             control::{ControlEvent, ControlHandle, Input, SharedView},
-            loads::{LoadAsk, LoadRequestId},
+            loads::{LoadRequest, LoadRequestId},
         },
         request::{AnswerPart, OwnerService},
         version::AdapterVersion,
@@ -132,7 +132,7 @@
         let ask = request.into_inner();
         let model = AdapterVersion::new(&ask.adapter, &ask.version)
             .map_err(|e| Status::invalid_argument(e.to_string()))?;
-        let ask = LoadAsk {
+        let ask = LoadRequest {
             host: ask.host,
             target: ask.target,
             model,
--- a/src/process/control/control_handle.rs
+++ b/src/process/control/control_handle.rs
@@ -2,7 +2,7 @@
     super::Input,
     crate::{
         process::{
-            loads::{LoadAsk, LoadRequestId},
+            loads::{LoadRequest, LoadRequestId},
             membership::{Heartbeat, Rumor},
             target::{Admission, Ticket, TicketId},
         },
@@ -37,7 +37,7 @@
     },
     /// An ask to this process's load queue.
     AskLoad {
-        ask: LoadAsk,
+        ask: LoadRequest,
         reply: oneshot::Sender<Option<LoadRequestId>>,
     },
     /// The answer to an ask of this process.
--- a/src/process/control/input.rs
+++ b/src/process/control/input.rs
@@ -7,7 +7,7 @@
         },
         errors::TargetError,
         process::{
-            loads::{LoadAsk, LoadRequestId},
+            loads::{LoadRequest, LoadRequestId},
             membership::{Heartbeat, Rumor},
             ownership::{OwnerRow, SessionRow},
             target::{Ticket, TicketId},
@@ -68,7 +68,7 @@
     /// Another owner, or this one, asks this process's load queue.
     LoadAsked {
         id: LoadRequestId,
-        ask: LoadAsk,
+        ask: LoadRequest,
     },
     LoadGone {
         ask: LoadRequestId,
--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -12,7 +12,7 @@
 
 /// A target owner's request to load an adapter.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LoadAsk {
+pub struct LoadRequest {
     pub host: String,
     pub target: String,
     pub model: AdapterVersion,
@@ -35,8 +35,8 @@
 pub struct LoadQueue {
     at_once: usize,
     grant_life: Duration,
-    waiting: BTreeMap<LoadRequestId, (LoadAsk, Instant)>,
-    granted: BTreeMap<LoadRequestId, (LoadAsk, Instant)>,
+    waiting: BTreeMap<LoadRequestId, (LoadRequest, Instant)>,
+    granted: BTreeMap<LoadRequestId, (LoadRequest, Instant)>,
 }
 
 impl LoadQueue {
@@ -65,7 +65,7 @@
     pub fn on_ask(
         &mut self,
         id: LoadRequestId,
-        ask: LoadAsk,
+        ask: LoadRequest,
         now: Instant,
     ) {
         self.waiting.insert(id, (ask, now));
--- a/src/process/loads/mod.rs
+++ b/src/process/loads/mod.rs
@@ -2,4 +2,4 @@
 
 mod load_queue;
 
-pub use load_queue::{LoadAsk, LoadDecision, LoadQueue, LoadRequestId};
+pub use load_queue::{LoadDecision, LoadQueue, LoadRequest, LoadRequestId};
--- a/src/process/node/action_runner.rs
+++ b/src/process/node/action_runner.rs
@@ -10,7 +10,7 @@
         errors::TargetError,
         process::{
             control::{ControlEvent, ControlHandle, Input, LoadGrant, SharedView},
-            loads::{LoadAsk, LoadRequestId},
+            loads::{LoadRequest, LoadRequestId},
             membership::{Heartbeat, MembershipAction, Rumor},
             ownership::{
                 OwnerRow, OwnershipAction, SessionLease, SessionRow, owner_key, session_key,
@@ -253,7 +253,7 @@
     ) {
         let runner = self.clone();
         self.runtime.spawn(async move {
-            let ask = LoadAsk {
+            let ask = LoadRequest {
                 host: runner.me.clone(),
                 target: target.clone(),
                 model: model.clone(),
@@ -275,7 +275,7 @@
     /// The scheduler's answer; none when there was none.
     async fn acquire(
         &self,
-        ask: LoadAsk,
+        ask: LoadRequest,
     ) -> Option<Option<LoadGrant>> {
         let view = self.view.load_full();
         let host = view.scheduler()?.to_string();
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -9,7 +9,7 @@
         },
         errors::TargetError,
         process::{
-            loads::{LoadAsk, LoadDecision, LoadQueue, LoadRequestId},
+            loads::{LoadDecision, LoadQueue, LoadRequest, LoadRequestId},
             membership::{Heartbeat, Liveness, Membership, MembershipAction, Rumor},
             ownership::{
                 OwnerChange, OwnerRow, Ownership, OwnershipAction, SessionLease, SessionRow, assign,
@@ -331,7 +331,7 @@
 fn loads_go_one_at_a_time_by_weight() {
     let now = Instant::now();
     let mut queue = LoadQueue::new(1, ms(5_000));
-    let ask = |host: &str, score| LoadAsk {
+    let ask = |host: &str, score| LoadRequest {
         host: host.into(),
         target: "t".into(),
         model: model("a"),
