--- a/src/process/control/control.rs
+++ b/src/process/control/control.rs
@@ -118,11 +118,11 @@
                 false => state.on_not_granted(&model, now),
             }),
             Input::LoadAsked { id, ask } => {
-                self.loads.on_ask(id, ask, now);
+                self.loads.on_request(id, ask, now);
                 self.decide_loads(now)
             }
             Input::LoadGone { ask } => {
-                self.loads.on_gone(ask);
+                self.loads.on_cancel(ask);
                 Vec::new()
             }
             Input::LoadReleased { ask } => {
@@ -258,7 +258,7 @@
     ) -> Vec<Action> {
         let answer = |decision| match decision {
             LoadDecision::Granted(ask) => Action::AnswerLoad { ask, granted: true },
-            LoadDecision::NotYet(ask) => Action::AnswerLoad {
+            LoadDecision::Deferred(ask) => Action::AnswerLoad {
                 ask,
                 granted: false,
             },
--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -25,7 +25,7 @@
 pub enum LoadDecision {
     /// The load may start; the permit is released under the same id.
     Granted(LoadRequestId),
-    NotYet(LoadRequestId),
+    Deferred(LoadRequestId),
 }
 
 /// Grants permits for concurrent loads over the complete site, highest score first.
@@ -62,7 +62,7 @@
     }
 
     /// Adds a request under a unique id.
-    pub fn on_ask(
+    pub fn on_request(
         &mut self,
         id: LoadRequestId,
         ask: LoadRequest,
@@ -72,7 +72,7 @@
     }
 
     /// Removes a request whose sender has left.
-    pub fn on_gone(
+    pub fn on_cancel(
         &mut self,
         id: LoadRequestId,
     ) {
@@ -139,6 +139,6 @@
         for id in &old {
             self.waiting.remove(id);
         }
-        old.into_iter().map(LoadDecision::NotYet).collect()
+        old.into_iter().map(LoadDecision::Deferred).collect()
     }
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -338,7 +338,7 @@
         score,
     };
     for (id, host, score) in [(1, "x", 1.0), (2, "y", 9.0), (3, "z", 5.0)] {
-        queue.on_ask(LoadRequestId(id), ask(host, score), now);
+        queue.on_request(LoadRequestId(id), ask(host, score), now);
     }
     assert_eq!(queue.decide(now), [LoadDecision::Granted(LoadRequestId(2))]);
     assert!(queue.decide(now).is_empty());
@@ -346,15 +346,15 @@
     assert_eq!(queue.decide(now), [LoadDecision::Granted(LoadRequestId(3))]);
     assert_eq!(
         queue.decide(now + ms(600)),
-        [LoadDecision::NotYet(LoadRequestId(1))]
+        [LoadDecision::Deferred(LoadRequestId(1))]
     );
-    queue.on_ask(LoadRequestId(4), ask("x", 1.0), now + ms(600));
+    queue.on_request(LoadRequestId(4), ask("x", 1.0), now + ms(600));
     queue.on_host_gone("z");
     assert_eq!(
         queue.decide(now + ms(600)),
         [LoadDecision::Granted(LoadRequestId(4))]
     );
-    queue.on_ask(LoadRequestId(5), ask("y", 1.0), now + ms(6_000));
+    queue.on_request(LoadRequestId(5), ask("y", 1.0), now + ms(6_000));
     let void = queue.decide(now + ms(6_000));
     assert_eq!(
         void,
