--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -4,7 +4,7 @@
 };
 
 /// Time after which a request without a grant is answered, so that its score is renewed.
-const ASK_LIFE: Duration = Duration::from_millis(500);
+const REQUEST_TTL: Duration = Duration::from_millis(500);
 
 /// Identifies a request at the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -33,21 +33,21 @@
 /// Kept in memory by the host that the hash selects: losing it affects only load times.
 #[derive(Debug)]
 pub struct LoadQueue {
-    at_once: usize,
-    grant_life: Duration,
+    max_concurrent: usize,
+    permit_ttl: Duration,
     waiting: BTreeMap<LoadRequestId, (LoadRequest, Instant)>,
     granted: BTreeMap<LoadRequestId, (LoadRequest, Instant)>,
 }
 
 impl LoadQueue {
-    /// Creates a queue whose permits expire after `grant_life`.
+    /// Creates a queue whose permits expire after `permit_ttl`.
     pub fn new(
-        at_once: usize,
-        grant_life: Duration,
+        max_concurrent: usize,
+        permit_ttl: Duration,
     ) -> Self {
         Self {
-            at_once,
-            grant_life,
+            max_concurrent,
+            permit_ttl,
             waiting: BTreeMap::new(),
             granted: BTreeMap::new(),
         }
@@ -65,10 +65,10 @@
     pub fn on_request(
         &mut self,
         id: LoadRequestId,
-        ask: LoadRequest,
+        request: LoadRequest,
         now: Instant,
     ) {
-        self.waiting.insert(id, (ask, now));
+        self.waiting.insert(id, (request, now));
     }
 
     /// Removes a request whose sender has left.
@@ -92,8 +92,8 @@
         &mut self,
         host: &str,
     ) {
-        self.waiting.retain(|_, (ask, _)| ask.host != host);
-        self.granted.retain(|_, (ask, _)| ask.host != host);
+        self.waiting.retain(|_, (request, _)| request.host != host);
+        self.granted.retain(|_, (request, _)| request.host != host);
     }
 
     /// Returns the decisions that are due now.
@@ -101,22 +101,24 @@
         &mut self,
         now: Instant,
     ) -> Vec<LoadDecision> {
-        let life = self.grant_life;
+        let ttl = self.permit_ttl;
         self.granted
-            .retain(|_, (_, since)| now.saturating_duration_since(*since) < life);
+            .retain(|_, (_, since)| now.saturating_duration_since(*since) < ttl);
         let mut decisions = Vec::new();
-        while self.granted.len() < self.at_once {
-            let Some(id) = self.heaviest() else { break };
-            if let Some((ask, _)) = self.waiting.remove(&id) {
-                self.granted.insert(id, (ask, now));
+        while self.granted.len() < self.max_concurrent {
+            let Some(id) = self.highest_score() else {
+                break;
+            };
+            if let Some((request, _)) = self.waiting.remove(&id) {
+                self.granted.insert(id, (request, now));
                 decisions.push(LoadDecision::Granted(id));
             }
         }
-        decisions.extend(self.answer_old(now));
+        decisions.extend(self.defer_expired(now));
         decisions
     }
 
-    fn heaviest(&self) -> Option<LoadRequestId> {
+    fn highest_score(&self) -> Option<LoadRequestId> {
         self.waiting
             .iter()
             .max_by(|(a_id, (a, _)), (b_id, (b, _))| {
@@ -126,19 +128,19 @@
             .map(|(id, _)| *id)
     }
 
-    fn answer_old(
+    fn defer_expired(
         &mut self,
         now: Instant,
     ) -> Vec<LoadDecision> {
-        let old: Vec<LoadRequestId> = self
+        let expired: Vec<LoadRequestId> = self
             .waiting
             .iter()
-            .filter(|(_, (_, since))| now.saturating_duration_since(*since) >= ASK_LIFE)
+            .filter(|(_, (_, since))| now.saturating_duration_since(*since) >= REQUEST_TTL)
             .map(|(id, _)| *id)
             .collect();
-        for id in &old {
+        for id in &expired {
             self.waiting.remove(id);
         }
-        old.into_iter().map(LoadDecision::Deferred).collect()
+        expired.into_iter().map(LoadDecision::Deferred).collect()
     }
 }
