--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -6,7 +6,7 @@
 /// Time after which a request without a grant is answered, so that its score is renewed.
 const REQUEST_TTL: Duration = Duration::from_millis(500);
 
-/// Identifies a request at the scheduler.
+/// Identifies a load request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LoadRequestId(pub u64);
 
@@ -20,7 +20,7 @@
     pub score: f64,
 }
 
-/// The scheduler's answer to a request.
+/// The answer to a load request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadDecision {
     /// The load may start; the permit is released under the same id.
