--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -11,7 +11,7 @@
         connection::targets::{BeliefBounds, BoardSettings, FleetView, TargetBoard, TargetView},
         formats::{TargetRecord, TargetState},
         process::{
-            holding::{Holding, HoldingTimings, HostRow},
+            holding::{EngineAssignment, HostRow, LeaseTimings},
             ownership::assign,
         },
         request::{
@@ -229,8 +229,8 @@
         process: 1,
     };
     let lease = Duration::from_secs(12);
-    let timings = HoldingTimings::new(lease, lease / 4, lease / 4);
-    let mut holding = Holding::new(row, timings, now);
+    let timings = LeaseTimings::new(lease, lease / 4, lease / 4);
+    let mut holding = EngineAssignment::new(row, timings, now);
     holding.on_table(Some(&[]), 0, now);
     holding.on_renewed(now, Some(1), now);
     holding.on_table(Some(&[]), 1, now);
--- a/src/process/holding/holding.rs
+++ b/src/process/holding/holding.rs
@@ -25,7 +25,7 @@
 
 /// Timings of leases and takeovers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HoldingTimings {
+pub struct LeaseTimings {
     /// Validity of a lease, from when its renewal was sent.
     pub lease: Duration,
     pub renew: Duration,
@@ -41,7 +41,7 @@
     pub pending: Duration,
 }
 
-impl HoldingTimings {
+impl LeaseTimings {
     /// Creates the timings for a platform that requires `gap` between the orders of two holders.
     pub fn new(
         lease: Duration,
@@ -83,7 +83,7 @@
 
 /// A store operation that is required.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HoldingAction {
+pub enum AssignmentAction {
     /// Commits a renewal of this host's lease.
     Renew { transaction: Transaction },
     /// Reads the complete table.
@@ -114,9 +114,9 @@
 /// A lease is valid from when its renewal was sent, on this host's monotonic clock. A lost host's engine is taken in
 /// a transaction that expects the lost host's lease row to be unchanged for a lease and a gap. If it succeeds, the
 /// lost host has not renewed since and its last order is old enough.
-pub struct Holding {
+pub struct EngineAssignment {
     me: HostRow,
-    timings: HoldingTimings,
+    timings: LeaseTimings,
     lease: SessionLease,
     /// Version of this host's row, once known; 0 if there is none.
     row_version: Option<u64>,
@@ -143,10 +143,10 @@
     rng: StdRng,
 }
 
-impl Holding {
+impl EngineAssignment {
     pub fn new(
         me: HostRow,
-        timings: HoldingTimings,
+        timings: LeaseTimings,
         now: Instant,
     ) -> Self {
         Self {
@@ -219,7 +219,7 @@
         open: impl FnOnce() -> Arc<BTreeMap<String, String>>,
         lease_of: impl Fn(SocketAddr) -> Option<KnownLease>,
         now: Instant,
-    ) -> Vec<HoldingAction> {
+    ) -> Vec<AssignmentAction> {
         let mut actions = Vec::new();
         self.held.retain(|target, _| engines.contains_key(target));
         self.vacant.retain(|target, _| engines.contains_key(target));
@@ -439,7 +439,7 @@
         &mut self,
         wanted: bool,
         now: Instant,
-    ) -> Option<HoldingAction> {
+    ) -> Option<AssignmentAction> {
         if !wanted || self.renewing || now < self.next_renewal {
             return None;
         }
@@ -449,7 +449,7 @@
         self.renewing = true;
         let row = RowKey::new(HOLDING_TABLE, &host_key(self.me.peer));
         let value = serde_json::to_vec(&self.me).expect("host row serializes");
-        Some(HoldingAction::Renew {
+        Some(AssignmentAction::Renew {
             transaction: Transaction {
                 expected: vec![Expectation {
                     row: row.clone(),
@@ -466,12 +466,12 @@
     fn read(
         &mut self,
         now: Instant,
-    ) -> Option<HoldingAction> {
+    ) -> Option<AssignmentAction> {
         if self.reading || now < self.next_read {
             return None;
         }
         self.reading = true;
-        Some(HoldingAction::ReadTable)
+        Some(AssignmentAction::ReadTable)
     }
 
     /// Returns a random backoff before a call is retried.
--- a/src/process/holding/mod.rs
+++ b/src/process/holding/mod.rs
@@ -7,6 +7,6 @@
 
 pub use {
     holder_rows::{HOLDING_TABLE, HolderRow, HostRow, engine_key, host_key},
-    holding::{HeldEngine, Holding, HoldingAction, HoldingTimings, KnownLease},
+    holding::{AssignmentAction, EngineAssignment, HeldEngine, KnownLease, LeaseTimings},
     take_batch::TakenEngine,
 };
--- a/src/process/holding/take_batch.rs
+++ b/src/process/holding/take_batch.rs
@@ -1,5 +1,5 @@
 use {
-    super::{HOLDING_TABLE, HolderRow, HoldingAction, engine_key, host_key},
+    super::{AssignmentAction, HOLDING_TABLE, HolderRow, engine_key, host_key},
     crate::formats::{Expectation, RowKey, RowWrite, Transaction},
     std::{collections::BTreeSet, net::SocketAddr},
 };
@@ -41,7 +41,7 @@
 pub(super) struct TakeBatches {
     me: SocketAddr,
     most_engines: usize,
-    closed: Vec<HoldingAction>,
+    closed: Vec<AssignmentAction>,
     engines: Vec<TakenEngine>,
     lapsed: BTreeSet<LapsedLease>,
     transaction: Transaction,
@@ -101,7 +101,7 @@
     }
 
     /// Returns all transactions, including the last one that is not full.
-    pub fn finish(mut self) -> Vec<HoldingAction> {
+    pub fn finish(mut self) -> Vec<AssignmentAction> {
         self.close();
         self.closed
     }
@@ -129,7 +129,7 @@
             return;
         }
         self.lapsed.clear();
-        self.closed.push(HoldingAction::Take {
+        self.closed.push(AssignmentAction::Take {
             engines: std::mem::take(&mut self.engines),
             transaction: std::mem::take(&mut self.transaction),
         });
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -10,7 +10,7 @@
         note,
         process::{
             engines::EngineAllocator,
-            holding::{HolderRow, HoldingAction, HostRow, KnownLease, TakenEngine},
+            holding::{AssignmentAction, HolderRow, HostRow, KnownLease, TakenEngine},
         },
         request::quotas::slot_name,
         timeline::Event,
@@ -203,9 +203,9 @@
         wanted
             .into_iter()
             .map(|action| match action {
-                HoldingAction::Renew { transaction } => ControlAction::Renew { transaction },
-                HoldingAction::ReadTable => ControlAction::ReadHolders { term },
-                HoldingAction::Take {
+                AssignmentAction::Renew { transaction } => ControlAction::Renew { transaction },
+                AssignmentAction::ReadTable => ControlAction::ReadHolders { term },
+                AssignmentAction::Take {
                     engines,
                     transaction,
                 } => ControlAction::Take {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -17,7 +17,7 @@
         note,
         process::{
             engines::{EngineAllocator, PublishedLoads, SharedAllocatorState, UnansweredOrders},
-            holding::{Holding, HoldingTimings, HostRow},
+            holding::{EngineAssignment, HostRow, LeaseTimings},
             hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
             ownership::SessionLease,
             settings::NodeSettings,
@@ -85,7 +85,7 @@
     pub(super) clocks: PeerClocks,
     pub(super) declared: KeptTable,
     pub(super) listed: KeptTable,
-    pub(super) holding: Holding,
+    pub(super) holding: EngineAssignment,
     pub(super) desks: BTreeMap<String, EngineAllocator>,
     /// Orders of desks that were closed a moment ago, by engine: they may still reach it.
     pub(super) late_orders: HashMap<String, UnansweredOrders>,
@@ -163,7 +163,7 @@
         let mut hosts = HostTable::new(identity, HostTimings::default(), now);
         hosts.expect(settings.seed_peers());
         let lease = &settings.lease;
-        let timings = HoldingTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
+        let timings = LeaseTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
         let table = |bound| KeptTable {
             copy: TableCopy::default(),
             schedule: ReadSchedule::new(ReadTimings::within(bound), now),
@@ -174,7 +174,7 @@
             listed: table(settings.bounds.drain),
             hosts,
             clocks: PeerClocks::default(),
-            holding: Holding::new(row, timings, now),
+            holding: EngineAssignment::new(row, timings, now),
             settings,
             formats,
             desks: BTreeMap::new(),
--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -6,8 +6,8 @@
         clock::Instant,
         formats::{Commit, Row, RowKey, Transaction},
         process::holding::{
-            HOLDING_TABLE, HeldEngine, HolderRow, Holding, HoldingAction, HoldingTimings, HostRow,
-            KnownLease, TakenEngine, engine_key, host_key,
+            AssignmentAction, EngineAssignment, HOLDING_TABLE, HeldEngine, HolderRow, HostRow,
+            KnownLease, LeaseTimings, TakenEngine, engine_key, host_key,
         },
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -100,7 +100,7 @@
     Call {
         host: usize,
         life: u64,
-        action: HoldingAction,
+        action: AssignmentAction,
         sent: Instant,
         term: u64,
         reply: bool,
@@ -108,7 +108,7 @@
     Reply {
         host: usize,
         life: u64,
-        action: HoldingAction,
+        action: AssignmentAction,
         sent: Instant,
         term: u64,
         outcome: Option<Result<Commit, Vec<Row>>>,
@@ -116,7 +116,7 @@
 }
 
 struct Host {
-    holding: Option<Holding>,
+    holding: Option<EngineAssignment>,
     life: u64,
     paused_until: Instant,
     cut_until: Instant,
@@ -197,8 +197,8 @@
             front: address(host),
             process: self.rng.random(),
         };
-        let timings = HoldingTimings::new(ms(9_000), ms(2_500), GAP);
-        self.hosts[host].holding = Some(Holding::new(row, timings, self.now));
+        let timings = LeaseTimings::new(ms(9_000), ms(2_500), GAP);
+        self.hosts[host].holding = Some(EngineAssignment::new(row, timings, self.now));
         self.hosts[host].life += 100;
     }
 
@@ -311,10 +311,10 @@
     fn send(
         &mut self,
         host: usize,
-        action: HoldingAction,
+        action: AssignmentAction,
         term: u64,
     ) {
-        self.takes += usize::from(matches!(action, HoldingAction::Take { .. }));
+        self.takes += usize::from(matches!(action, AssignmentAction::Take { .. }));
         let life = self.hosts[host].life;
         let (now, sent) = (self.now, self.now);
         if self.hosts[host].cut_until > now {
@@ -397,9 +397,11 @@
                 reply,
             } => {
                 let outcome = match &action {
-                    HoldingAction::Renew { transaction }
-                    | HoldingAction::Take { transaction, .. } => Ok(self.store.commit(transaction)),
-                    HoldingAction::ReadTable => Err(self.store.all()),
+                    AssignmentAction::Renew { transaction }
+                    | AssignmentAction::Take { transaction, .. } => {
+                        Ok(self.store.commit(transaction))
+                    }
+                    AssignmentAction::ReadTable => Err(self.store.all()),
                 };
                 if reply {
                     let reply = Due::Reply {
@@ -434,7 +436,7 @@
     fn reply(
         &mut self,
         host: usize,
-        action: HoldingAction,
+        action: AssignmentAction,
         sent: Instant,
         term: u64,
         outcome: Option<Result<Commit, Vec<Row>>>,
@@ -442,27 +444,27 @@
         let now = self.now;
         let holding = self.hosts[host].holding.as_mut().unwrap();
         match (action, outcome) {
-            (HoldingAction::Renew { .. }, Some(Ok(Commit::Done { version }))) => {
+            (AssignmentAction::Renew { .. }, Some(Ok(Commit::Done { version }))) => {
                 holding.on_renewed(sent, Some(version), now);
             }
-            (HoldingAction::Renew { .. }, Some(Ok(Commit::Conflict { rows }))) => {
+            (AssignmentAction::Renew { .. }, Some(Ok(Commit::Conflict { rows }))) => {
                 holding.on_renewal_conflict(&rows, now);
             }
-            (HoldingAction::Renew { .. }, _) => holding.on_renewed(sent, None, now),
-            (HoldingAction::ReadTable, Some(Err(rows))) => {
+            (AssignmentAction::Renew { .. }, _) => holding.on_renewed(sent, None, now),
+            (AssignmentAction::ReadTable, Some(Err(rows))) => {
                 holding.on_table(Some(&rows), term, now);
             }
-            (HoldingAction::ReadTable, _) => holding.on_table(None, term, now),
-            (HoldingAction::Take { engines, .. }, Some(Ok(Commit::Done { version }))) => {
+            (AssignmentAction::ReadTable, _) => holding.on_table(None, term, now),
+            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::Done { version }))) => {
                 holding.on_taken(&engines, version, term);
             }
-            (HoldingAction::Take { engines, .. }, Some(Ok(Commit::Conflict { rows }))) => {
+            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::Conflict { rows }))) => {
                 holding.on_take_conflict(&engines, &rows, now);
             }
-            (HoldingAction::Take { engines, .. }, Some(Ok(Commit::TurnedAway))) => {
+            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::TurnedAway))) => {
                 holding.on_take_refused(&engines, now);
             }
-            (HoldingAction::Take { .. }, _) => holding.on_take_lost(now),
+            (AssignmentAction::Take { .. }, _) => holding.on_take_lost(now),
         }
     }
 
@@ -642,7 +644,7 @@
 
 /// A single host with a lease and many vacant engines.
 struct Alone {
-    holding: Holding,
+    holding: EngineAssignment,
     engines: BTreeMap<String, String>,
     now: Instant,
 }
@@ -660,10 +662,10 @@
             process,
         };
         let now = Instant::now();
-        let timings = HoldingTimings::new(ms(9_000), ms(2_500), GAP);
+        let timings = LeaseTimings::new(ms(9_000), ms(2_500), GAP);
         let engines = (0..engines).map(|at| (format!("engine-{at}"), format!("key-{at}")));
         let mut alone = Self {
-            holding: Holding::new(row, timings, now),
+            holding: EngineAssignment::new(row, timings, now),
             engines: engines.collect(),
             now,
         };
@@ -673,7 +675,7 @@
         alone
     }
 
-    fn decide(&mut self) -> Vec<HoldingAction> {
+    fn decide(&mut self) -> Vec<AssignmentAction> {
         let takers = [address(0)];
         let (engines, now) = (&self.engines, self.now);
         self.holding.decide(
@@ -689,7 +691,7 @@
     /// Returns the batches that are taken now.
     fn takes(&mut self) -> Vec<Vec<TakenEngine>> {
         let batches = self.decide().into_iter().map(|action| match action {
-            HoldingAction::Take { engines, .. } => engines,
+            AssignmentAction::Take { engines, .. } => engines,
             action => panic!("{action:?}"),
         });
         batches.collect()
@@ -703,7 +705,7 @@
         let begin = self.now;
         while self.now < begin + time {
             self.now += STEP;
-            if self.decide().contains(&HoldingAction::ReadTable) {
+            if self.decide().contains(&AssignmentAction::ReadTable) {
                 return Some(self.now.saturating_duration_since(begin));
             }
         }
@@ -802,7 +804,7 @@
         alone.now += ms(1_000);
         alone.holding.on_renewed(alone.now, Some(9), alone.now);
         for action in alone.decide() {
-            if let HoldingAction::Take { transaction, .. } = action {
+            if let AssignmentAction::Take { transaction, .. } = action {
                 expected.get_or_insert(transaction.expected[0].version);
             }
         }
@@ -823,7 +825,10 @@
     let actions = alone.decide();
     assert!(matches!(
         &actions[..],
-        [HoldingAction::Renew { .. }, HoldingAction::Take { .. }]
+        [
+            AssignmentAction::Renew { .. },
+            AssignmentAction::Take { .. }
+        ]
     ));
 }
 
@@ -865,7 +870,7 @@
     let mut holding = world.hosts[0].holding.take().unwrap();
     let engines = world.engines.clone();
     let takers = [address(0)];
-    let decide = |holding: &mut Holding, now: Instant| {
+    let decide = |holding: &mut EngineAssignment, now: Instant| {
         holding.decide(
             &engines,
             &takers,
@@ -880,9 +885,9 @@
         for action in decide(&mut holding, now) {
             let term = holding.lease().term();
             match action {
-                HoldingAction::ReadTable => holding.on_table(Some(&[]), term, now),
-                HoldingAction::Renew { .. } => holding.on_renewed(now, Some(1), now),
-                HoldingAction::Take { engines, .. } => {
+                AssignmentAction::ReadTable => holding.on_table(Some(&[]), term, now),
+                AssignmentAction::Renew { .. } => holding.on_renewed(now, Some(1), now),
+                AssignmentAction::Take { engines, .. } => {
                     let is_first = |taken: &TakenEngine| taken.target == "engine-0";
                     let first: Vec<TakenEngine> = engines.into_iter().filter(is_first).collect();
                     holding.on_taken(&first, 2, term);
