--- a/src/process/holding/holding.rs
+++ b/src/process/holding/holding.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         HOLDING_TABLE, HolderRow, HostRow, TakenEngine, host_key,
-        take_batch::{LapsedLease, MOST_ENGINES, TakeBatches, VacantEngine},
+        take_batch::{LapsedLease, MAX_BATCH_ENGINES, TakeoverBatches, VacantEngine},
         turns::Turns,
     },
     crate::{
@@ -115,7 +115,7 @@
 /// a transaction that expects the lost host's lease row to be unchanged for a lease and a gap. If it succeeds, the
 /// lost host has not renewed since and its last order is old enough.
 pub struct EngineAssignment {
-    me: HostRow,
+    local_host: HostRow,
     timings: LeaseTimings,
     lease: SessionLease,
     /// Version of this host's row, once known; 0 if there is none.
@@ -145,13 +145,13 @@
 
 impl EngineAssignment {
     pub fn new(
-        me: HostRow,
+        local_host: HostRow,
         timings: LeaseTimings,
         now: Instant,
     ) -> Self {
         Self {
-            rng: StdRng::seed_from_u64(me.process),
-            me,
+            rng: StdRng::seed_from_u64(local_host.process),
+            local_host,
             lease: SessionLease::new(timings.lease),
             timings,
             row_version: None,
@@ -167,7 +167,7 @@
             pending: BTreeMap::new(),
             vacant: BTreeMap::new(),
             reread: None,
-            batch_limit: MOST_ENGINES,
+            batch_limit: MAX_BATCH_ENGINES,
             conflicting: BTreeSet::new(),
         }
     }
@@ -224,7 +224,7 @@
         self.held.retain(|target, _| engines.contains_key(target));
         self.vacant.retain(|target, _| engines.contains_key(target));
         self.pending.retain(|_, until| now < *until);
-        let wanted = takers.contains(&self.me.peer) || self.is_named(engines);
+        let wanted = takers.contains(&self.local_host.peer) || self.is_named(engines);
         if !wanted && may_take && self.row_version.is_none() {
             // After a restart, a host resumes the engines that it held before takers are agreed on.
             actions.extend(self.read(now));
@@ -247,8 +247,8 @@
         let open = open();
         self.vacant.retain(|target, _| open.contains_key(target));
         self.conflicting.retain(|target| open.contains_key(target));
-        let mut turns = Turns::new(self.me.peer, takers, self.timings.turn);
-        let mut batches = TakeBatches::new(self.me.peer, self.batch_limit);
+        let mut turns = Turns::new(self.local_host.peer, takers, self.timings.turn);
+        let mut batches = TakeoverBatches::new(self.local_host.peer, self.batch_limit);
         let pending_until = now + self.timings.pending;
         for (target, key) in open.iter() {
             if self.pending.contains_key(target) {
@@ -294,7 +294,7 @@
     ) {
         self.renewing = false;
         self.next_renewal = now;
-        let key = host_key(self.me.peer);
+        let key = host_key(self.local_host.peer);
         let found = rows.iter().find(|row| *row.key == key);
         self.row_version = Some(found.map_or(0, |row| row.version));
     }
@@ -315,7 +315,7 @@
             }
             return;
         };
-        let key = host_key(self.me.peer);
+        let key = host_key(self.local_host.peer);
         if self.row_version.is_none() {
             let mine = rows.iter().find(|row| *row.key == key);
             self.row_version = Some(mine.map_or(0, |row| row.version));
@@ -336,11 +336,11 @@
         version: u64,
         term: u64,
     ) {
-        self.batch_limit = MOST_ENGINES;
+        self.batch_limit = MAX_BATCH_ENGINES;
         for TakenEngine { target, fence } in engines {
             self.pending.remove(target);
             let row = HolderRow {
-                holder: self.me.peer,
+                holder: self.local_host.peer,
                 fence: *fence,
             };
             let seen = SeenHolder { version, row };
@@ -373,14 +373,14 @@
             [one] if !learnt => {
                 // It stays pending and is tried alone from now on, so that it can't block others.
                 self.conflicting.insert(one.target.clone());
-                self.batch_limit = MOST_ENGINES;
+                self.batch_limit = MAX_BATCH_ENGINES;
             }
             _ => {
                 for TakenEngine { target, .. } in engines {
                     self.pending.remove(target);
                 }
                 self.batch_limit = match learnt {
-                    true => MOST_ENGINES,
+                    true => MAX_BATCH_ENGINES,
                     false => engines.len().div_ceil(2),
                 };
             }
@@ -429,9 +429,9 @@
         &self,
         engines: &BTreeMap<String, String>,
     ) -> bool {
-        self.holders
-            .iter()
-            .any(|(target, seen)| seen.row.holder == self.me.peer && engines.contains_key(target))
+        self.holders.iter().any(|(target, seen)| {
+            seen.row.holder == self.local_host.peer && engines.contains_key(target)
+        })
     }
 
     /// Returns a renewal of the lease if it is due and this host needs one.
@@ -447,8 +447,8 @@
             return self.read(now);
         };
         self.renewing = true;
-        let row = RowKey::new(HOLDING_TABLE, &host_key(self.me.peer));
-        let value = serde_json::to_vec(&self.me).expect("host row serializes");
+        let row = RowKey::new(HOLDING_TABLE, &host_key(self.local_host.peer));
+        let value = serde_json::to_vec(&self.local_host).expect("host row serializes");
         Some(AssignmentAction::Renew {
             transaction: Transaction {
                 expected: vec![Expectation {
@@ -542,7 +542,7 @@
         let mine = self
             .holders
             .iter()
-            .filter(|(_, seen)| seen.row.holder == self.me.peer);
+            .filter(|(_, seen)| seen.row.holder == self.local_host.peer);
         self.held = mine
             .map(|(target, seen)| {
                 let fence = seen.row.fence;
@@ -562,7 +562,7 @@
     ) -> Option<VacantEngine> {
         let seen = self.holders.get(target);
         let holder = seen.map(|seen| seen.row.holder);
-        if holder == Some(self.me.peer) {
+        if holder == Some(self.local_host.peer) {
             if !self.held.contains_key(target) {
                 self.confirm_held();
             }
--- a/src/process/holding/take_batch.rs
+++ b/src/process/holding/take_batch.rs
@@ -5,13 +5,13 @@
 };
 
 /// Limit of the store for the entries of one transaction.
-const MOST_ENTRIES: usize = 100;
+const MAX_TRANSACTION_ENTRIES: usize = 100;
 
 /// One expectation and one write.
 const ENTRIES_PER_ENGINE: usize = 2;
 
 /// Engines that fit into one transaction if they have no former holder.
-pub(super) const MOST_ENGINES: usize = MOST_ENTRIES / ENTRIES_PER_ENGINE;
+pub(super) const MAX_BATCH_ENGINES: usize = MAX_TRANSACTION_ENTRIES / ENTRIES_PER_ENGINE;
 
 /// An engine that is taken, and the fence for this host's orders to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,25 +38,25 @@
 }
 
 /// Collects the engines that a host takes at one moment into as few transactions as possible.
-pub(super) struct TakeBatches {
-    me: SocketAddr,
-    most_engines: usize,
-    closed: Vec<AssignmentAction>,
+pub(super) struct TakeoverBatches {
+    local_host: SocketAddr,
+    max_engines: usize,
+    finished: Vec<AssignmentAction>,
     engines: Vec<TakenEngine>,
     lapsed: BTreeSet<LapsedLease>,
     transaction: Transaction,
 }
 
-impl TakeBatches {
-    /// Creates batches of at most `most_engines` engines.
+impl TakeoverBatches {
+    /// Creates batches of at most `max_engines` engines.
     pub fn new(
-        me: SocketAddr,
-        most_engines: usize,
+        local_host: SocketAddr,
+        max_engines: usize,
     ) -> Self {
         Self {
-            me,
-            most_engines,
-            closed: Vec::new(),
+            local_host,
+            max_engines,
+            finished: Vec::new(),
             engines: Vec::new(),
             lapsed: BTreeSet::new(),
             transaction: Transaction::default(),
@@ -79,7 +79,7 @@
             self.expect(row, lapsed.version);
         }
         let value = HolderRow {
-            holder: self.me,
+            holder: self.local_host,
             fence: vacant.engine.fence,
         };
         let value = serde_json::to_vec(&value).expect("holder row serializes");
@@ -103,7 +103,7 @@
     /// Returns all transactions, including the last one that is not full.
     pub fn finish(mut self) -> Vec<AssignmentAction> {
         self.close();
-        self.closed
+        self.finished
     }
 
     fn has_room_for(
@@ -113,7 +113,7 @@
         let is_new = |lapsed: &LapsedLease| !self.lapsed.contains(lapsed);
         let needed = ENTRIES_PER_ENGINE + usize::from(vacant.lapsed.as_ref().is_some_and(is_new));
         let used = self.transaction.expected.len() + self.transaction.writes.len();
-        used + needed <= MOST_ENTRIES && self.engines.len() < self.most_engines
+        used + needed <= MAX_TRANSACTION_ENTRIES && self.engines.len() < self.max_engines
     }
 
     fn expect(
@@ -129,7 +129,7 @@
             return;
         }
         self.lapsed.clear();
-        self.closed.push(AssignmentAction::Take {
+        self.finished.push(AssignmentAction::Take {
             engines: std::mem::take(&mut self.engines),
             transaction: std::mem::take(&mut self.transaction),
         });
