--- a/src/process/holding/turns.rs
+++ b/src/process/holding/takeover_turns.rs
@@ -6,32 +6,32 @@
 /// Order in which hosts may take vacant engines.
 ///
 /// Caches the hosts' names, which are ranked for each vacant engine.
-pub(super) struct Turns<'a> {
+pub(super) struct TakeoverTurns<'a> {
     me: Option<String>,
     takers: &'a [SocketAddr],
-    words: Vec<String>,
-    turn: Duration,
+    names: Vec<String>,
+    interval: Duration,
 }
 
-impl<'a> Turns<'a> {
-    /// Gives each host in the order a time of `turn` before the next one may take an engine.
+impl<'a> TakeoverTurns<'a> {
+    /// Gives each host in the order a time of `interval` before the next one may take an engine.
     pub fn new(
         me: SocketAddr,
         takers: &'a [SocketAddr],
-        turn: Duration,
+        interval: Duration,
     ) -> Self {
         Self {
             me: takers.contains(&me).then(|| me.to_string()),
             takers,
-            words: Vec::new(),
-            turn,
+            names: Vec::new(),
+            interval,
         }
     }
 
     /// Returns true if this host may take the engine with this key, which has been vacant for `vacant`.
     ///
     /// Stops counting preferred hosts once more are found than have had their turns.
-    pub fn has_come(
+    pub fn may_take(
         &mut self,
         key: &str,
         vacant: Duration,
@@ -39,13 +39,13 @@
         let Some(me) = &self.me else {
             return false;
         };
-        if self.words.is_empty() {
-            self.words = self.takers.iter().map(SocketAddr::to_string).collect();
+        if self.names.is_empty() {
+            self.names = self.takers.iter().map(SocketAddr::to_string).collect();
         }
-        let had_turns = vacant.as_nanos() / self.turn.as_nanos().max(1);
-        let had_turns = usize::try_from(had_turns).unwrap_or(usize::MAX);
-        let mine = rank(key, me);
-        let before = self.words.iter().filter(|host| rank(key, host) > mine);
-        before.take(had_turns.saturating_add(1)).count() <= had_turns
+        let elapsed_turns = vacant.as_nanos() / self.interval.as_nanos().max(1);
+        let elapsed_turns = usize::try_from(elapsed_turns).unwrap_or(usize::MAX);
+        let local_rank = rank(key, me);
+        let preferred = self.names.iter().filter(|host| rank(key, host) > local_rank);
+        preferred.take(elapsed_turns.saturating_add(1)).count() <= elapsed_turns
     }
 }
