--- a/src/process/holding/holding.rs
+++ b/src/process/holding/holding.rs
@@ -97,14 +97,14 @@
 
 /// A holder row as last read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct SeenHolder {
+struct StoredHolder {
     version: u64,
     row: HolderRow,
 }
 
 /// Another host's lease as last read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct SeenLease {
+struct StoredLease {
     version: u64,
     known_since: Instant,
 }
@@ -127,8 +127,8 @@
     next_read: Instant,
     /// Term of the lease in which the table was last read.
     read_term: u64,
-    holders: BTreeMap<String, SeenHolder>,
-    leases: BTreeMap<SocketAddr, SeenLease>,
+    holders: BTreeMap<String, StoredHolder>,
+    leases: BTreeMap<SocketAddr, StoredLease>,
     held: BTreeMap<String, HeldEngine>,
     /// Engines that are not tried before the given time.
     pending: BTreeMap<String, Instant>,
@@ -343,7 +343,7 @@
                 holder: self.local_host.peer,
                 fence: *fence,
             };
-            let seen = SeenHolder { version, row };
+            let seen = StoredHolder { version, row };
             self.holders.insert(target.clone(), seen);
             let held = HeldEngine {
                 fence: *fence,
@@ -494,7 +494,7 @@
             if known == Some(row.version) {
                 return false;
             }
-            let lease = SeenLease {
+            let lease = StoredLease {
                 version: row.version,
                 known_since: now,
             };
@@ -511,7 +511,7 @@
         let Ok(holder) = serde_json::from_slice::<HolderRow>(value) else {
             return self.on_spoilt_row(target, row.version);
         };
-        let seen = SeenHolder {
+        let seen = StoredHolder {
             version: row.version,
             row: holder,
         };
