--- a/src/process/holding/holding.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         HOLDING_TABLE, HolderRow, HostRow, TakenEngine, host_key,
-        take_batch::{LapsedLease, MAX_BATCH_ENGINES, TakeoverBatches, VacantEngine},
+        takeover_batches::{LapsedLease, MAX_BATCH_ENGINES, TakeoverBatches, VacantEngine},
         takeover_turns::TakeoverTurns,
     },
     crate::{
@@ -36,7 +36,7 @@
     /// Maximum time between the lease check of an order and its arrival.
     pub slack: Duration,
     /// Time that each preferred host has to take a vacant engine before the next one may.
-    pub interval: Duration,
+    pub takeover_interval: Duration,
     /// Time after which a transaction without a reply is tried again.
     pub pending: Duration,
 }
@@ -54,7 +54,7 @@
             retry: Duration::from_millis(600),
             gap,
             slack: Duration::from_millis(400),
-            interval: Duration::from_millis(1500),
+            takeover_interval: Duration::from_millis(1500),
             pending: Duration::from_secs(2),
         }
     }
@@ -247,7 +247,8 @@
         let open = open();
         self.vacant.retain(|target, _| open.contains_key(target));
         self.conflicting.retain(|target| open.contains_key(target));
-        let mut turns = TakeoverTurns::new(self.local_host.peer, takers, self.timings.interval);
+        let mut turns =
+            TakeoverTurns::new(self.local_host.peer, takers, self.timings.takeover_interval);
         let mut batches = TakeoverBatches::new(self.local_host.peer, self.batch_limit);
         let pending_until = now + self.timings.pending;
         for (target, key) in open.iter() {
@@ -317,8 +318,8 @@
         };
         let key = host_key(self.local_host.peer);
         if self.row_version.is_none() {
-            let local_rank = rows.iter().find(|row| *row.key == key);
-            self.row_version = Some(local_rank.map_or(0, |row| row.version));
+            let local_row = rows.iter().find(|row| *row.key == key);
+            self.row_version = Some(local_row.map_or(0, |row| row.version));
         }
         for row in rows {
             self.see(row, now);
@@ -539,11 +540,11 @@
     /// Sets the held engines to those that the rows assign to this host.
     fn confirm_held(&mut self) {
         let term = self.lease.term();
-        let local_rank = self
+        let assigned = self
             .holders
             .iter()
             .filter(|(_, seen)| seen.row.holder == self.local_host.peer);
-        self.held = local_rank
+        self.held = assigned
             .map(|(target, seen)| {
                 let fence = seen.row.fence;
                 (target.clone(), HeldEngine { fence, term })
--- a/src/process/holding/mod.rs
+++ b/src/process/holding/mod.rs
@@ -1,12 +1,12 @@
 //! Assignment of engines to hosts, by leases and holder rows in the store.
 
+mod engine_assignment;
 mod holder_rows;
-mod holding;
-mod take_batch;
-mod turns;
+mod takeover_batches;
+mod takeover_turns;
 
 pub use {
+    engine_assignment::{AssignmentAction, EngineAssignment, HeldEngine, KnownLease, LeaseTimings},
     holder_rows::{HOLDING_TABLE, HolderRow, HostRow, engine_key, host_key},
-    holding::{AssignmentAction, EngineAssignment, HeldEngine, KnownLease, LeaseTimings},
-    take_batch::TakenEngine,
+    takeover_batches::TakenEngine,
 };
--- a/src/process/holding/takeover_turns.rs
+++ b/src/process/holding/takeover_turns.rs
@@ -45,7 +45,10 @@
         let elapsed_turns = vacant.as_nanos() / self.interval.as_nanos().max(1);
         let elapsed_turns = usize::try_from(elapsed_turns).unwrap_or(usize::MAX);
         let local_rank = rank(key, me);
-        let preferred = self.names.iter().filter(|host| rank(key, host) > local_rank);
+        let preferred = self
+            .names
+            .iter()
+            .filter(|host| rank(key, host) > local_rank);
         preferred.take(elapsed_turns.saturating_add(1)).count() <= elapsed_turns
     }
 }
