--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -27,41 +27,41 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTimings {
     /// Validity of a lease, from when its renewal was sent.
-    pub lease: Duration,
-    pub renew: Duration,
+    pub ttl: Duration,
+    pub renewal_interval: Duration,
     /// Mean backoff after a failed call, with jitter of half of it.
-    pub retry: Duration,
+    pub retry_backoff: Duration,
     /// Minimum time between the orders of two holders of an engine.
-    pub gap: Duration,
+    pub min_order_gap: Duration,
     /// Maximum time between the lease check of an order and its arrival.
-    pub slack: Duration,
+    pub max_order_delay: Duration,
     /// Time that each preferred host has to take a vacant engine before the next one may.
     pub takeover_interval: Duration,
     /// Time after which a transaction without a reply is tried again.
-    pub pending: Duration,
+    pub outcome_timeout: Duration,
 }
 
 impl LeaseTimings {
-    /// Creates the timings for a platform that requires `gap` between the orders of two holders.
+    /// Creates the timings for a platform that requires `min_order_gap` between the orders of two holders.
     pub fn new(
-        lease: Duration,
-        renew: Duration,
-        gap: Duration,
+        ttl: Duration,
+        renewal_interval: Duration,
+        min_order_gap: Duration,
     ) -> Self {
         Self {
-            lease,
-            renew,
-            retry: Duration::from_millis(600),
-            gap,
-            slack: Duration::from_millis(400),
+            ttl,
+            renewal_interval,
+            retry_backoff: Duration::from_millis(600),
+            min_order_gap,
+            max_order_delay: Duration::from_millis(400),
             takeover_interval: Duration::from_millis(1500),
-            pending: Duration::from_secs(2),
+            outcome_timeout: Duration::from_secs(2),
         }
     }
 
-    /// Returns the age of a lease version at which its holder can't have sent an order for `gap`.
-    fn lapse(&self) -> Duration {
-        self.lease + self.gap + self.slack
+    /// Returns the age of a lease version at which its holder can't have sent an order for `min_order_gap`.
+    fn takeover_delay(&self) -> Duration {
+        self.ttl + self.min_order_gap + self.max_order_delay
     }
 }
 
@@ -152,7 +152,7 @@
         Self {
             rng: StdRng::seed_from_u64(local_host.process),
             local_host,
-            lease: SessionLease::new(timings.lease),
+            lease: SessionLease::new(timings.ttl),
             timings,
             row_version: None,
             renewed_version: 0,
@@ -195,7 +195,7 @@
     }
 
     /// Returns the engine if this host may send orders to it now.
-    pub fn may_order(
+    pub fn held_engine(
         &self,
         target: &str,
         now: Instant,
@@ -250,7 +250,7 @@
         let mut turns =
             TakeoverTurns::new(self.local_host.peer, takers, self.timings.takeover_interval);
         let mut batches = TakeoverBatches::new(self.local_host.peer, self.batch_limit);
-        let pending_until = now + self.timings.pending;
+        let pending_until = now + self.timings.outcome_timeout;
         for (target, key) in open.iter() {
             if self.pending.contains_key(target) {
                 continue;
@@ -280,7 +280,7 @@
                 self.row_version = Some(version);
                 self.renewed_version = version;
                 self.lease.renewed(sent, now);
-                self.next_renewal = sent + self.timings.renew;
+                self.next_renewal = sent + self.timings.renewal_interval;
             }
             // If the row was written all the same, the next attempt fails with a conflict that names its version.
             None => self.next_renewal = now + self.retry_pause(),
@@ -477,8 +477,8 @@
 
     /// Returns a random backoff before a call is retried.
     fn retry_pause(&mut self) -> Duration {
-        let retry = self.timings.retry;
-        self.rng.random_range(retry / 2..=retry + retry / 2)
+        let backoff = self.timings.retry_backoff;
+        self.rng.random_range(backoff / 2..=backoff + backoff / 2)
     }
 
     /// Applies a row. Returns true if it was not known.
@@ -623,7 +623,7 @@
             .filter(|(version, _)| *version == newest)
             .map(|(_, since)| since)
             .min()?;
-        let lapsed = now.saturating_duration_since(since) >= self.timings.lapse();
+        let lapsed = now.saturating_duration_since(since) >= self.timings.takeover_delay();
         lapsed.then_some(newest)
     }
 }
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -85,7 +85,7 @@
         now: Instant,
     ) -> PlaceAnswer {
         let slot = slot_name(slot_for(&wanted.service, 0));
-        if self.holding.may_order(&slot, now).is_none() {
+        if self.holding.held_engine(&slot, now).is_none() {
             return PlaceAnswer::Nowhere;
         }
         let given = self.places.entry(wanted.service.clone()).or_default();
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -48,7 +48,7 @@
         now: Instant,
     ) {
         for slot in self.held_slots(now) {
-            let Some(held) = self.holding.may_order(&slot_name(slot), now) else {
+            let Some(held) = self.holding.held_engine(&slot_name(slot), now) else {
                 continue;
             };
             let known = self.ledgers.get(&slot);
@@ -143,7 +143,7 @@
         now: Instant,
     ) -> Option<(Option<BucketTerms>, &mut QuotaLedger)> {
         let slot = slot as usize;
-        let held = self.holding.may_order(&slot_name(slot), now)?;
+        let held = self.holding.held_engine(&slot_name(slot), now)?;
         let limit = self.routing.customers.named(customer)?.limit;
         let terms = limit.map(|limit| self.bucket_terms(&limit));
         let known = self.ledgers.get_mut(&slot)?;
--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -250,7 +250,7 @@
             if self.is_up(other) {
                 let held = engines.keys();
                 claimed.extend(
-                    held.filter(|engine| holding.may_order(engine, now).is_some())
+                    held.filter(|engine| holding.held_engine(engine, now).is_some())
                         .map(String::as_str),
                 );
             }
@@ -271,7 +271,7 @@
         let term = holding.lease().term();
         let ordered: Vec<(String, HeldEngine)> = engines
             .keys()
-            .filter_map(|engine| Some((engine.clone(), holding.may_order(engine, now)?)))
+            .filter_map(|engine| Some((engine.clone(), holding.held_engine(engine, now)?)))
             .collect();
         if self.told.get(&host).map(|(told, _)| *told) != Some(version) {
             self.told.insert(host, (version, now));
@@ -896,7 +896,7 @@
         }
     }
     let held_at = start + Duration::from_secs(4);
-    assert!(holding.may_order("engine-0", held_at).is_some());
+    assert!(holding.held_engine("engine-0", held_at).is_some());
     let back_at = start + Duration::from_secs(30);
     holding.on_renewed(back_at, Some(9), back_at);
     let other = TakenEngine {
@@ -904,5 +904,5 @@
         fence: 1,
     };
     holding.on_take_conflict(&[other], &[], back_at);
-    assert_eq!(holding.may_order("engine-0", back_at + STEP), None);
+    assert_eq!(holding.held_engine("engine-0", back_at + STEP), None);
 }
