--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -121,9 +121,9 @@
     /// Version of this host's row, once known; 0 if there is none.
     row_version: Option<u64>,
     renewed_version: u64,
-    renewing: bool,
+    is_renewing: bool,
     next_renewal: Instant,
-    reading: bool,
+    is_reading: bool,
     next_read: Instant,
     /// Term of the lease in which the table was last read.
     read_term: u64,
@@ -131,13 +131,13 @@
     leases: BTreeMap<SocketAddr, StoredLease>,
     held: BTreeMap<String, HeldEngine>,
     /// Engines that are not tried before the given time.
-    pending: BTreeMap<String, Instant>,
+    blocked_until: BTreeMap<String, Instant>,
     /// Engines without an active holder, and since when.
-    vacant: BTreeMap<String, Instant>,
+    vacant_since: BTreeMap<String, Instant>,
     /// When to read the table again after a lost reply.
-    reread: Option<Instant>,
+    reread_at: Option<Instant>,
     /// Maximum number of engines in one transaction.
-    batch_limit: usize,
+    max_batch_engines: usize,
     /// Engines whose conflict replies did not explain the conflict.
     conflicting: BTreeSet<String>,
     rng: StdRng,
@@ -156,18 +156,18 @@
             timings,
             row_version: None,
             renewed_version: 0,
-            renewing: false,
+            is_renewing: false,
             next_renewal: now,
-            reading: false,
+            is_reading: false,
             next_read: now,
             read_term: 0,
             holders: BTreeMap::new(),
             leases: BTreeMap::new(),
             held: BTreeMap::new(),
-            pending: BTreeMap::new(),
-            vacant: BTreeMap::new(),
-            reread: None,
-            batch_limit: MAX_BATCH_ENGINES,
+            blocked_until: BTreeMap::new(),
+            vacant_since: BTreeMap::new(),
+            reread_at: None,
+            max_batch_engines: MAX_BATCH_ENGINES,
             conflicting: BTreeSet::new(),
         }
     }
@@ -222,8 +222,9 @@
     ) -> Vec<AssignmentAction> {
         let mut actions = Vec::new();
         self.held.retain(|target, _| engines.contains_key(target));
-        self.vacant.retain(|target, _| engines.contains_key(target));
-        self.pending.retain(|_, until| now < *until);
+        self.vacant_since
+            .retain(|target, _| engines.contains_key(target));
+        self.blocked_until.retain(|_, until| now < *until);
         let wanted = takers.contains(&self.local_host.peer) || self.is_named(engines);
         if !wanted && may_take && self.row_version.is_none() {
             // After a restart, a host resumes the engines that it held before takers are agreed on.
@@ -238,28 +239,29 @@
             actions.extend(self.read(now));
             return actions;
         }
-        if self.reread.is_some_and(|at| now >= at)
+        if self.reread_at.is_some_and(|at| now >= at)
             && let Some(read) = self.read(now)
         {
-            self.reread = None;
+            self.reread_at = None;
             actions.push(read);
         }
         let open = open();
-        self.vacant.retain(|target, _| open.contains_key(target));
+        self.vacant_since
+            .retain(|target, _| open.contains_key(target));
         self.conflicting.retain(|target| open.contains_key(target));
         let mut turns =
             TakeoverTurns::new(self.local_host.peer, takers, self.timings.takeover_interval);
-        let mut batches = TakeoverBatches::new(self.local_host.peer, self.batch_limit);
+        let mut batches = TakeoverBatches::new(self.local_host.peer, self.max_batch_engines);
         let pending_until = now + self.timings.outcome_timeout;
         for (target, key) in open.iter() {
-            if self.pending.contains_key(target) {
+            if self.blocked_until.contains_key(target) {
                 continue;
             }
-            if let Some(vacant) = self.look_at(target, key, &mut turns, &lease_of, now) {
-                self.pending.insert(target.clone(), pending_until);
+            if let Some(vacant_since) = self.look_at(target, key, &mut turns, &lease_of, now) {
+                self.blocked_until.insert(target.clone(), pending_until);
                 match self.conflicting.contains(target) {
-                    true => batches.add_alone(vacant),
-                    false => batches.add(vacant),
+                    true => batches.add_alone(vacant_since),
+                    false => batches.add(vacant_since),
                 }
             }
         }
@@ -274,7 +276,7 @@
         version: Option<u64>,
         now: Instant,
     ) {
-        self.renewing = false;
+        self.is_renewing = false;
         match version {
             Some(version) => {
                 self.row_version = Some(version);
@@ -293,7 +295,7 @@
         rows: &[Row],
         now: Instant,
     ) {
-        self.renewing = false;
+        self.is_renewing = false;
         self.next_renewal = now;
         let key = host_key(self.local_host.peer);
         let found = rows.iter().find(|row| *row.key == key);
@@ -307,12 +309,12 @@
         term: u64,
         now: Instant,
     ) {
-        self.reading = false;
+        self.is_reading = false;
         let Some(rows) = rows else {
             self.next_read = now + self.retry_pause();
             if self.row_version.is_some() && self.read_term == term {
                 // The read followed a lost reply.
-                self.reread = Some(self.next_read);
+                self.reread_at = Some(self.next_read);
             }
             return;
         };
@@ -337,9 +339,9 @@
         version: u64,
         term: u64,
     ) {
-        self.batch_limit = MAX_BATCH_ENGINES;
+        self.max_batch_engines = MAX_BATCH_ENGINES;
         for TakenEngine { target, fence } in engines {
-            self.pending.remove(target);
+            self.blocked_until.remove(target);
             let row = HolderRow {
                 holder: self.local_host.peer,
                 fence: *fence,
@@ -351,7 +353,7 @@
                 term,
             };
             self.held.insert(target.clone(), held);
-            self.vacant.remove(target);
+            self.vacant_since.remove(target);
             self.conflicting.remove(target);
         }
     }
@@ -374,13 +376,13 @@
             [one] if !learnt => {
                 // It stays pending and is tried alone from now on, so that it can't block others.
                 self.conflicting.insert(one.target.clone());
-                self.batch_limit = MAX_BATCH_ENGINES;
+                self.max_batch_engines = MAX_BATCH_ENGINES;
             }
             _ => {
                 for TakenEngine { target, .. } in engines {
-                    self.pending.remove(target);
+                    self.blocked_until.remove(target);
                 }
-                self.batch_limit = match learnt {
+                self.max_batch_engines = match learnt {
                     true => MAX_BATCH_ENGINES,
                     false => engines.len().div_ceil(2),
                 };
@@ -402,7 +404,7 @@
         let rows = u32::try_from(self.holders.len()).unwrap_or(u32::MAX);
         let spread = REREAD_SPREAD_PER_ROW * rows;
         let at = now + self.rng.random_range(Duration::ZERO..=spread);
-        self.reread.get_or_insert(at);
+        self.reread_at.get_or_insert(at);
     }
 
     /// Handles a takeover transaction that the store rejected without effect.
@@ -413,7 +415,7 @@
     ) {
         let until = now + self.retry_pause();
         for TakenEngine { target, .. } in engines {
-            self.pending.insert(target.clone(), until);
+            self.blocked_until.insert(target.clone(), until);
         }
     }
 
@@ -441,13 +443,13 @@
         wanted: bool,
         now: Instant,
     ) -> Option<AssignmentAction> {
-        if !wanted || self.renewing || now < self.next_renewal {
+        if !wanted || self.is_renewing || now < self.next_renewal {
             return None;
         }
         let Some(version) = self.row_version else {
             return self.read(now);
         };
-        self.renewing = true;
+        self.is_renewing = true;
         let row = RowKey::new(HOLDING_TABLE, &host_key(self.local_host.peer));
         let value = serde_json::to_vec(&self.local_host).expect("host row serializes");
         Some(AssignmentAction::Renew {
@@ -468,10 +470,10 @@
         &mut self,
         now: Instant,
     ) -> Option<AssignmentAction> {
-        if self.reading || now < self.next_read {
+        if self.is_reading || now < self.next_read {
             return None;
         }
-        self.reading = true;
+        self.is_reading = true;
         Some(AssignmentAction::ReadTable)
     }
 
@@ -572,10 +574,10 @@
         // Versions of the store's rows only increase, also across targets that reuse an address.
         let fence = (seen.map_or(0, |seen| seen.row.fence) + 1).max(self.renewed_version);
         let version = seen.map_or(0, |seen| seen.version);
-        let vacant_since = match self.vacant.get(target) {
+        let vacant_since = match self.vacant_since.get(target) {
             Some(since) => *since,
             None => {
-                self.vacant.insert(target.to_string(), now);
+                self.vacant_since.insert(target.to_string(), now);
                 now
             }
         };
