--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -231,9 +231,9 @@
     let lease = Duration::from_secs(12);
     let timings = LeaseTimings::new(lease, lease / 4, lease / 4);
     let mut holding = EngineAssignment::new(row, timings, now);
-    holding.on_table(Some(&[]), 0, now);
+    holding.on_table_read(Some(&[]), 0, now);
     holding.on_renewed(now, Some(1), now);
-    holding.on_table(Some(&[]), 1, now);
+    holding.on_table_read(Some(&[]), 1, now);
     let engines =
         (0..engines).map(|at| (format!("engine-{at:04}"), address(at + 1_000).to_string()));
     let engines: Arc<BTreeMap<String, String>> = Arc::new(engines.collect());
--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -303,7 +303,7 @@
     }
 
     /// Handles a read of the table, or `None` if it failed.
-    pub fn on_table(
+    pub fn on_table_read(
         &mut self,
         rows: Option<&[Row]>,
         term: u64,
@@ -397,7 +397,7 @@
     /// Handles a takeover transaction whose outcome is unknown.
     ///
     /// The engines stay pending, and the table is read again after a random delay.
-    pub fn on_take_lost(
+    pub fn on_take_outcome_unknown(
         &mut self,
         now: Instant,
     ) {
@@ -408,7 +408,7 @@
     }
 
     /// Handles a takeover transaction that the store rejected without effect.
-    pub fn on_take_refused(
+    pub fn on_take_rejected(
         &mut self,
         engines: &[TakenEngine],
         now: Instant,
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -99,7 +99,7 @@
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         let rows = rows.map(|batch| batch.rows);
-        self.holding.on_table(rows.as_deref(), term, now);
+        self.holding.on_table_read(rows.as_deref(), term, now);
         for row in rows.iter().flatten() {
             let value = row.value.as_deref().unwrap_or_default();
             if HostRow::peer_of(&row.key).is_none() {
@@ -145,8 +145,8 @@
                 self.holding.on_taken(engines, version, term);
             }
             Some(Commit::Conflict { rows }) => self.holding.on_take_conflict(engines, &rows, now),
-            Some(Commit::TurnedAway) => self.holding.on_take_refused(engines, now),
-            None => self.holding.on_take_lost(now),
+            Some(Commit::TurnedAway) => self.holding.on_take_rejected(engines, now),
+            None => self.holding.on_take_outcome_unknown(now),
         }
         self.changed = true;
     }
--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -452,9 +452,9 @@
             }
             (AssignmentAction::Renew { .. }, _) => holding.on_renewed(sent, None, now),
             (AssignmentAction::ReadTable, Some(Err(rows))) => {
-                holding.on_table(Some(&rows), term, now);
+                holding.on_table_read(Some(&rows), term, now);
             }
-            (AssignmentAction::ReadTable, _) => holding.on_table(None, term, now),
+            (AssignmentAction::ReadTable, _) => holding.on_table_read(None, term, now),
             (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::Done { version }))) => {
                 holding.on_taken(&engines, version, term);
             }
@@ -462,9 +462,9 @@
                 holding.on_take_conflict(&engines, &rows, now);
             }
             (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::TurnedAway))) => {
-                holding.on_take_refused(&engines, now);
+                holding.on_take_rejected(&engines, now);
             }
-            (AssignmentAction::Take { .. }, _) => holding.on_take_lost(now),
+            (AssignmentAction::Take { .. }, _) => holding.on_take_outcome_unknown(now),
         }
     }
 
@@ -669,9 +669,9 @@
             engines: engines.collect(),
             now,
         };
-        alone.holding.on_table(Some(&[]), 0, now);
+        alone.holding.on_table_read(Some(&[]), 0, now);
         alone.holding.on_renewed(now, Some(1), now);
-        alone.holding.on_table(Some(&[]), 1, now);
+        alone.holding.on_table_read(Some(&[]), 1, now);
         alone
     }
 
@@ -795,9 +795,9 @@
         row(engine_key("engine-0"), 5, holder),
         row(host_key(address(1)), 4, lost),
     ];
-    alone.holding.on_table(Some(&rows), 1, alone.now);
+    alone.holding.on_table_read(Some(&rows), 1, alone.now);
     let spoilt = [row(engine_key("engine-0"), 6, b"spoilt".to_vec())];
-    alone.holding.on_table(Some(&spoilt), 1, alone.now);
+    alone.holding.on_table_read(Some(&spoilt), 1, alone.now);
     assert!(alone.takes().is_empty(), "its holder may still send orders");
     let mut expected = None;
     for _ in 0..20 {
@@ -817,7 +817,7 @@
 fn a_host_that_was_turned_away_reads_nothing() {
     let mut alone = Alone::new(40, 1);
     let batches = alone.takes();
-    alone.holding.on_take_refused(&batches[0], alone.now);
+    alone.holding.on_take_rejected(&batches[0], alone.now);
     assert!(alone.takes().is_empty());
     alone.holding.on_renewed(alone.now, None, alone.now);
     assert_eq!(alone.reads_within(ms(100)), None);
@@ -849,10 +849,10 @@
     let rows: Vec<Row> = rows.collect();
     let read_at = |process| {
         let mut alone = Alone::new(40, process);
-        alone.holding.on_table(Some(&rows), 1, alone.now);
+        alone.holding.on_table_read(Some(&rows), 1, alone.now);
         let batches = alone.takes();
         assert_eq!(batches.len(), 1);
-        alone.holding.on_take_lost(alone.now);
+        alone.holding.on_take_outcome_unknown(alone.now);
         assert!(alone.takes().is_empty(), "pending engines were taken");
         alone.reads_within(ms(3_100)).expect("the table is read")
     };
@@ -885,7 +885,7 @@
         for action in decide(&mut holding, now) {
             let term = holding.lease().term();
             match action {
-                AssignmentAction::ReadTable => holding.on_table(Some(&[]), term, now),
+                AssignmentAction::ReadTable => holding.on_table_read(Some(&[]), term, now),
                 AssignmentAction::Renew { .. } => holding.on_renewed(now, Some(1), now),
                 AssignmentAction::Take { engines, .. } => {
                     let is_first = |taken: &TakenEngine| taken.target == "engine-0";
