--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -208,15 +208,15 @@
     ///
     /// - `engines`: all engines, with the keys by which they are distributed
     /// - `takers`: the hosts that take engines
-    /// - `may_take`: whether this host is likely to be a taker, while membership has not settled
-    /// - `open`: the engines that no other responding host reports as its own
+    /// - `is_likely_taker`: whether this host is likely to be a taker, while membership has not settled
+    /// - `unclaimed`: the engines that no other responding host reports as its own
     /// - `lease_of`: the lease of another host as known to membership
     pub fn decide(
         &mut self,
         engines: &BTreeMap<String, String>,
         takers: &[SocketAddr],
-        may_take: bool,
-        open: impl FnOnce() -> Arc<BTreeMap<String, String>>,
+        is_likely_taker: bool,
+        unclaimed: impl FnOnce() -> Arc<BTreeMap<String, String>>,
         lease_of: impl Fn(SocketAddr) -> Option<KnownLease>,
         now: Instant,
     ) -> Vec<AssignmentAction> {
@@ -225,39 +225,41 @@
         self.vacant_since
             .retain(|target, _| engines.contains_key(target));
         self.blocked_until.retain(|_, until| now < *until);
-        let wanted = takers.contains(&self.local_host.peer) || self.is_named(engines);
-        if !wanted && may_take && self.row_version.is_none() {
+        let needs_lease = takers.contains(&self.local_host.peer) || self.is_holder(engines);
+        if !needs_lease && is_likely_taker && self.row_version.is_none() {
             // After a restart, a host resumes the engines that it held before takers are agreed on.
-            actions.extend(self.read(now));
+            actions.extend(self.read_table(now));
             return actions;
         }
-        actions.extend(self.renew(wanted, now));
+        actions.extend(self.renew(needs_lease, now));
         if !self.lease.holds(now) {
             return actions;
         }
         if self.read_term != self.lease.term() {
-            actions.extend(self.read(now));
+            actions.extend(self.read_table(now));
             return actions;
         }
         if self.reread_at.is_some_and(|at| now >= at)
-            && let Some(read) = self.read(now)
+            && let Some(read_table) = self.read_table(now)
         {
             self.reread_at = None;
-            actions.push(read);
+            actions.push(read_table);
         }
-        let open = open();
+        let unclaimed = unclaimed();
         self.vacant_since
-            .retain(|target, _| open.contains_key(target));
-        self.conflicting.retain(|target| open.contains_key(target));
+            .retain(|target, _| unclaimed.contains_key(target));
+        self.conflicting
+            .retain(|target| unclaimed.contains_key(target));
         let mut turns =
             TakeoverTurns::new(self.local_host.peer, takers, self.timings.takeover_interval);
         let mut batches = TakeoverBatches::new(self.local_host.peer, self.max_batch_engines);
         let pending_until = now + self.timings.outcome_timeout;
-        for (target, key) in open.iter() {
+        for (target, key) in unclaimed.iter() {
             if self.blocked_until.contains_key(target) {
                 continue;
             }
-            if let Some(vacant_since) = self.look_at(target, key, &mut turns, &lease_of, now) {
+            if let Some(vacant_since) = self.vacant_engine(target, key, &mut turns, &lease_of, now)
+            {
                 self.blocked_until.insert(target.clone(), pending_until);
                 match self.conflicting.contains(target) {
                     true => batches.add_alone(vacant_since),
@@ -285,7 +287,7 @@
                 self.next_renewal = sent + self.timings.renewal_interval;
             }
             // If the row was written all the same, the next attempt fails with a conflict that names its version.
-            None => self.next_renewal = now + self.retry_pause(),
+            None => self.next_renewal = now + self.jittered_backoff(),
         }
     }
 
@@ -311,7 +313,7 @@
     ) {
         self.is_reading = false;
         let Some(rows) = rows else {
-            self.next_read = now + self.retry_pause();
+            self.next_read = now + self.jittered_backoff();
             if self.row_version.is_some() && self.read_term == term {
                 // The read followed a lost reply.
                 self.reread_at = Some(self.next_read);
@@ -324,7 +326,7 @@
             self.row_version = Some(local_row.map_or(0, |row| row.version));
         }
         for row in rows {
-            self.see(row, now);
+            self.apply_row(row, now);
         }
         if term == self.lease.term() {
             self.read_term = term;
@@ -368,12 +370,12 @@
         rows: &[Row],
         now: Instant,
     ) {
-        let mut learnt = false;
+        let mut found_news = false;
         for row in rows {
-            learnt |= self.see(row, now);
+            found_news |= self.apply_row(row, now);
         }
         match engines {
-            [one] if !learnt => {
+            [one] if !found_news => {
                 // It stays pending and is tried alone from now on, so that it can't block others.
                 self.conflicting.insert(one.target.clone());
                 self.max_batch_engines = MAX_BATCH_ENGINES;
@@ -382,7 +384,7 @@
                 for TakenEngine { target, .. } in engines {
                     self.blocked_until.remove(target);
                 }
-                self.max_batch_engines = match learnt {
+                self.max_batch_engines = match found_news {
                     true => MAX_BATCH_ENGINES,
                     false => engines.len().div_ceil(2),
                 };
@@ -413,7 +415,7 @@
         engines: &[TakenEngine],
         now: Instant,
     ) {
-        let until = now + self.retry_pause();
+        let until = now + self.jittered_backoff();
         for TakenEngine { target, .. } in engines {
             self.blocked_until.insert(target.clone(), until);
         }
@@ -428,7 +430,7 @@
     }
 
     /// Returns true if the last rows read name this host as the holder of one of the engines.
-    fn is_named(
+    fn is_holder(
         &self,
         engines: &BTreeMap<String, String>,
     ) -> bool {
@@ -440,14 +442,14 @@
     /// Returns a renewal of the lease if it is due and this host needs one.
     fn renew(
         &mut self,
-        wanted: bool,
+        needs_lease: bool,
         now: Instant,
     ) -> Option<AssignmentAction> {
-        if !wanted || self.is_renewing || now < self.next_renewal {
+        if !needs_lease || self.is_renewing || now < self.next_renewal {
             return None;
         }
         let Some(version) = self.row_version else {
-            return self.read(now);
+            return self.read_table(now);
         };
         self.is_renewing = true;
         let row = RowKey::new(HOLDING_TABLE, &host_key(self.local_host.peer));
@@ -466,7 +468,7 @@
         })
     }
 
-    fn read(
+    fn read_table(
         &mut self,
         now: Instant,
     ) -> Option<AssignmentAction> {
@@ -478,13 +480,13 @@
     }
 
     /// Returns a random backoff before a call is retried.
-    fn retry_pause(&mut self) -> Duration {
+    fn jittered_backoff(&mut self) -> Duration {
         let backoff = self.timings.retry_backoff;
         self.rng.random_range(backoff / 2..=backoff + backoff / 2)
     }
 
     /// Applies a row. Returns true if it was not known.
-    fn see(
+    fn apply_row(
         &mut self,
         row: &Row,
         now: Instant,
@@ -493,8 +495,8 @@
             return false;
         };
         if let Some(peer) = HostRow::peer_of(&row.key) {
-            let known = self.leases.get(&peer).map(|lease| lease.version);
-            if known == Some(row.version) {
+            let known_version = self.leases.get(&peer).map(|lease| lease.version);
+            if known_version == Some(row.version) {
                 return false;
             }
             let lease = StoredLease {
@@ -512,7 +514,7 @@
             return false;
         }
         let Ok(holder) = serde_json::from_slice::<HolderRow>(value) else {
-            return self.on_spoilt_row(target, row.version);
+            return self.on_malformed_row(target, row.version);
         };
         let seen = StoredHolder {
             version: row.version,
@@ -526,7 +528,7 @@
     ///
     /// Keeps the holder named before, so that the engine is taken once that host's lease has lapsed. Without one, it is
     /// unknown whose lease to wait for.
-    fn on_spoilt_row(
+    fn on_malformed_row(
         &mut self,
         target: &str,
         version: u64,
@@ -555,7 +557,7 @@
     }
 
     /// Returns the engine if this host may take it now.
-    fn look_at(
+    fn vacant_engine(
         &mut self,
         target: &str,
         key: &str,
@@ -581,7 +583,7 @@
                 now
             }
         };
-        if !turns.may_take(key, now.saturating_duration_since(vacant_since)) {
+        if !turns.is_likely_taker(key, now.saturating_duration_since(vacant_since)) {
             return None;
         }
         let lapsed = match holder {
@@ -606,22 +608,22 @@
         membership: Option<KnownLease>,
         now: Instant,
     ) -> Option<u64> {
-        let told = membership
+        let from_membership = membership
             .filter(|lease| lease.version > 0)
             .map(|lease| (lease.version, lease.known_since));
-        let read = self
+        let read_table = self
             .leases
             .get(&host)
             .map(|lease| (lease.version, lease.known_since));
         // The earliest time at which the newest version was known.
-        let newest = told
+        let newest = from_membership
             .into_iter()
-            .chain(read)
+            .chain(read_table)
             .map(|(version, _)| version)
             .max()?;
-        let since = told
+        let since = from_membership
             .into_iter()
-            .chain(read)
+            .chain(read_table)
             .filter(|(version, _)| *version == newest)
             .map(|(_, since)| since)
             .min()?;
