--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -240,10 +240,10 @@
             return actions;
         }
         if self.reread_at.is_some_and(|at| now >= at)
-            && let Some(read_table) = self.read_table(now)
+            && let Some(read) = self.read_table(now)
         {
             self.reread_at = None;
-            actions.push(read_table);
+            actions.push(read);
         }
         let unclaimed = unclaimed();
         self.vacant_since
@@ -253,17 +253,16 @@
         let mut turns =
             TakeoverTurns::new(self.local_host.peer, takers, self.timings.takeover_interval);
         let mut batches = TakeoverBatches::new(self.local_host.peer, self.max_batch_engines);
-        let pending_until = now + self.timings.outcome_timeout;
+        let blocked_until = now + self.timings.outcome_timeout;
         for (target, key) in unclaimed.iter() {
             if self.blocked_until.contains_key(target) {
                 continue;
             }
-            if let Some(vacant_since) = self.vacant_engine(target, key, &mut turns, &lease_of, now)
-            {
-                self.blocked_until.insert(target.clone(), pending_until);
+            if let Some(vacant) = self.vacant_engine(target, key, &mut turns, &lease_of, now) {
+                self.blocked_until.insert(target.clone(), blocked_until);
                 match self.conflicting.contains(target) {
-                    true => batches.add_alone(vacant_since),
-                    false => batches.add(vacant_since),
+                    true => batches.add_alone(vacant),
+                    false => batches.add(vacant),
                 }
             }
         }
@@ -583,7 +582,7 @@
                 now
             }
         };
-        if !turns.is_likely_taker(key, now.saturating_duration_since(vacant_since)) {
+        if !turns.may_take(key, now.saturating_duration_since(vacant_since)) {
             return None;
         }
         let lapsed = match holder {
@@ -611,19 +610,19 @@
         let from_membership = membership
             .filter(|lease| lease.version > 0)
             .map(|lease| (lease.version, lease.known_since));
-        let read_table = self
+        let from_store = self
             .leases
             .get(&host)
             .map(|lease| (lease.version, lease.known_since));
         // The earliest time at which the newest version was known.
         let newest = from_membership
             .into_iter()
-            .chain(read_table)
+            .chain(from_store)
             .map(|(version, _)| version)
             .max()?;
         let since = from_membership
             .into_iter()
-            .chain(read_table)
+            .chain(from_store)
             .filter(|(version, _)| *version == newest)
             .map(|(_, since)| since)
             .min()?;
