--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -347,8 +347,8 @@
                 holder: self.local_host.peer,
                 fence: *fence,
             };
-            let seen = StoredHolder { version, row };
-            self.holders.insert(target.clone(), seen);
+            let stored = StoredHolder { version, row };
+            self.holders.insert(target.clone(), stored);
             let held = HeldEngine {
                 fence: *fence,
                 term,
@@ -369,12 +369,12 @@
         rows: &[Row],
         now: Instant,
     ) {
-        let mut found_news = false;
+        let mut has_new_rows = false;
         for row in rows {
-            found_news |= self.apply_row(row, now);
+            has_new_rows |= self.apply_row(row, now);
         }
         match engines {
-            [one] if !found_news => {
+            [one] if !has_new_rows => {
                 // It stays pending and is tried alone from now on, so that it can't block others.
                 self.conflicting.insert(one.target.clone());
                 self.max_batch_engines = MAX_BATCH_ENGINES;
@@ -383,7 +383,7 @@
                 for TakenEngine { target, .. } in engines {
                     self.blocked_until.remove(target);
                 }
-                self.max_batch_engines = match found_news {
+                self.max_batch_engines = match has_new_rows {
                     true => MAX_BATCH_ENGINES,
                     false => engines.len().div_ceil(2),
                 };
@@ -425,7 +425,7 @@
         &self,
         target: &str,
     ) -> Option<SocketAddr> {
-        self.holders.get(target).map(|seen| seen.row.holder)
+        self.holders.get(target).map(|stored| stored.row.holder)
     }
 
     /// Returns true if the last rows read name this host as the holder of one of the engines.
@@ -433,8 +433,8 @@
         &self,
         engines: &BTreeMap<String, String>,
     ) -> bool {
-        self.holders.iter().any(|(target, seen)| {
-            seen.row.holder == self.local_host.peer && engines.contains_key(target)
+        self.holders.iter().any(|(target, stored)| {
+            stored.row.holder == self.local_host.peer && engines.contains_key(target)
         })
     }
 
@@ -508,19 +508,19 @@
         let Some(target) = HolderRow::target_of(&row.key) else {
             return false;
         };
-        let old = self.holders.get(target).map_or(0, |seen| seen.version);
-        if row.version < old {
+        let previous_version = self.holders.get(target).map_or(0, |stored| stored.version);
+        if row.version < previous_version {
             return false;
         }
         let Ok(holder) = serde_json::from_slice::<HolderRow>(value) else {
             return self.on_malformed_row(target, row.version);
         };
-        let seen = StoredHolder {
+        let stored = StoredHolder {
             version: row.version,
             row: holder,
         };
-        self.holders.insert(target.to_string(), seen);
-        row.version > old
+        self.holders.insert(target.to_string(), stored);
+        row.version > previous_version
     }
 
     /// Handles a malformed engine row.
@@ -532,12 +532,12 @@
         target: &str,
         version: u64,
     ) -> bool {
-        let Some(seen) = self.holders.get_mut(target) else {
+        let Some(stored) = self.holders.get_mut(target) else {
             return false;
         };
-        let is_news = version > seen.version;
-        seen.version = version;
-        is_news
+        let is_newer = version > stored.version;
+        stored.version = version;
+        is_newer
     }
 
     /// Sets the held engines to those that the rows assign to this host.
@@ -546,10 +546,10 @@
         let assigned = self
             .holders
             .iter()
-            .filter(|(_, seen)| seen.row.holder == self.local_host.peer);
+            .filter(|(_, stored)| stored.row.holder == self.local_host.peer);
         self.held = assigned
-            .map(|(target, seen)| {
-                let fence = seen.row.fence;
+            .map(|(target, stored)| {
+                let fence = stored.row.fence;
                 (target.clone(), HeldEngine { fence, term })
             })
             .collect();
@@ -564,8 +564,8 @@
         lease_of: &impl Fn(SocketAddr) -> Option<KnownLease>,
         now: Instant,
     ) -> Option<VacantEngine> {
-        let seen = self.holders.get(target);
-        let holder = seen.map(|seen| seen.row.holder);
+        let stored = self.holders.get(target);
+        let holder = stored.map(|stored| stored.row.holder);
         if holder == Some(self.local_host.peer) {
             if !self.held.contains_key(target) {
                 self.confirm_held();
@@ -573,8 +573,8 @@
             return None;
         }
         // Versions of the store's rows only increase, also across targets that reuse an address.
-        let fence = (seen.map_or(0, |seen| seen.row.fence) + 1).max(self.renewed_version);
-        let version = seen.map_or(0, |seen| seen.version);
+        let fence = (stored.map_or(0, |stored| stored.row.fence) + 1).max(self.renewed_version);
+        let version = stored.map_or(0, |stored| stored.version);
         let vacant_since = match self.vacant_since.get(target) {
             Some(since) => *since,
             None => {
@@ -615,7 +615,7 @@
             .get(&host)
             .map(|lease| (lease.version, lease.known_since));
         // The earliest time at which the newest version was known.
-        let newest = from_membership
+        let newest_version = from_membership
             .into_iter()
             .chain(from_store)
             .map(|(version, _)| version)
@@ -623,10 +623,10 @@
         let since = from_membership
             .into_iter()
             .chain(from_store)
-            .filter(|(version, _)| *version == newest)
+            .filter(|(version, _)| *version == newest_version)
             .map(|(_, since)| since)
             .min()?;
         let lapsed = now.saturating_duration_since(since) >= self.timings.takeover_delay();
-        lapsed.then_some(newest)
+        lapsed.then_some(newest_version)
     }
 }
