--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -582,7 +582,7 @@
                 now
             }
         };
-        if !turns.may_take(key, now.saturating_duration_since(vacant_since)) {
+        if !turns.can_take(key, now.saturating_duration_since(vacant_since)) {
             return None;
         }
         let lapsed = match holder {
--- a/src/process/holding/takeover_turns.rs
+++ b/src/process/holding/takeover_turns.rs
@@ -7,7 +7,7 @@
 ///
 /// Caches the hosts' names, which are ranked for each vacant engine.
 pub(super) struct TakeoverTurns<'a> {
-    me: Option<String>,
+    local_host: Option<String>,
     takers: &'a [SocketAddr],
     names: Vec<String>,
     interval: Duration,
@@ -16,12 +16,12 @@
 impl<'a> TakeoverTurns<'a> {
     /// Gives each host in the order a time of `interval` before the next one may take an engine.
     pub fn new(
-        me: SocketAddr,
+        local_host: SocketAddr,
         takers: &'a [SocketAddr],
         interval: Duration,
     ) -> Self {
         Self {
-            me: takers.contains(&me).then(|| me.to_string()),
+            local_host: takers.contains(&local_host).then(|| local_host.to_string()),
             takers,
             names: Vec::new(),
             interval,
@@ -31,12 +31,12 @@
     /// Returns true if this host may take the engine with this key, which has been vacant for `vacant`.
     ///
     /// Stops counting preferred hosts once more are found than have had their turns.
-    pub fn may_take(
+    pub fn can_take(
         &mut self,
         key: &str,
         vacant: Duration,
     ) -> bool {
-        let Some(me) = &self.me else {
+        let Some(local_host) = &self.local_host else {
             return false;
         };
         if self.names.is_empty() {
@@ -44,7 +44,7 @@
         }
         let elapsed_turns = vacant.as_nanos() / self.interval.as_nanos().max(1);
         let elapsed_turns = usize::try_from(elapsed_turns).unwrap_or(usize::MAX);
-        let local_rank = rank(key, me);
+        let local_rank = rank(key, local_host);
         let preferred = self
             .names
             .iter()
