--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -28,7 +28,7 @@
 const MANY_ENGINES: usize = 180;
 
 /// Limit of the store.
-const MOST_ENTRIES: usize = 100;
+const MAX_TRANSACTION_ENTRIES: usize = 100;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -51,7 +51,7 @@
         transaction: &Transaction,
     ) -> Commit {
         let entries = transaction.expected.len() + transaction.writes.len();
-        assert!(entries <= MOST_ENTRIES, "{entries} entries");
+        assert!(entries <= MAX_TRANSACTION_ENTRIES, "{entries} entries");
         let version = |row: &RowKey| self.rows.get(&*row.key).map_or(0, |(version, _)| *version);
         let holds = transaction
             .expected
@@ -95,11 +95,11 @@
 }
 
 /// An event that is due at a time.
-enum Due {
+enum Event {
     /// A call that the store answers, unless the reply is lost.
     Call {
         host: usize,
-        life: u64,
+        generation: u64,
         action: AssignmentAction,
         sent: Instant,
         term: u64,
@@ -107,7 +107,7 @@
     },
     Reply {
         host: usize,
-        life: u64,
+        generation: u64,
         action: AssignmentAction,
         sent: Instant,
         term: u64,
@@ -117,9 +117,9 @@
 
 struct Host {
     holding: Option<EngineAssignment>,
-    life: u64,
+    generation: u64,
     paused_until: Instant,
-    cut_until: Instant,
+    partitioned_until: Instant,
     starts_at: Instant,
 }
 
@@ -128,13 +128,13 @@
     now: Instant,
     store: Store,
     hosts: Vec<Host>,
-    due: Vec<(Instant, Due)>,
+    events: Vec<(Instant, Event)>,
     engines: BTreeMap<String, String>,
     /// Last lease version published by each host, and when.
-    told: HashMap<usize, (u64, Instant)>,
+    published_leases: HashMap<usize, (u64, Instant)>,
     last_order: HashMap<String, (usize, Instant, u64)>,
     orders: usize,
-    turns: usize,
+    takeovers: usize,
     /// Transactions that change holders.
     takes: usize,
     /// Percentage of calls whose reply is lost.
@@ -155,12 +155,12 @@
             now,
             store: Store::default(),
             hosts: Vec::new(),
-            due: Vec::new(),
+            events: Vec::new(),
             engines: BTreeMap::new(),
-            told: HashMap::new(),
+            published_leases: HashMap::new(),
             last_order: HashMap::new(),
             orders: 0,
-            turns: 0,
+            takeovers: 0,
             takes: 0,
             lost,
             agreed: true,
@@ -169,9 +169,9 @@
         for at in 0..hosts {
             world.hosts.push(Host {
                 holding: None,
-                life: at as u64,
+                generation: at as u64,
                 paused_until: now,
-                cut_until: now,
+                partitioned_until: now,
                 starts_at: now,
             });
         }
@@ -199,7 +199,7 @@
         };
         let timings = LeaseTimings::new(ms(9_000), ms(2_500), GAP);
         self.hosts[host].holding = Some(EngineAssignment::new(row, timings, self.now));
-        self.hosts[host].life += 100;
+        self.hosts[host].generation += 100;
     }
 
     fn is_up(
@@ -236,7 +236,7 @@
         let mut leases: HashMap<SocketAddr, KnownLease> = HashMap::new();
         let mut claimed: BTreeSet<&str> = BTreeSet::new();
         for other in (0..self.hosts.len()).filter(|other| *other != host) {
-            let Some((version, known_since)) = self.told.get(&other).copied() else {
+            let Some((version, known_since)) = self.published_leases.get(&other).copied() else {
                 continue;
             };
             let lease = KnownLease {
@@ -273,8 +273,13 @@
             .keys()
             .filter_map(|engine| Some((engine.clone(), holding.held_engine(engine, now)?)))
             .collect();
-        if self.told.get(&host).map(|(told, _)| *told) != Some(version) {
-            self.told.insert(host, (version, now));
+        if self
+            .published_leases
+            .get(&host)
+            .map(|(published_leases, _)| *published_leases)
+            != Some(version)
+        {
+            self.published_leases.insert(host, (version, now));
         }
         for (engine, held) in ordered {
             self.order(host, &engine, held);
@@ -293,7 +298,7 @@
         let arrives = self.now + ms(self.rng.random_range(0..100));
         if let Some((last, at, fence)) = self.last_order.get(engine) {
             if *last != host {
-                self.turns += 1;
+                self.takeovers += 1;
                 assert!(
                     arrives >= *at + GAP,
                     "orders of two holders of {engine} are only {:?} apart",
@@ -315,31 +320,31 @@
         term: u64,
     ) {
         self.takes += usize::from(matches!(action, AssignmentAction::Take { .. }));
-        let life = self.hosts[host].life;
+        let generation = self.hosts[host].generation;
         let (now, sent) = (self.now, self.now);
-        if self.hosts[host].cut_until > now {
-            let reply = Due::Reply {
+        if self.hosts[host].partitioned_until > now {
+            let reply = Event::Reply {
                 host,
-                life,
+                generation,
                 action,
                 sent,
                 term,
                 outcome: None,
             };
-            self.due.push((now + ms(900), reply));
+            self.events.push((now + ms(900), reply));
             return;
         }
         let lost = self.rng.random_range(0..100) < self.lost;
         if lost && self.rng.random_range(0..4) == 0 {
-            let reply = Due::Reply {
+            let reply = Event::Reply {
                 host,
-                life,
+                generation,
                 action,
                 sent,
                 term,
                 outcome: Some(Ok(Commit::TurnedAway)),
             };
-            self.due.push((now + ms(4), reply));
+            self.events.push((now + ms(4), reply));
             return;
         }
         let late = lost && self.rng.random_bool(0.5);
@@ -348,49 +353,49 @@
             false => ms(self.rng.random_range(4..40)),
         };
         if lost {
-            let reply = Due::Reply {
+            let reply = Event::Reply {
                 host,
-                life,
+                generation,
                 action: action.clone(),
                 sent,
                 term,
                 outcome: None,
             };
-            self.due.push((now + ms(900), reply));
+            self.events.push((now + ms(900), reply));
         }
-        let call = Due::Call {
+        let call = Event::Call {
             host,
-            life,
+            generation,
             action,
             sent,
             term,
             reply: !lost,
         };
-        self.due.push((now + delay, call));
+        self.events.push((now + delay, call));
     }
 
     fn deliver(&mut self) {
         loop {
-            let next = (0..self.due.len())
-                .filter(|at| self.due[*at].0 <= self.now)
-                .min_by_key(|at| self.due[*at].0);
+            let next = (0..self.events.len())
+                .filter(|at| self.events[*at].0 <= self.now)
+                .min_by_key(|at| self.events[*at].0);
             let Some(next) = next else {
                 return;
             };
-            let (at, due) = self.due.swap_remove(next);
-            self.happen(at, due);
+            let (at, events) = self.events.swap_remove(next);
+            self.handle(at, events);
         }
     }
 
-    fn happen(
+    fn handle(
         &mut self,
         at: Instant,
-        due: Due,
+        events: Event,
     ) {
-        match due {
-            Due::Call {
+        match events {
+            Event::Call {
                 host,
-                life,
+                generation,
                 action,
                 sent,
                 term,
@@ -404,25 +409,27 @@
                     AssignmentAction::ReadTable => Err(self.store.all()),
                 };
                 if reply {
-                    let reply = Due::Reply {
+                    let reply = Event::Reply {
                         host,
-                        life,
+                        generation,
                         action,
                         sent,
                         term,
                         outcome: Some(outcome),
                     };
-                    self.due.push((at + ms(2), reply));
+                    self.events.push((at + ms(2), reply));
                 }
             }
-            Due::Reply { host, life, .. }
-                if self.hosts[host].life != life || self.hosts[host].holding.is_none() => {}
-            Due::Reply { host, .. } if !self.is_up(host) => {
+            Event::Reply {
+                host, generation, ..
+            } if self.hosts[host].generation != generation
+                || self.hosts[host].holding.is_none() => {}
+            Event::Reply { host, .. } if !self.is_up(host) => {
                 // It reads the reply when it resumes.
                 let wakes = self.hosts[host].paused_until;
-                self.due.push((wakes, due));
+                self.events.push((wakes, events));
             }
-            Due::Reply {
+            Event::Reply {
                 host,
                 action,
                 sent,
@@ -468,13 +475,13 @@
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..self.hosts.len());
         let now = self.now;
         let time = ms(self.rng.random_range(200..16_000));
         match self.rng.random_range(0..4) {
             0 => self.hosts[host].paused_until = now + time,
-            1 => self.hosts[host].cut_until = now + time,
+            1 => self.hosts[host].partitioned_until = now + time,
             2 => {
                 self.hosts[host].holding = None;
                 self.hosts[host].starts_at = now + time;
@@ -499,22 +506,22 @@
     #[case] engines: usize,
     #[case] seeds: u64,
 ) {
-    let (mut orders, mut turns) = (0, 0);
+    let (mut orders, mut takeovers) = (0, 0);
     for seed in 0..seeds {
         let mut world = World::new(seed, 3, lost);
         world.set_engines(engines);
         for step in 0..2_400 {
             world.step();
             if step > 200 && world.rng.random_range(0..120) == 0 {
-                world.strike();
+                world.inject_fault();
             }
         }
         orders += world.orders;
-        turns += world.turns;
+        takeovers += world.takeovers;
     }
     // Ensures that there were orders and takeovers to check.
     assert!(orders > 100_000, "{orders} orders");
-    assert!(turns > 200, "{turns} changes of holder");
+    assert!(takeovers > 200, "{takeovers} changes of holder");
 }
 
 #[test]
@@ -580,16 +587,16 @@
         world.step();
     }
     for host in &mut world.hosts {
-        host.cut_until = world.now + ms(5_500);
+        host.partitioned_until = world.now + ms(5_500);
     }
-    let mut quiet = Duration::ZERO;
+    let mut longest_pause = Duration::ZERO;
     for _ in 0..140 {
         world.step();
         for (_, at, _) in world.last_order.values() {
-            quiet = quiet.max(world.now.saturating_duration_since(*at));
+            longest_pause = longest_pause.max(world.now.saturating_duration_since(*at));
         }
     }
-    assert!(quiet < ms(200), "no orders for {quiet:?}");
+    assert!(longest_pause < ms(200), "no orders for {longest_pause:?}");
 }
 
 #[test]
@@ -619,7 +626,7 @@
         world.step();
     }
     let cut = world.last_order.values().next().unwrap().0;
-    world.hosts[cut].cut_until = world.now + Duration::from_secs(1_000);
+    world.hosts[cut].partitioned_until = world.now + Duration::from_secs(1_000);
     let begin = world.now;
     while world.last_order.values().any(|(host, _, _)| *host == cut) {
         world.step();
@@ -643,13 +650,13 @@
 }
 
 /// A single host with a lease and many vacant engines.
-struct Alone {
+struct SingleHost {
     holding: EngineAssignment,
     engines: BTreeMap<String, String>,
     now: Instant,
 }
 
-impl Alone {
+impl SingleHost {
     fn new(
         engines: usize,
         process: u64,
@@ -664,15 +671,15 @@
         let now = Instant::now();
         let timings = LeaseTimings::new(ms(9_000), ms(2_500), GAP);
         let engines = (0..engines).map(|at| (format!("engine-{at}"), format!("key-{at}")));
-        let mut alone = Self {
+        let mut single = Self {
             holding: EngineAssignment::new(row, timings, now),
             engines: engines.collect(),
             now,
         };
-        alone.holding.on_table_read(Some(&[]), 0, now);
-        alone.holding.on_renewed(now, Some(1), now);
-        alone.holding.on_table_read(Some(&[]), 1, now);
-        alone
+        single.holding.on_table_read(Some(&[]), 0, now);
+        single.holding.on_renewed(now, Some(1), now);
+        single.holding.on_table_read(Some(&[]), 1, now);
+        single
     }
 
     fn decide(&mut self) -> Vec<AssignmentAction> {
@@ -716,8 +723,8 @@
 /// Guards against a full batch lost to one engine that another host has taken at the same moment.
 #[test]
 fn an_engine_that_another_host_has_got_holds_no_other_up() {
-    let mut alone = Alone::new(40, 1);
-    let batches = alone.takes();
+    let mut single = SingleHost::new(40, 1);
+    let batches = single.takes();
     assert_eq!(batches.len(), 1);
     let holder = HolderRow {
         holder: address(1),
@@ -728,10 +735,10 @@
         version: 9,
         value: Some(serde_json::to_vec(&holder).unwrap().into()),
     };
-    alone
+    single
         .holding
-        .on_take_conflict(&batches[0], &[taken], alone.now);
-    let again = alone.takes();
+        .on_take_conflict(&batches[0], &[taken], single.now);
+    let again = single.takes();
     let names: Vec<&str> = again
         .iter()
         .flatten()
@@ -744,26 +751,26 @@
 /// Guards against endless retries of a conflict whose reply contains nothing new.
 #[test]
 fn an_engine_whose_conflict_is_not_understood_ends_up_alone() {
-    let mut alone = Alone::new(40, 1);
+    let mut single = SingleHost::new(40, 1);
     let (mut tries, mut left) = (0, 40);
     for _ in 0..20 {
-        for batch in alone.takes() {
+        for batch in single.takes() {
             tries += 1;
             if batch.iter().any(|taken| taken.target == "engine-5") {
-                alone.holding.on_take_conflict(&batch, &[], alone.now);
+                single.holding.on_take_conflict(&batch, &[], single.now);
             } else {
-                alone.holding.on_taken(&batch, 9, 1);
+                single.holding.on_taken(&batch, 9, 1);
                 left -= batch.len();
             }
         }
     }
     assert_eq!(left, 1);
     // Engines that become vacant later share a transaction again.
-    alone
+    single
         .engines
         .extend((0..40).map(|at| (format!("later-{at}"), format!("later-key-{at}"))));
-    alone.now += ms(2_100);
-    let sizes: Vec<usize> = alone.takes().iter().map(Vec::len).collect();
+    single.now += ms(2_100);
+    let sizes: Vec<usize> = single.takes().iter().map(Vec::len).collect();
     assert_eq!(sizes, [1, 40]);
     // Each halving takes at most three: both halves, and the failed one again.
     assert!(tries <= 18, "{tries} transactions");
@@ -772,7 +779,7 @@
 /// Guards against an engine without a holder, as each attempt to take it expects the version before the malformed row.
 #[test]
 fn an_engine_whose_row_was_spoilt_is_taken_once_its_holders_lease_has_lapsed() {
-    let mut alone = Alone::new(1, 1);
+    let mut single = SingleHost::new(1, 1);
     let row = |key: String, version: u64, value: Vec<u8>| Row {
         key: key.into(),
         version,
@@ -795,15 +802,20 @@
         row(engine_key("engine-0"), 5, holder),
         row(host_key(address(1)), 4, lost),
     ];
-    alone.holding.on_table_read(Some(&rows), 1, alone.now);
-    let spoilt = [row(engine_key("engine-0"), 6, b"spoilt".to_vec())];
-    alone.holding.on_table_read(Some(&spoilt), 1, alone.now);
-    assert!(alone.takes().is_empty(), "its holder may still send orders");
+    single.holding.on_table_read(Some(&rows), 1, single.now);
+    let malformed = [row(engine_key("engine-0"), 6, b"spoilt".to_vec())];
+    single
+        .holding
+        .on_table_read(Some(&malformed), 1, single.now);
+    assert!(
+        single.takes().is_empty(),
+        "its holder may still send orders"
+    );
     let mut expected = None;
     for _ in 0..20 {
-        alone.now += ms(1_000);
-        alone.holding.on_renewed(alone.now, Some(9), alone.now);
-        for action in alone.decide() {
+        single.now += ms(1_000);
+        single.holding.on_renewed(single.now, Some(9), single.now);
+        for action in single.decide() {
             if let AssignmentAction::Take { transaction, .. } = action {
                 expected.get_or_insert(transaction.expected[0].version);
             }
@@ -815,14 +827,14 @@
 /// Guards against table reads after rejected calls, which keep an overloaded store busy.
 #[test]
 fn a_host_that_was_turned_away_reads_nothing() {
-    let mut alone = Alone::new(40, 1);
-    let batches = alone.takes();
-    alone.holding.on_take_rejected(&batches[0], alone.now);
-    assert!(alone.takes().is_empty());
-    alone.holding.on_renewed(alone.now, None, alone.now);
-    assert_eq!(alone.reads_within(ms(100)), None);
-    alone.now += ms(900);
-    let actions = alone.decide();
+    let mut single = SingleHost::new(40, 1);
+    let batches = single.takes();
+    single.holding.on_take_rejected(&batches[0], single.now);
+    assert!(single.takes().is_empty());
+    single.holding.on_renewed(single.now, None, single.now);
+    assert_eq!(single.reads_within(ms(100)), None);
+    single.now += ms(900);
+    let actions = single.decide();
     assert!(matches!(
         &actions[..],
         [
@@ -848,13 +860,13 @@
     });
     let rows: Vec<Row> = rows.collect();
     let read_at = |process| {
-        let mut alone = Alone::new(40, process);
-        alone.holding.on_table_read(Some(&rows), 1, alone.now);
-        let batches = alone.takes();
+        let mut single = SingleHost::new(40, process);
+        single.holding.on_table_read(Some(&rows), 1, single.now);
+        let batches = single.takes();
         assert_eq!(batches.len(), 1);
-        alone.holding.on_take_outcome_unknown(alone.now);
-        assert!(alone.takes().is_empty(), "pending engines were taken");
-        alone.reads_within(ms(3_100)).expect("the table is read")
+        single.holding.on_take_outcome_unknown(single.now);
+        assert!(single.takes().is_empty(), "pending engines were taken");
+        single.reads_within(ms(3_100)).expect("the table is read")
     };
     let times: BTreeSet<Duration> = (0..30).map(read_at).collect();
     assert!(times.len() >= 15, "{times:?}");
