--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -261,12 +261,12 @@
             true => up,
             false => Vec::new(),
         };
-        let open = || {
-            let mut open = engines.clone();
-            open.retain(|engine, _| !claimed.contains(engine.as_str()));
-            Arc::new(open)
+        let unclaimed = || {
+            let mut unclaimed = engines.clone();
+            unclaimed.retain(|engine, _| !claimed.contains(engine.as_str()));
+            Arc::new(unclaimed)
         };
-        let actions = holding.decide(&engines, &takers, true, open, lease_of, now);
+        let actions = holding.decide(&engines, &takers, true, unclaimed, lease_of, now);
         let version = holding.lease_version();
         let term = holding.lease().term();
         let ordered: Vec<(String, HeldEngine)> = engines
