--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -803,7 +803,7 @@
         row(host_key(address(1)), 4, lost),
     ];
     single.holding.on_table_read(Some(&rows), 1, single.now);
-    let malformed = [row(engine_key("engine-0"), 6, b"spoilt".to_vec())];
+    let malformed = [row(engine_key("engine-0"), 6, b"malformed".to_vec())];
     single
         .holding
         .on_table_read(Some(&malformed), 1, single.now);
