--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -68,7 +68,7 @@
 #[derive(Default)]
 struct Engine {
     /// Number of the incarnation.
-    started: u64,
+    incarnation: u64,
     model: bool,
     model_ready: Option<Instant>,
     held: BTreeMap<String, u64>,
@@ -130,7 +130,7 @@
     /// Starts a new, empty incarnation, which counts orders from zero.
     fn restart(&mut self) {
         *self = Self {
-            started: self.started + 1,
+            incarnation: self.incarnation + 1,
             newest: std::mem::take(&mut self.newest),
             ..Self::default()
         };
@@ -245,7 +245,7 @@
         });
         let coming = self.coming.iter();
         TargetReport {
-            started: Some(TargetStart::from_unix_ms(self.started)),
+            started: Some(TargetStart::from_unix_ms(self.incarnation)),
             models: models.into_iter().collect(),
             coming: coming
                 .map(|(name, (version, _))| (MODEL.to_string(), name.clone(), *version))
@@ -265,7 +265,7 @@
 }
 
 /// A message in flight between the allocator and the engine.
-enum Due {
+enum Message {
     Order { order: PlannedOrder, reply: bool },
     OrderEnd(Option<OrderReply>),
     Report,
@@ -277,9 +277,9 @@
     now: Instant,
     desk: EngineAllocator,
     engine: Engine,
-    due: Vec<(Instant, Due)>,
+    messages: Vec<(Instant, Message)>,
     /// Last placement sent to the host, by adapter.
-    told: HashMap<String, Placement>,
+    placements: HashMap<String, Placement>,
     unanswered: u32,
     looks: usize,
 }
@@ -304,8 +304,8 @@
             now,
             desk: EngineAllocator::new("engine", spec(), shared, now),
             engine: Engine::default(),
-            due: Vec::new(),
-            told: HashMap::new(),
+            messages: Vec::new(),
+            placements: HashMap::new(),
             unanswered,
             looks: 0,
         }
@@ -326,7 +326,7 @@
                 due.is_none_or(|due| due > self.now),
                 "next deadline is not in the future"
             );
-            self.take(actions);
+            self.apply(actions);
         }
     }
 
@@ -337,18 +337,18 @@
     ) {
         let want = want(adapter, version);
         let actions = self.desk.on_want(host(1), &want, self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
     fn state(
         &self,
         adapter: &str,
     ) -> PlacementState {
-        let placement = self.told.get(&format!("{MODEL}/{adapter}"));
+        let placement = self.placements.get(&format!("{MODEL}/{adapter}"));
         placement.map_or(PlacementState::Absent, Placement::state)
     }
 
-    fn take(
+    fn apply(
         &mut self,
         actions: Vec<AllocatorAction>,
     ) {
@@ -357,10 +357,12 @@
                 AllocatorAction::LoadRejected { .. } => {}
                 AllocatorAction::Order(order) => self.send(order),
                 AllocatorAction::LoadCompleted { .. } => {}
-                AllocatorAction::RequestReport => self.due.push((self.now + ms(2), Due::Report)),
+                AllocatorAction::RequestReport => {
+                    self.messages.push((self.now + ms(2), Message::Report))
+                }
                 AllocatorAction::Reply { placement, .. }
                 | AllocatorAction::Announce { placement, .. } => {
-                    self.told.insert(placement.adapter.clone(), placement);
+                    self.placements.insert(placement.adapter.clone(), placement);
                 }
             }
         }
@@ -377,42 +379,45 @@
             false => ms(1),
         };
         if lost {
-            self.due.push((self.now + ms(120), Due::OrderEnd(None)));
+            self.messages
+                .push((self.now + ms(120), Message::OrderEnd(None)));
         }
         let reply = !lost;
-        self.due
-            .push((self.now + delay, Due::Order { order, reply }));
+        self.messages
+            .push((self.now + delay, Message::Order { order, reply }));
     }
 
     fn deliver(&mut self) {
         loop {
-            let next = (0..self.due.len())
-                .filter(|at| self.due[*at].0 <= self.now)
-                .min_by_key(|at| self.due[*at].0);
+            let next = (0..self.messages.len())
+                .filter(|at| self.messages[*at].0 <= self.now)
+                .min_by_key(|at| self.messages[*at].0);
             let Some(next) = next else {
                 self.engine.pass(self.now);
                 return;
             };
-            let (at, due) = self.due.swap_remove(next);
-            match due {
-                Due::Order { order, reply } => {
+            let (at, message) = self.messages.swap_remove(next);
+            match message {
+                Message::Order { order, reply } => {
                     let outcome = self.engine.carry_out(&order, at);
                     if reply {
-                        self.due.push((at + ms(1), Due::OrderEnd(Some(outcome))));
+                        self.messages
+                            .push((at + ms(1), Message::OrderEnd(Some(outcome))));
                     }
                 }
-                Due::OrderEnd(reply) => {
+                Message::OrderEnd(reply) => {
                     let actions = self.desk.on_order_end(reply, self.now);
-                    self.take(actions);
+                    self.apply(actions);
                 }
-                Due::Report => {
+                Message::Report => {
                     self.engine.pass(at);
                     let report = self.engine.report();
-                    self.due.push((at + ms(2), Due::ReportEnd(Some(report))));
+                    self.messages
+                        .push((at + ms(2), Message::ReportEnd(Some(report))));
                 }
-                Due::ReportEnd(report) => {
+                Message::ReportEnd(report) => {
                     let actions = self.desk.on_report(report, self.now);
-                    self.take(actions);
+                    self.apply(actions);
                 }
             }
         }
@@ -425,8 +430,8 @@
         version: u64,
     ) -> bool {
         let key = format!("{MODEL}/{adapter}");
-        let ready =
-            self.state(adapter) == PlacementState::Ready && self.told[&key].version >= version;
+        let ready = self.state(adapter) == PlacementState::Ready
+            && self.placements[&key].version >= version;
         if !ready {
             self.want(adapter, version);
             return false;
@@ -443,13 +448,13 @@
     /// Restarts the engine. The allocator learns it from the target list, or by itself.
     fn restart(
         &mut self,
-        told: bool,
+        is_listed: bool,
     ) {
         self.engine.restart();
-        if told {
-            let started = TargetStart::from_unix_ms(self.engine.started);
+        if is_listed {
+            let started = TargetStart::from_unix_ms(self.engine.incarnation);
             let actions = self.desk.on_incarnation(Some(started), self.now);
-            self.take(actions);
+            self.apply(actions);
         }
     }
 
@@ -675,7 +680,7 @@
     world.want("a1", 2);
     world.run(ms(400));
     assert_eq!(world.state("a1"), PlacementState::Ready);
-    assert_eq!(world.told["m0/a1"].version, 2);
+    assert_eq!(world.placements["m0/a1"].version, 2);
     assert_eq!(world.engine.held.get("a1"), Some(&2));
 }
 
@@ -776,7 +781,7 @@
     world.run(ms(3_000));
     world.want("a1", 1);
     // The reply to the order never arrives.
-    world.due.clear();
+    world.messages.clear();
     world.want("a2", 1);
     assert_eq!(world.state("a2"), PlacementState::Coming);
     let promised = world.now;
@@ -817,12 +822,12 @@
         _ => None,
     });
     assert_eq!(reason, expected);
-    let told = actions.iter().find_map(|action| match action {
+    let due_ms = actions.iter().find_map(|action| match action {
         AllocatorAction::Reply { placement, .. } => Some(placement.due_ms),
         _ => None,
     });
     if expected.is_some() {
-        assert!(told.is_some_and(|due| due > patience_ms), "{told:?}");
+        assert!(due_ms.is_some_and(|due| due > patience_ms), "{due_ms:?}");
     }
 }
 
@@ -857,7 +862,7 @@
 #[rstest]
 #[case::the_list_tells(true)]
 #[case::only_its_report_tells(false)]
-fn an_engine_that_starts_anew_is_known_to_hold_nothing(#[case] told: bool) {
+fn an_engine_that_starts_anew_is_known_to_hold_nothing(#[case] is_listed: bool) {
     let mut world = World::new(1, 0);
     world.run(ms(3_000));
     for name in ["a1", "a2"] {
@@ -865,8 +870,8 @@
         world.run(ms(1_000));
         assert_eq!(world.state(name), PlacementState::Ready);
     }
-    world.restart(told);
-    if !told {
+    world.restart(is_listed);
+    if !is_listed {
         // The next order meets another sequence, and the allocator requests a report.
         world.want("a3", 1);
         world.run(ms(500));
@@ -906,7 +911,7 @@
     world.run(ms(1_000));
     let old_report = world.engine.report();
     world.restart(true);
-    let earlier = TargetStart::from_unix_ms(world.engine.started - 1);
+    let earlier = TargetStart::from_unix_ms(world.engine.incarnation - 1);
     assert_eq!(world.desk.on_incarnation(Some(earlier), world.now), []);
     let actions = world.desk.on_tick(world.now);
     assert!(
@@ -914,7 +919,7 @@
         "{actions:?}"
     );
     let actions = world.desk.on_report(Some(old_report), world.now);
-    world.take(actions);
+    world.apply(actions);
     assert_eq!(world.desk.adapters().len(), 0);
     world.run(ms(3_000));
     assert!(world.engine.model);
@@ -925,7 +930,7 @@
 #[rstest]
 #[case::the_list_tells(true)]
 #[case::only_its_report_tells(false)]
-fn an_engine_that_starts_anew_is_never_told_to_hold_too_much(#[case] told: bool) {
+fn an_engine_that_starts_anew_is_never_told_to_hold_too_much(#[case] is_listed: bool) {
     let mut served = 0;
     for seed in 0..60 {
         let unanswered = [10, 30, 50][seed as usize % 3];
@@ -942,7 +947,7 @@
                 world.tell_usage(&started);
             }
             if world.rng.random_range(0..30) == 0 {
-                world.restart(told);
+                world.restart(is_listed);
             }
             let pause = ms(world.rng.random_range(20..200));
             world.run(pause);
