--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -75,19 +75,19 @@
     coming: BTreeMap<String, (u64, Instant)>,
     /// Unloads (`None`) and replacements that wait for requests to end.
     waiting: BTreeMap<String, Option<u64>>,
-    lately: HashSet<(String, u64)>,
+    cached: HashSet<(String, u64)>,
     runs: HashMap<String, Vec<Instant>>,
     sequence: u64,
     loads_from_store: usize,
     /// Orders rejected because another one was being carried out.
-    refused_busy: usize,
+    rejected_while_busy: usize,
     /// Its base model is on its disk.
     model_at_hand: bool,
     newest: HashMap<String, u64>,
 }
 
 impl Engine {
-    fn pass(
+    fn advance(
         &mut self,
         now: Instant,
     ) {
@@ -106,7 +106,7 @@
             .collect();
         for name in over {
             let (version, _) = self.coming.remove(&name).unwrap();
-            self.lately.insert((name.clone(), version));
+            self.cached.insert((name.clone(), version));
             self.held.insert(name, version);
         }
         let free: Vec<String> = self
@@ -148,17 +148,17 @@
         self.runs.get(name).map_or(0, Vec::len)
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         order: &PlannedOrder,
         now: Instant,
     ) -> OrderReply {
-        self.pass(now);
+        self.advance(now);
         if order.expected_sequence != self.sequence {
             return OrderReply::Conflict;
         }
         if self.is_busy() {
-            self.refused_busy += 1;
+            self.rejected_while_busy += 1;
             return OrderReply::Conflict;
         }
         match (&order.adapter, order.kind) {
@@ -207,12 +207,12 @@
             self.held.len() + self.coming.len() < SLOTS,
             "engine over capacity: {name} is one adapter too many"
         );
-        let lately = self.lately.contains(&(name.to_string(), version));
-        let time = match lately {
+        let cached = self.cached.contains(&(name.to_string(), version));
+        let time = match cached {
             true => ms(25),
             false => ms(250),
         };
-        self.loads_from_store += usize::from(!lately);
+        self.loads_from_store += usize::from(!cached);
         self.coming.insert(name.to_string(), (version, now + time));
         self.sequence += 1;
         OrderReply::Accepted
@@ -275,13 +275,13 @@
 struct World {
     rng: StdRng,
     now: Instant,
-    desk: EngineAllocator,
+    allocator: EngineAllocator,
     engine: Engine,
     messages: Vec<(Instant, Message)>,
     /// Last placement sent to the host, by adapter.
     placements: HashMap<String, Placement>,
     unanswered: u32,
-    looks: usize,
+    probes: usize,
 }
 
 impl World {
@@ -289,11 +289,11 @@
         seed: u64,
         unanswered: u32,
     ) -> Self {
-        Self::beside(seed, unanswered, SharedAllocatorState::default())
+        Self::with_shared_state(seed, unanswered, SharedAllocatorState::default())
     }
 
     /// Creates an engine whose holder has other engines too.
-    fn beside(
+    fn with_shared_state(
         seed: u64,
         unanswered: u32,
         shared: SharedAllocatorState,
@@ -302,12 +302,12 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             now,
-            desk: EngineAllocator::new("engine", spec(), shared, now),
+            allocator: EngineAllocator::new("engine", spec(), shared, now),
             engine: Engine::default(),
             messages: Vec::new(),
             placements: HashMap::new(),
             unanswered,
-            looks: 0,
+            probes: 0,
         }
     }
 
@@ -319,9 +319,9 @@
         while self.now < end {
             self.now += STEP;
             self.deliver();
-            let actions = self.desk.on_tick(self.now);
+            let actions = self.allocator.on_tick(self.now);
             // An allocator that is always due would use a full processor.
-            let due = self.desk.next_deadline();
+            let due = self.allocator.next_deadline();
             assert!(
                 due.is_none_or(|due| due > self.now),
                 "next deadline is not in the future"
@@ -336,7 +336,7 @@
         version: u64,
     ) {
         let want = want(adapter, version);
-        let actions = self.desk.on_want(host(1), &want, self.now);
+        let actions = self.allocator.on_want(host(1), &want, self.now);
         self.apply(actions);
     }
 
@@ -372,7 +372,7 @@
         &mut self,
         order: PlannedOrder,
     ) {
-        self.looks += usize::from(order.purpose == OrderPurpose::Probe);
+        self.probes += usize::from(order.purpose == OrderPurpose::Probe);
         let lost = self.rng.random_range(0..100) < self.unanswered;
         let delay = match lost {
             true => ms(self.rng.random_range(2_000..12_000)),
@@ -393,30 +393,30 @@
                 .filter(|at| self.messages[*at].0 <= self.now)
                 .min_by_key(|at| self.messages[*at].0);
             let Some(next) = next else {
-                self.engine.pass(self.now);
+                self.engine.advance(self.now);
                 return;
             };
             let (at, message) = self.messages.swap_remove(next);
             match message {
                 Message::Order { order, reply } => {
-                    let outcome = self.engine.carry_out(&order, at);
+                    let outcome = self.engine.execute(&order, at);
                     if reply {
                         self.messages
                             .push((at + ms(1), Message::OrderEnd(Some(outcome))));
                     }
                 }
                 Message::OrderEnd(reply) => {
-                    let actions = self.desk.on_order_end(reply, self.now);
+                    let actions = self.allocator.on_order_end(reply, self.now);
                     self.apply(actions);
                 }
                 Message::Report => {
-                    self.engine.pass(at);
+                    self.engine.advance(at);
                     let report = self.engine.report();
                     self.messages
                         .push((at + ms(2), Message::ReportEnd(Some(report))));
                 }
                 Message::ReportEnd(report) => {
-                    let actions = self.desk.on_report(report, self.now);
+                    let actions = self.allocator.on_report(report, self.now);
                     self.apply(actions);
                 }
             }
@@ -453,12 +453,12 @@
         self.engine.restart();
         if is_listed {
             let started = TargetStart::from_unix_ms(self.engine.incarnation);
-            let actions = self.desk.on_incarnation(Some(started), self.now);
+            let actions = self.allocator.on_incarnation(Some(started), self.now);
             self.apply(actions);
         }
     }
 
-    fn tell_usage(
+    fn report_usage(
         &mut self,
         started: &[String],
     ) {
@@ -476,7 +476,7 @@
             tokens: 0,
             unread_tokens: 0,
         };
-        self.desk.on_usage(host(1), &usage, self.now);
+        self.allocator.on_usage(host(1), &usage, self.now);
     }
 }
 
@@ -492,35 +492,35 @@
 }
 
 /// State of a holder that has another engine with the base model.
-fn others(running: u32) -> SharedAllocatorState {
+fn shared_state(running: u32) -> SharedAllocatorState {
     let shared = SharedAllocatorState::default();
-    fill(&shared, running);
+    set_utilization(&shared, running);
     shared
 }
 
-fn fill(
+fn set_utilization(
     shared: &SharedAllocatorState,
     running: u32,
 ) {
-    let fill = EngineUtilization { running, slots: 8 };
+    let set_utilization = EngineUtilization { running, slots: 8 };
     let mut pool = shared.pool.borrow_mut();
-    pool.set(MODEL, "other", Some(fill));
+    pool.set(MODEL, "other", Some(set_utilization));
 }
 
 #[test]
 fn an_engine_that_is_added_empty_gets_its_base_model_once_it_is_needed() {
-    let shared = others(2);
-    let mut world = World::beside(1, 0, shared.clone());
+    let shared = shared_state(2);
+    let mut world = World::with_shared_state(1, 0, shared.clone());
     world.run(ms(3_000));
     assert!(!world.engine.model);
-    fill(&shared, 6);
+    set_utilization(&shared, 6);
     world.run(ms(1_500));
     assert!(world.engine.model);
 }
 
 #[test]
 fn a_base_model_that_is_at_hand_is_loaded_at_once() {
-    let mut world = World::beside(1, 0, others(0));
+    let mut world = World::with_shared_state(1, 0, shared_state(0));
     world.engine.model_at_hand = true;
     world.run(ms(1_500));
     assert!(world.engine.model);
@@ -538,7 +538,7 @@
         let there = world.engine.held.contains_key("a1");
         assert!(there || world.state("a1") != PlacementState::Ready);
     }
-    let late = world.looks;
+    let late = world.probes;
     assert!(late <= 6, "{late} probes for one load");
 }
 
@@ -570,11 +570,11 @@
             for _ in 0..5 {
                 world.request(name, 1);
             }
-            world.tell_usage(&[name.to_string(), name.to_string()]);
+            world.report_usage(&[name.to_string(), name.to_string()]);
         }
     }
     world.run(ms(3_000));
-    world.tell_usage(&[]);
+    world.report_usage(&[]);
     for name in ["a6", "a7"] {
         world.want(name, 1);
         world.run(ms(400));
@@ -599,7 +599,7 @@
         world.run(ms(400));
         world.request(&name, 1);
         world.engine.runs.get_mut(&name).unwrap()[0] = world.now + Duration::from_secs(60);
-        world.tell_usage(&[]);
+        world.report_usage(&[]);
     }
     world.want("b", 1);
     world.run(ms(100));
@@ -627,7 +627,7 @@
     world.want("c", 1);
     assert_eq!(world.state("c"), PlacementState::Full);
     world.run(ms(1_500));
-    assert_eq!(world.engine.refused_busy, 0);
+    assert_eq!(world.engine.rejected_while_busy, 0);
 
     world.run(ms(1_500));
     world.want("c", 1);
@@ -675,7 +675,7 @@
     world.want("a1", 1);
     world.run(ms(400));
     world.engine.newest.insert("a1".to_string(), 2);
-    world.desk.on_newest_version("m0/a1", 2);
+    world.allocator.on_newest_version("m0/a1", 2);
     world.run(ms(1_500));
     world.want("a1", 2);
     world.run(ms(400));
@@ -692,9 +692,9 @@
     world.run(ms(400));
     assert!(world.request("a1", 1));
     world.engine.runs.get_mut("a1").unwrap()[0] = world.now + ms(5_000);
-    world.tell_usage(&[]);
+    world.report_usage(&[]);
     world.engine.newest.insert("a1".to_string(), 2);
-    world.desk.on_newest_version("m0/a1", 2);
+    world.allocator.on_newest_version("m0/a1", 2);
     world.want("a1", 2);
     assert_eq!(world.state("a1"), PlacementState::Full);
     world.run(ms(4_000));
@@ -743,11 +743,11 @@
             if world.rng.random_range(0..60) == 0 {
                 world.engine.newest.insert(name.clone(), version + 1);
                 world
-                    .desk
+                    .allocator
                     .on_newest_version(&format!("{MODEL}/{name}"), version + 1);
             }
             if step % 2 == 0 {
-                world.tell_usage(&started);
+                world.report_usage(&started);
             }
             let pause = ms(world.rng.random_range(20..200));
             world.run(pause);
@@ -768,10 +768,10 @@
     world.want("a1", 1);
     world.run(ms(400));
     world.request("a1", 1);
-    world.tell_usage(&[]);
-    assert_eq!(world.desk.adapters()["m0/a1"].in_flight(), 1);
-    world.desk.on_host_gone(host(1));
-    assert_eq!(world.desk.adapters()["m0/a1"].in_flight(), 0);
+    world.report_usage(&[]);
+    assert_eq!(world.allocator.adapters()["m0/a1"].in_flight(), 1);
+    world.allocator.on_host_gone(host(1));
+    assert_eq!(world.allocator.adapters()["m0/a1"].in_flight(), 0);
 }
 
 /// Guards against a request that waits at one engine until its caller leaves, as each reply renews the promise.
@@ -805,7 +805,7 @@
     #[case] expected: Option<LoadRejection>,
 ) {
     let shared = SharedAllocatorState::default();
-    let mut world = World::beside(1, 0, shared.clone());
+    let mut world = World::with_shared_state(1, 0, shared.clone());
     world.run(ms(3_000));
     let elsewhere = EngineLoads {
         in_progress: 2 * usize::from(queued_elsewhere > 0),
@@ -816,7 +816,7 @@
         patience_ms,
         ..want("a1", 1)
     };
-    let actions = world.desk.on_want(host(1), &want, world.now);
+    let actions = world.allocator.on_want(host(1), &want, world.now);
     let reason = actions.iter().find_map(|action| match action {
         AllocatorAction::LoadRejected { reason, .. } => Some(*reason),
         _ => None,
@@ -835,7 +835,7 @@
 #[test]
 fn a_query_for_what_is_not_there_tells_how_long_its_load_takes() {
     let shared = SharedAllocatorState::default();
-    let mut world = World::beside(1, 0, shared.clone());
+    let mut world = World::with_shared_state(1, 0, shared.clone());
     world.run(ms(3_000));
     let query = EngineQuery {
         target: "engine".to_string(),
@@ -845,7 +845,10 @@
         prompt_tokens: 500,
     };
     let due = |world: &mut World| {
-        let placement = world.desk.on_query(host(1), &query, world.now).unwrap();
+        let placement = world
+            .allocator
+            .on_query(host(1), &query, world.now)
+            .unwrap();
         assert_eq!(placement.state(), PlacementState::Absent);
         placement.due_ms
     };
@@ -878,7 +881,7 @@
     }
     assert_eq!(world.state("a1"), PlacementState::Full);
     assert_eq!(world.state("a2"), PlacementState::Full);
-    assert_eq!(world.desk.adapters().len(), 0);
+    assert_eq!(world.allocator.adapters().len(), 0);
     world.run(ms(2_500));
     assert!(world.engine.model, "base model not loaded again");
     let before = world.engine.loads_from_store;
@@ -886,7 +889,7 @@
     world.run(ms(1_000));
     assert_eq!(world.state("a1"), PlacementState::Ready);
     assert_eq!(world.engine.loads_from_store, before + 1);
-    assert_eq!(world.engine.refused_busy, 0);
+    assert_eq!(world.engine.rejected_while_busy, 0);
 }
 
 /// Hosts would otherwise wait for the base model as well.
@@ -912,15 +915,15 @@
     let old_report = world.engine.report();
     world.restart(true);
     let earlier = TargetStart::from_unix_ms(world.engine.incarnation - 1);
-    assert_eq!(world.desk.on_incarnation(Some(earlier), world.now), []);
-    let actions = world.desk.on_tick(world.now);
+    assert_eq!(world.allocator.on_incarnation(Some(earlier), world.now), []);
+    let actions = world.allocator.on_tick(world.now);
     assert!(
         actions.contains(&AllocatorAction::RequestReport),
         "{actions:?}"
     );
-    let actions = world.desk.on_report(Some(old_report), world.now);
+    let actions = world.allocator.on_report(Some(old_report), world.now);
     world.apply(actions);
-    assert_eq!(world.desk.adapters().len(), 0);
+    assert_eq!(world.allocator.adapters().len(), 0);
     world.run(ms(3_000));
     assert!(world.engine.model);
 }
@@ -944,7 +947,7 @@
                 started.push(name);
             }
             if step % 2 == 0 {
-                world.tell_usage(&started);
+                world.report_usage(&started);
             }
             if world.rng.random_range(0..30) == 0 {
                 world.restart(is_listed);
@@ -960,14 +963,14 @@
 #[test]
 fn loads_that_a_holder_before_has_ordered_count_for_the_limit() {
     let shared = SharedAllocatorState::default();
-    let mut world = World::beside(1, 0, shared.clone());
+    let mut world = World::with_shared_state(1, 0, shared.clone());
     world.engine.model = true;
     for name in ["a1", "a2"] {
         let over = world.now + ms(2_000);
         world.engine.coming.insert(name.to_string(), (1, over));
     }
     world.run(ms(150));
-    assert_eq!(world.desk.adapters().len(), 2);
+    assert_eq!(world.allocator.adapters().len(), 2);
     assert!(!shared.limiter.borrow().has_room());
     world.run(ms(2_500));
     assert_eq!(world.engine.held.len(), 2);
