--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -502,9 +502,9 @@
     shared: &SharedAllocatorState,
     running: u32,
 ) {
-    let set_utilization = EngineUtilization { running, slots: 8 };
+    let utilization = EngineUtilization { running, slots: 8 };
     let mut pool = shared.pool.borrow_mut();
-    pool.set(MODEL, "other", Some(set_utilization));
+    pool.set(MODEL, "other", Some(utilization));
 }
 
 #[test]
