--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -106,7 +106,7 @@
             .retain(|_, (_, since)| now.saturating_duration_since(*since) < ttl);
         let mut decisions = Vec::new();
         while self.granted.len() < self.max_concurrent {
-            let Some(id) = self.highest_score() else {
+            let Some(id) = self.next_id() else {
                 break;
             };
             if let Some((request, _)) = self.waiting.remove(&id) {
@@ -118,7 +118,7 @@
         decisions
     }
 
-    fn highest_score(&self) -> Option<LoadRequestId> {
+    fn next_id(&self) -> Option<LoadRequestId> {
         self.waiting
             .iter()
             .max_by(|(a_id, (a, _)), (b_id, (b, _))| {
