--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -626,7 +626,7 @@
             .filter(|(version, _)| *version == newest_version)
             .map(|(_, since)| since)
             .min()?;
-        let lapsed = now.saturating_duration_since(since) >= self.timings.takeover_delay();
-        lapsed.then_some(newest_version)
+        let has_lapsed = now.saturating_duration_since(since) >= self.timings.takeover_delay();
+        has_lapsed.then_some(newest_version)
     }
 }
--- a/src/process/loads/load_queue.rs
+++ b/src/process/loads/load_queue.rs
@@ -106,9 +106,7 @@
             .retain(|_, (_, since)| now.saturating_duration_since(*since) < ttl);
         let mut decisions = Vec::new();
         while self.granted.len() < self.max_concurrent {
-            let Some(id) = self.next_id() else {
-                break;
-            };
+            let Some(id) = self.next_id() else { break };
             if let Some((request, _)) = self.waiting.remove(&id) {
                 self.granted.insert(id, (request, now));
                 decisions.push(LoadDecision::Granted(id));
