--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -76,7 +76,7 @@
     /// Base model that the engine holds.
     pub(super) model: Option<String>,
     pub(super) adapters: BTreeMap<String, ResidentAdapter>,
-    /// Slots for adapters beside the base model.
+    /// Slots for adapters that the base model leaves.
     pub(super) adapter_capacity: usize,
     pub(super) pending_loads: HashMap<String, PendingLoad>,
     pub(super) cache: EngineCacheEstimate,
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -334,7 +334,7 @@
         self.report_due_at = Some(now + MAX_REPORT_AGE);
     }
 
-    /// Applies a report, keeping what is known of each adapter besides. Returns the adapters whose loads have completed.
+    /// Applies a report, and keeps the recorded usage of adapters that stay. Returns those whose loads have completed.
     pub(super) fn apply_report(
         &mut self,
         report: &TargetReport,
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -538,8 +538,8 @@
         let there = world.engine.held.contains_key("a1");
         assert!(there || world.state("a1") != PlacementState::Ready);
     }
-    let late = world.probes;
-    assert!(late <= 6, "{late} probes for one load");
+    let probes = world.probes;
+    assert!(probes <= 6, "{probes} probes for one load");
 }
 
 #[test]
