--- a/src/process/engines/engine_allocator.rs
+++ b/src/process/engines/engine_allocator.rs
@@ -305,7 +305,7 @@
             queued: self
                 .pending_loads
                 .values()
-                .filter(|pending| !pending.spare)
+                .filter(|pending| !pending.has_other_copy)
                 .count(),
         };
         self.shared.limiter.borrow_mut().set(&self.target, loads);
@@ -348,7 +348,7 @@
             .entry(want.adapter.clone())
             .or_insert(PendingLoad {
                 version,
-                spare: want.spare,
+                has_other_copy: want.spare,
                 priority: want.priority,
                 requested_at: now,
                 promised_by,
@@ -356,7 +356,7 @@
             });
         pending.version = pending.version.max(version);
         pending.priority = pending.priority.min(want.priority);
-        pending.spare &= want.spare;
+        pending.has_other_copy &= want.spare;
         pending.waiting_requests.insert(host, want.waiting.max(1));
         let overdue = pending.is_overdue(now);
         let mut actions = self.next_orders(now);
--- a/src/process/engines/order_selection.rs
+++ b/src/process/engines/order_selection.rs
@@ -148,7 +148,7 @@
         resident.from_store = !self.cache.contains(&next, pending.version);
         let reason = match !resident.from_store {
             true => "held_lately",
-            false if pending.spare => "spare",
+            false if pending.has_other_copy => "spare",
             false => "missing",
         };
         self.adapters.insert(next, resident);
--- a/src/process/engines/pending_load.rs
+++ b/src/process/engines/pending_load.rs
@@ -22,7 +22,7 @@
 pub(super) struct PendingLoad {
     pub version: u64,
     /// Another engine holds a copy.
-    pub spare: bool,
+    pub has_other_copy: bool,
     pub priority: u32,
     pub requested_at: Instant,
     /// Expected completion, as given in the first reply.
@@ -50,7 +50,7 @@
         let delay = PRIORITY_DELAY * self.priority.min(LOWEST_PRIORITY);
         let advance = REQUEST_ADVANCE * additional;
         PendingLoadRank {
-            spare: self.spare,
+            has_other_copy: self.has_other_copy,
             due: self.requested_at + MAX_ADVANCE + delay - advance,
         }
     }
@@ -58,7 +58,7 @@
     /// Returns the queue rank by age alone.
     pub fn rank_by_age(&self) -> PendingLoadRank {
         PendingLoadRank {
-            spare: self.spare,
+            has_other_copy: self.has_other_copy,
             due: self.requested_at,
         }
     }
@@ -67,6 +67,6 @@
 /// Position in the load queue of this host; lower ranks are loaded first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PendingLoadRank {
-    spare: bool,
+    has_other_copy: bool,
     due: Instant,
 }
