--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -8,16 +8,18 @@
 use {
     coveproxy::{
         clock::Instant,
-        connection::targets::{BeliefBounds, BoardSettings, FleetView, TargetBoard, TargetView},
+        connection::targets::{
+            FleetView, StalenessBounds, TargetTable, TargetTableSettings, TargetView,
+        },
         formats::{TargetRecord, TargetState},
         process::{
-            holding::{Holding, HoldingTimings, HostRow},
+            holding::{EngineAssignment, HostRow, LeaseTimings},
             ownership::assign,
         },
         request::{
             direct::Policy,
             engine_candidates,
-            quotas::{Charge, QuotaLedger, QuotaTerms},
+            quotas::{Charge, QuotaLedger, QuotaPolicy},
         },
         version::{
             AdapterVersion, Change, EngineSpec, SiteConfig, TargetRole, TargetSpec,
@@ -77,9 +79,9 @@
     });
     let start = Instant::now();
     let mut ledger = QuotaLedger::new(Duration::from_secs(8), start);
-    let terms = QuotaTerms {
+    let terms = QuotaPolicy {
         window: Duration::from_secs(8),
-        over: 0.1,
+        tolerance: 0.1,
         slack: 11_000.0,
     };
     let mut id = 0;
@@ -91,7 +93,7 @@
             let charge = Charge {
                 id,
                 need: 1.0,
-                ahead: 0.0,
+                prefetch: 0.0,
             };
             let now = start + Duration::from_millis(id);
             let _ = black_box(ledger.charge(&customer.name, &bucket, charge, now));
@@ -229,11 +231,11 @@
         process: 1,
     };
     let lease = Duration::from_secs(12);
-    let timings = HoldingTimings::new(lease, lease / 4, lease / 4);
-    let mut holding = Holding::new(row, timings, now);
-    holding.on_table(Some(&[]), 0, now);
+    let timings = LeaseTimings::new(lease, lease / 4, lease / 4);
+    let mut holding = EngineAssignment::new(row, timings, now);
+    holding.on_table_read(Some(&[]), 0, now);
     holding.on_renewed(now, Some(1), now);
-    holding.on_table(Some(&[]), 1, now);
+    holding.on_table_read(Some(&[]), 1, now);
     let engines =
         (0..engines).map(|at| (format!("engine-{at:04}"), address(at + 1_000).to_string()));
     let engines: Arc<BTreeMap<String, String>> = Arc::new(engines.collect());
@@ -279,20 +281,20 @@
         ..FleetView::default()
     };
     let (control, _told) = flume::unbounded();
-    let settings = BoardSettings {
+    let settings = TargetTableSettings {
         first_start: false,
         budget_window: Duration::from_secs(10),
         budget_ratio: 0.2,
         budget_extra: 50.0,
         policy: Policy::default(),
-        bounds: BeliefBounds {
+        bounds: StalenessBounds {
             declared: Duration::from_secs(3),
             revoke: Duration::from_secs(5),
             targets: Duration::from_secs(2),
             version: Duration::from_secs(5),
         },
     };
-    let mut board = TargetBoard::new(settings, control);
+    let mut board = TargetTable::new(settings, control);
     board.set_view(Arc::new(view.clone()));
     let same = timed(20, || board.set_view(Arc::new(view.clone())));
     let mut next = 0;
@@ -305,7 +307,7 @@
         board.set_view(Arc::new(view));
     });
     let settling = timed(20, || {
-        black_box(board.settle_order("models", "m0/a1", 8, Instant::now()));
+        black_box(board.placement_order("models", "m0/a1", 8, Instant::now()));
     });
     (same, moved, settling)
 }
--- a/src/connection/datagram/target_news.rs
+++ b/src/connection/datagram/target_news.rs
@@ -3,7 +3,7 @@
 use crate::{
     clock::Instant,
     formats::TargetStart,
-    request::notices::{NamedLimit, TargetNotices},
+    request::notices::{AnnouncedLimit, TargetNotices},
 };
 
 /// A limit that a target has named.
@@ -68,13 +68,13 @@
     ) -> Self {
         let limit = notices.limit.map(|limit| LimitNews {
             rate: limit.rate,
-            told_ago_ms: millis_since(limit.told, now),
+            told_ago_ms: millis_since(limit.reported_at, now),
             ended: limit.ended,
         });
         Self {
             target: target.to_string(),
             start_ms: notices.start.map(TargetStart::unix_ms),
-            leaves: notices.leaves,
+            leaves: notices.leaving,
             limit,
         }
     }
@@ -87,12 +87,12 @@
         let start = self.start_ms.map(TargetStart::from_unix_ms);
         let limit = self.limit.filter(|limit| limit.rate >= 0.0);
         TargetNotices {
-            limit: limit.map(|limit| NamedLimit {
+            limit: limit.map(|limit| AnnouncedLimit {
                 rate: limit.rate,
-                told: before(now, limit.told_ago_ms),
+                reported_at: before(now, limit.told_ago_ms),
                 ended: limit.ended,
             }),
-            leaves: self.leaves,
+            leaving: self.leaves,
             ..TargetNotices::new(start, now)
         }
     }
--- a/src/connection/front/waiter.rs
+++ b/src/connection/front/adapter_waiter.rs
@@ -1,36 +1,36 @@
 use {
-    crate::connection::targets::TargetBoard,
+    crate::connection::targets::TargetTable,
     std::{cell::RefCell, rc::Rc},
     tokio::sync::Notify,
 };
 
 /// Counts a request as waiting for an adapter until dropped.
-pub struct Waiter {
-    board: Rc<RefCell<TargetBoard>>,
+pub struct AdapterWaiter {
+    board: Rc<RefCell<TargetTable>>,
     adapter: String,
-    news: Rc<Notify>,
+    update: Rc<Notify>,
 }
 
-impl Waiter {
+impl AdapterWaiter {
     pub fn start(
-        board: &Rc<RefCell<TargetBoard>>,
+        board: &Rc<RefCell<TargetTable>>,
         adapter: &str,
         priority: u8,
     ) -> Self {
         Self {
-            news: board.borrow_mut().start_waiting(adapter, priority),
+            update: board.borrow_mut().start_waiting(adapter, priority),
             board: board.clone(),
             adapter: adapter.to_string(),
         }
     }
 
-    /// Waits for news of the adapter.
-    pub async fn news(&self) {
-        self.news.notified().await;
+    /// Waits for an update on the adapter.
+    pub async fn updated(&self) {
+        self.update.notified().await;
     }
 }
 
-impl Drop for Waiter {
+impl Drop for AdapterWaiter {
     fn drop(&mut self) {
         self.board.borrow_mut().stop_waiting(&self.adapter);
     }
--- a/src/connection/front/admission/mod.rs
+++ b/src/connection/front/admission/mod.rs
@@ -1,19 +1,20 @@
-//! What a request passes before it is sent to a target, in this order: that the configuration is young enough to route
-//! it by (`belief_gate`), whose it is (`key_check`), whether that customer may use more (`quota_gate`); then before each
-//! send whether keys, versions and the list of targets are young enough (`belief_gate`), for plain services, at which
-//! target there is a place (`place_gate`), and whether a target that takes only so many requests takes this one
-//! (`permit_gate`).
+//! Admission control: the checks that a request passes before it is sent to a target.
+//!
+//! Once per request: the configuration is fresh enough to route by (`freshness_gate`), the key is valid (`key_check`)
+//! and the customer has quota left (`quota_gate`). Before each send: keys, versions and the list of targets are fresh
+//! enough (`freshness_gate`), a target of a plain service has a free slot (`slot_gate`), and a rate-limited target
+//! grants a permit (`permit_gate`).
 
-mod belief_gate;
+mod freshness_gate;
 mod key_check;
 mod permit_gate;
-mod place_gate;
 mod quota_gate;
+mod slot_gate;
 
 pub use {
-    belief_gate::{Belief, HELD_COME_BACK, wait_until_confirmed},
+    freshness_gate::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
     key_check::identify,
-    permit_gate::take_permit,
-    place_gate::{HeldPlace, PlaceFound, find_place},
-    quota_gate::{Charged, charge},
+    permit_gate::acquire_permit,
+    quota_gate::{QuotaCharge, charge},
+    slot_gate::{HeldSlot, SlotAcquisition, acquire_slot},
 };
--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -1,54 +1,55 @@
-//! Leave to send to a target that takes only so many requests a second from all hosts together.
+//! Permits to send to a target whose request rate is limited over all hosts.
 
 use {
     crate::{
         clock::{Instant, timeout_at},
-        connection::targets::TargetBoard,
+        connection::targets::TargetTable,
         metrics::{StateLabels, metrics},
-        request::notices::Openness,
+        request::notices::Availability,
     },
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// The host that counts answers within this time; past it nothing is sent.
-const ASK_LIMIT: Duration = Duration::from_millis(50);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A target whose counting host does not answer is left alone for so long: by then another one counts, or this one is back.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
+/// Backoff for a target after a permit request that nobody answered.
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
 
-/// True if a request may go to a target now; else the target is left alone until it may be asked for again.
-pub async fn take_permit(
-    board: &Rc<RefCell<TargetBoard>>,
+/// Requests a permit where the target needs one, and returns true if a request may be sent there now.
+///
+/// If not, the target is closed on this host until the next permit may be requested.
+pub async fn acquire_permit(
+    board: &Rc<RefCell<TargetTable>>,
     target: &Arc<str>,
 ) -> bool {
-    let begun = Instant::now();
+    let started = Instant::now();
     let id = rand::random();
-    let mut ask = {
+    let mut pending = {
         let board = board.borrow();
-        match board.openness(target, begun) {
-            Openness::Open => return true,
-            Openness::Closed => return false,
-            Openness::Limited => {}
+        match board.availability(target, started) {
+            Availability::Open => return true,
+            Availability::Closed => return false,
+            Availability::Limited => {}
         }
-        let ask = board.permits.start(id);
-        board.ask_permit(id, target, begun);
-        ask
+        let pending = board.pending_permits.register(id);
+        board.request_permit(id, target, started);
+        pending
     };
-    let answer = timeout_at(begun + ASK_LIMIT, ask.answer()).await;
-    let (state, pause) = match answer.ok().flatten() {
+    let answer = timeout_at(started + PERMIT_TIMEOUT, pending.answer()).await;
+    let (state, backoff) = match answer.ok().flatten() {
         Some(answer) if answer.granted => ("granted", None),
         Some(answer) => {
-            let pause = Duration::from_millis(u64::from(answer.ask_again_ms));
-            ("denied", Some(pause))
+            let backoff = Duration::from_millis(u64::from(answer.ask_again_ms));
+            ("denied", Some(backoff))
         }
-        None => ("unanswered", Some(UNANSWERED_PAUSE)),
+        None => ("unanswered", Some(UNANSWERED_BACKOFF)),
     };
     let labels = StateLabels { state };
     metrics().permit_asks.get_or_create(&labels).inc();
-    let Some(pause) = pause else {
+    let Some(backoff) = backoff else {
         return true;
     };
-    let until = Instant::now() + pause;
-    board.borrow_mut().close(target, until);
+    let until = Instant::now() + backoff;
+    board.borrow_mut().mark_unavailable(target, until);
     false
 }
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -1,55 +1,52 @@
-//! Whether a request's customer may use as much as the request costs, over all hosts.
+//! Charges the cost of a request to its customer's quota, which is shared by all hosts.
 
 use {
     crate::{
         clock::{Instant, sleep_until, timeout_at},
         connection::{
             datagram::{ChargeAnswer, ChargeAsk, ChargeRefund},
-            front::{OwnAnswer, OwnCause},
-            targets::{TargetBoard, count_ask},
+            front::{ErrorCause, LocalAnswer},
+            targets::{TargetTable, count_charge_request},
         },
         request::{
             direct::CallRequest,
-            quotas::{AskedParts, Charge, QuotaStep, slot_for},
+            quotas::{Charge, QuotaStep, TriedParts, shard_for},
         },
     },
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// A host that counts a customer's use answers within this time: a round trip takes some 3 ms, and small hosts are
-/// busy for some tens of ms now and then.
-const ASK_LIMIT: Duration = Duration::from_millis(100);
+const CHARGE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Part of its aim for which a request waits until its customer may use what it costs: it is still answered in time then,
-/// and if it came back, which many callers do once, it would not be.
-const WAIT_SHARE: f64 = 0.4;
+/// Share of the route's latency objective for which a request waits for quota. Waiting that long still leaves time to
+/// answer, while a rejected caller that retries would be late.
+const MAX_WAIT_SHARE: f64 = 0.4;
 
-/// Part of its aim for which a request waits until it is known who counts its customer's use. When all hosts were lost at
-/// once, that is known 0.2 to 0.6 s after they have started again, and requests come after 0.06 s.
-const UNCOUNTED_WAIT_SHARE: f64 = 0.6;
+/// Share of the route's latency objective for which a request waits until a host is known that counts the quota, such
+/// as after all hosts have restarted.
+const MAX_UNCOUNTED_WAIT_SHARE: f64 = 0.6;
 
-/// Callers whose customer's use nobody counts come back after this time: most hosts that were lost have a successor
-/// or are back by then.
-const UNCOUNTED_COME_BACK: Duration = Duration::from_millis(300);
+/// Retry delay for callers whose quota no reachable host counts.
+const UNCOUNTED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Callers that are over their limit are told to come back after this time at the least: several share what comes in.
-const LEAST_COME_BACK: Duration = Duration::from_millis(50);
+/// Minimum retry delay for callers over their limit: several of them share the quota that accrues.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// What a request was let use; it goes back when dropped before the request may have run.
-pub struct Charged {
-    board: Rc<RefCell<TargetBoard>>,
-    /// What it was granted by; none if it was paid for with what had been granted ahead.
+/// Quota charged for a request; refunded when dropped, unless the request may have run.
+pub struct QuotaCharge {
+    board: Rc<RefCell<TargetTable>>,
+    /// Refund of the grant; `None` if the charge was covered by quota granted in advance.
     grant: Option<ChargeRefund>,
 }
 
-impl Charged {
-    /// The request may have run.
-    pub fn keep(&mut self) {
+impl QuotaCharge {
+    /// Makes the charge final, as the request may have run.
+    pub fn commit(&mut self) {
         self.grant = None;
     }
 }
 
-impl Drop for Charged {
+impl Drop for QuotaCharge {
     fn drop(&mut self) {
         if let Some(refund) = self.grant.take() {
             self.board.borrow().refund(refund);
@@ -57,11 +54,12 @@
     }
 }
 
-/// Lets a request use what it costs, or gives the answer to it; `None` if nothing is counted for it.
+/// Charges the cost of a request, waiting for quota for a while; returns `None` if its customer has no limit, and the
+/// answer to the caller if the request is rejected.
 pub async fn charge(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
-) -> Result<Option<Charged>, OwnAnswer> {
+) -> Result<Option<QuotaCharge>, LocalAnswer> {
     let Some(credential) = &request.credential else {
         return Ok(None);
     };
@@ -71,99 +69,107 @@
     let gate = QuotaGate {
         board,
         customer: &credential.customer.name,
-        cost: limit.cost(request.told_tokens),
+        cost: limit.cost(request.declared_tokens),
     };
-    gate.note_request();
-    let begun = Instant::now();
-    let patience = begun + request.route.aim.mul_f64(WAIT_SHARE);
-    let counted_by = begun + request.route.aim.mul_f64(UNCOUNTED_WAIT_SHARE);
+    gate.record_request();
+    let started = Instant::now();
+    let quota_deadline = started + request.route.aim.mul_f64(MAX_WAIT_SHARE);
+    let counter_deadline = started + request.route.aim.mul_f64(MAX_UNCOUNTED_WAIT_SHARE);
     loop {
         match gate.charge().await {
             Ok(charged) => return Ok(Some(charged)),
-            Err(Uncharged::Over { come_back }) if Instant::now() + come_back <= patience => {
-                sleep_until(Instant::now() + come_back).await;
+            Err(ChargeError::Over { retry_after })
+                if Instant::now() + retry_after <= quota_deadline =>
+            {
+                sleep_until(Instant::now() + retry_after).await;
             }
-            Err(Uncharged::Uncounted) if Instant::now() < counted_by => {
-                let news = board.borrow().confirmation_news();
-                let _ = timeout_at(counted_by, news.notified()).await;
+            Err(ChargeError::Uncounted) if Instant::now() < counter_deadline => {
+                let update = board.borrow().freshness_updates();
+                let _ = timeout_at(counter_deadline, update.notified()).await;
             }
-            Err(uncharged) => return Err(uncharged.answer()),
+            Err(error) => return Err(error.answer()),
         }
     }
 }
 
-/// Why a request was not let use what it costs.
+/// Why a request was not charged.
 #[derive(Debug, Clone, Copy)]
-enum Uncharged {
-    /// It will be there after this time.
-    Over { come_back: Duration },
-    /// Nobody answers who counts its customer's use.
+enum ChargeError {
+    /// The quota is used up; enough has accrued after this time.
+    Over { retry_after: Duration },
+    /// No host that counts the quota answered.
     Uncounted,
 }
 
-impl Uncharged {
-    fn answer(self) -> OwnAnswer {
+impl ChargeError {
+    fn answer(self) -> LocalAnswer {
         match self {
-            Self::Over { come_back } => {
-                OwnAnswer::after(OwnCause::OverLimit, come_back.max(LEAST_COME_BACK))
+            Self::Over { retry_after } => {
+                LocalAnswer::after(ErrorCause::OverLimit, retry_after.max(MIN_RETRY_AFTER))
+            }
+            Self::Uncounted => {
+                LocalAnswer::after(ErrorCause::QuotaUnavailable, UNCOUNTED_RETRY_AFTER)
             }
-            Self::Uncounted => OwnAnswer::after(OwnCause::Uncounted, UNCOUNTED_COME_BACK),
         }
     }
 }
 
-/// One request before the hosts that count its customer's use.
+/// Charges one request, part by part of its customer's quota.
 struct QuotaGate<'a> {
-    board: &'a Rc<RefCell<TargetBoard>>,
+    board: &'a Rc<RefCell<TargetTable>>,
     customer: &'a str,
     cost: f64,
 }
 
 impl QuotaGate<'_> {
-    fn note_request(&self) {
+    fn record_request(&self) {
         let mut board = self.board.borrow_mut();
-        let known = board.quotas.of(self.customer);
-        known.on_request(self.cost, Instant::now());
+        let usage = board.quotas.of(self.customer);
+        usage.on_request(self.cost, Instant::now());
     }
 
-    async fn charge(&self) -> Result<Charged, Uncharged> {
-        let mut asked = AskedParts::default();
+    async fn charge(&self) -> Result<QuotaCharge, ChargeError> {
+        let mut asked = TriedParts::default();
         loop {
             match self.next_step(&asked) {
-                QuotaStep::Ask { part, charge } => {
+                QuotaStep::Request { part, charge } => {
                     asked[part] = true;
-                    if let Some(charged) = self.ask(part, charge).await {
+                    if let Some(charged) = self.charge_part(part, charge).await {
                         return Ok(charged);
                     }
                 }
-                QuotaStep::Paid => return Ok(self.charged(None)),
-                QuotaStep::Over { come_back } => return Err(Uncharged::Over { come_back }),
-                QuotaStep::Uncounted => return Err(Uncharged::Uncounted),
+                QuotaStep::Prepaid => return Ok(self.charged(None)),
+                QuotaStep::OverLimit { retry_after } => {
+                    return Err(ChargeError::Over { retry_after });
+                }
+                QuotaStep::Unavailable => return Err(ChargeError::Uncounted),
             }
         }
     }
 
     fn next_step(
         &self,
-        asked: &AskedParts,
+        asked: &TriedParts,
     ) -> QuotaStep {
         let mut board = self.board.borrow_mut();
-        let known = board.quotas.of(self.customer);
-        known.next_step(self.cost, asked, Instant::now())
+        let usage = board.quotas.of(self.customer);
+        usage.next_step(self.cost, asked, Instant::now())
     }
 
-    /// Asks one host; gives what it granted.
-    async fn ask(
+    /// Sends a charge to the host that counts one part of the quota; returns `None` if it was not granted.
+    async fn charge_part(
         &self,
         part: usize,
         charge: Charge,
-    ) -> Option<Charged> {
-        let asked_at = Instant::now();
-        let answer = self.answer_of(part, charge, asked_at + ASK_LIMIT).await;
-        let granted = self.note_answer(part, &charge, answer, asked_at);
+    ) -> Option<QuotaCharge> {
+        let sent_at = Instant::now();
+        let answer = self
+            .request_charge(part, charge, sent_at + CHARGE_TIMEOUT)
+            .await;
+        let granted = self.record_answer(part, &charge, answer, sent_at);
         granted.then(|| {
             self.charged(Some(ChargeRefund {
-                slot: slot_for(self.customer, part) as u32,
+                slot: shard_for(self.customer, part) as u32,
                 customer: self.customer.to_string(),
                 id: charge.id,
                 amount: self.cost.floor() as u32,
@@ -171,61 +177,61 @@
         })
     }
 
-    async fn answer_of(
+    async fn request_charge(
         &self,
         part: usize,
         charge: Charge,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<ChargeAnswer> {
-        let asked = ChargeAsk {
-            slot: slot_for(self.customer, part) as u32,
+        let charge_request = ChargeAsk {
+            slot: shard_for(self.customer, part) as u32,
             customer: self.customer.to_string(),
             id: charge.id,
             need: charge.need.ceil() as u32,
-            ahead: charge.ahead.floor() as u32,
+            ahead: charge.prefetch.floor() as u32,
         };
-        let mut ask = {
+        let mut pending = {
             let board = self.board.borrow();
-            if !board.ask_charge(asked) {
-                count_ask("nobody");
+            if !board.request_charge(charge_request) {
+                count_charge_request("nobody");
                 return None;
             }
-            count_ask("asked");
-            board.quotas.asks.start(charge.id)
+            count_charge_request("asked");
+            board.quotas.pending_charges.register(charge.id)
         };
-        timeout_at(until, ask.answer()).await.ok().flatten()
+        timeout_at(deadline, pending.answer()).await.ok().flatten()
     }
 
-    /// Takes an answer in; true if the request was granted what it costs.
-    fn note_answer(
+    /// Records an answer; returns true if the cost of the request was granted.
+    fn record_answer(
         &self,
         part: usize,
         charge: &Charge,
         answer: Option<ChargeAnswer>,
-        asked_at: Instant,
+        sent_at: Instant,
     ) -> bool {
         let now = Instant::now();
         let mut board = self.board.borrow_mut();
-        let known = board.quotas.of(self.customer);
+        let usage = board.quotas.of(self.customer);
         let Some(answer) = answer.filter(|answer| !answer.not_counted) else {
-            known.on_silent(part, now);
+            usage.on_unresponsive(part, now);
             return false;
         };
         if answer.granted == 0 && charge.need > 0.0 {
-            let come_back = Duration::from_millis(u64::from(answer.come_back_ms));
-            known.on_over(part, charge.need, come_back, now);
+            let retry_after = Duration::from_millis(u64::from(answer.come_back_ms));
+            usage.on_over_limit(part, charge.need, retry_after, now);
             return false;
         }
-        known.on_answer(part);
-        known.on_ahead(f64::from(answer.granted) - charge.need.ceil(), asked_at);
+        usage.on_answer(part);
+        usage.on_prefetched(f64::from(answer.granted) - charge.need.ceil(), sent_at);
         true
     }
 
     fn charged(
         &self,
         grant: Option<ChargeRefund>,
-    ) -> Charged {
-        Charged {
+    ) -> QuotaCharge {
+        QuotaCharge {
             board: self.board.clone(),
             grant,
         }
--- /dev/null
+++ b/src/connection/front/attempts.rs
@@ -0,0 +1,74 @@
+use {
+    super::{
+        exchange::{CompleteAnswer, Destination},
+        request_trace::{RequestTrace, TraceStep},
+    },
+    crate::{
+        clock::Instant,
+        request::direct::{AttemptEnd, RequestHistory},
+    },
+    std::sync::Arc,
+};
+
+/// Maximum number of samples of engines that a request discards because all of them are busy.
+const MAX_DISCARDED_SAMPLES: u32 = 2;
+
+/// Attempts to serve one request.
+#[derive(Default)]
+pub struct Attempts {
+    pub history: RequestHistory,
+    /// Targets that rejected it, were not reached, or lost the connection.
+    pub tried: Vec<String>,
+    /// Last answer with a server error.
+    pub failure: Option<CompleteAnswer>,
+    pub trace: RequestTrace,
+    /// Last query of engines' status.
+    pub query: Option<QueryRound>,
+    /// Discarded samples of engines.
+    discarded_samples: u32,
+}
+
+/// Engines whose holders were queried, and the time of the query.
+pub struct QueryRound {
+    pub targets: Vec<Arc<str>>,
+    pub since: Instant,
+}
+
+impl Attempts {
+    /// Records a send without an answer that can be relayed.
+    pub fn record_end(
+        &mut self,
+        destination: &Destination,
+        end: AttemptEnd,
+        now: Instant,
+    ) {
+        self.history.record(end);
+        self.query = None;
+        let target = destination.target.clone();
+        let step = match end {
+            AttemptEnd::NotSent => TraceStep::Unreachable { target },
+            AttemptEnd::NotRun { status, .. } => TraceStep::Rejected { target, status },
+            AttemptEnd::Failed { status } => TraceStep::Failed { target, status },
+            AttemptEnd::Lost => TraceStep::ConnectionLost { target },
+        };
+        self.trace.add(step, now);
+    }
+
+    /// Discards the sample of engines; returns false if that was done too often, or if there is no sample.
+    pub fn discard_sample(&mut self) -> bool {
+        if self.query.is_none() || self.discarded_samples >= MAX_DISCARDED_SAMPLES {
+            return false;
+        }
+        self.query = None;
+        self.discarded_samples += 1;
+        true
+    }
+
+    /// Returns true if this target is not to be tried again.
+    pub fn has_tried(
+        &self,
+        target: &str,
+    ) -> bool {
+        self.tried.iter().any(|tried| tried == target)
+    }
+}
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -1,64 +1,65 @@
 use {
     super::{
-        adapter_standing::AdapterStanding,
-        against_engines::AgainstEngines,
-        engine_outlook::EngineOutlook,
-        engine_sample::{look_before_send, sample_for_adapter, sample_of_service},
-        exchange::{Destination, VersionSent},
+        adapter_availability::AdapterAvailability,
+        attempts::Attempts,
+        engine_estimator::EngineEstimator,
+        engine_exclusions::EngineExclusions,
+        engine_sample::{query_before_send, sample_for_adapter, sample_of_service},
+        exchange::{Destination, ExpectedVersion},
         request_trace::TraceStep,
-        tries::Tries,
-        waits::{ASK_WAIT, LOOK_AGAIN},
+        waits::{CHOICE_RETRY_INTERVAL, HOLDER_TIMEOUT},
     },
     crate::{
         clock::Instant,
-        connection::targets::{AdapterAsk, TargetBoard},
+        connection::targets::{AdapterRequest, TargetTable},
         request::direct::{
-            CallRequest, ChoiceTerms, CopyState, EngineCandidate, EngineChoice, Patience,
-            PlainCandidate, RequestTime, choose_engine, choose_plain, wait_or_refuse,
+            AdapterCopyState, CallRequest, ChoiceContext, EngineCandidate, EngineChoice,
+            PlainCandidate, RequestTiming, WaitDecision, choose_engine, choose_plain,
+            wait_or_reject,
         },
     },
     rand::RngExt,
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// Price of a copy of an adapter that is asked for once in a few seconds over all hosts.
-const COPY_PRICE: Duration = Duration::from_millis(300);
+/// Cost of loading a copy of an adapter that is requested once in a few seconds over all hosts.
+const COPY_COST: Duration = Duration::from_millis(300);
 
-/// A request waits for an engine at least this long before it looks again.
-const LEAST_WAIT: Duration = Duration::from_millis(2);
+/// Minimum wait of a request before it tries to choose an engine again.
+const MIN_WAIT: Duration = Duration::from_millis(2);
 
-/// Share of its aim after which it is refused.
-const LOOK_SHARE: f64 = 0.17;
+/// Share of the route's latency objective after which a request that no target can take is rejected.
+const PROMPT_REJECT_SHARE: f64 = 0.17;
 
-/// Callers that are refused while all targets are closed are told to come back within this time after the first opens.
-const OPENING_SPREAD: Duration = Duration::from_millis(500);
+/// Retries of callers that are rejected while all targets are closed are spread over this time after the first one
+/// opens.
+const RETRY_SPREAD: Duration = Duration::from_millis(500);
 
-/// What is decided for the next send.
+/// Decision on the next send of a request.
 pub enum Choice {
     Send(Destination),
     Wait {
         until: Instant,
         expected: Option<Duration>,
     },
-    /// Tell the caller to come back after this time.
-    Refuse(Duration),
-    Nowhere,
-    /// Wait for what holders tell of their engines, until this time at the most.
-    Look {
+    /// Reject the request; the caller should retry after this time.
+    Reject(Duration),
+    NoTarget,
+    /// Wait until the queried holders have reported the status of their engines, at most until this time.
+    AwaitReports {
         until: Instant,
     },
 }
 
 /// Chooses the target of each send.
 pub struct Chooser {
-    board: Rc<RefCell<TargetBoard>>,
-    /// The hall of this host.
+    board: Rc<RefCell<TargetTable>>,
     hall: String,
 }
 
 impl Chooser {
     pub fn new(
-        board: Rc<RefCell<TargetBoard>>,
+        board: Rc<RefCell<TargetTable>>,
         hall: &str,
     ) -> Self {
         Self {
@@ -67,38 +68,40 @@
         }
     }
 
-    /// Chooses where a request goes next.
+    /// Chooses the target of the next send of a request.
     pub fn choose(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
         let mut board = self.board.borrow_mut();
         match &request.generation {
             Some(generation) => match generation.adapter() {
-                Some(adapter) => self.choose_for_adapter(&mut board, request, tries, adapter, now),
-                None => self.choose_base(&mut board, request, tries, now),
+                Some(adapter) => {
+                    self.choose_for_adapter(&mut board, request, attempts, adapter, now)
+                }
+                None => self.choose_base(&mut board, request, attempts, now),
             },
-            None => self.choose_plain(&board, request, tries, now),
+            None => self.choose_plain(&board, request, attempts, now),
         }
     }
 
-    /// Sends a request to the target at which it has a place.
-    pub fn choose_place(
+    /// Chooses the target at which a request holds a concurrency slot.
+    pub fn choose_slot(
         &self,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         target: &Arc<str>,
         now: Instant,
     ) -> Choice {
-        send_to(&self.board.borrow(), tries, target, None, (1, 1), now)
+        send_to(&self.board.borrow(), attempts, target, None, (1, 1), now)
     }
 
     fn choose_plain(
         &self,
-        board: &TargetBoard,
+        board: &TargetTable,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
         let targets = board.targets_of(&request.service.name);
@@ -109,21 +112,21 @@
                 PlainCandidate {
                     in_flight: link.in_flight,
                     slots: link.view.record.slots,
-                    near: link.view.record.hall == self.hall,
-                    avoided_for: link.avoided_for(now),
-                    tried: tries.has_tried(&target.id),
-                    openness: board.openness(&target.id, now),
+                    same_hall: link.view.record.hall == self.hall,
+                    avoided_for: link.remaining_backoff(now),
+                    tried: attempts.has_tried(&target.id),
+                    availability: board.availability(&target.id, now),
                 }
             })
             .collect();
         let draw = rand::rng().random::<f64>();
         let Some(at) = choose_plain(&candidates, draw) else {
             let ids: Vec<Arc<str>> = targets.iter().map(|target| target.id.clone()).collect();
-            return wait_for_opening(board, request, &ids, now).unwrap_or(Choice::Nowhere);
+            return wait_for_opening(board, request, &ids, now).unwrap_or(Choice::NoTarget);
         };
         send_to(
             board,
-            tries,
+            attempts,
             &targets[at].id,
             None,
             (targets.len(), targets.len()),
@@ -131,27 +134,29 @@
         )
     }
 
-    /// A request for the base model alone runs at any engine that holds it.
+    /// Chooses an engine for a request without an adapter: any engine that holds the base model.
     fn choose_base(
         &self,
-        board: &mut TargetBoard,
+        board: &mut TargetTable,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
-        let drawn = |board: &TargetBoard| sample_of_service(board, request, now);
-        let targets = match look_before_send(board, request, tries, drawn, now) {
+        let draw = |board: &TargetTable| sample_of_service(board, request, now);
+        let targets = match query_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
-            Err(until) => return Choice::Look { until },
+            Err(until) => return Choice::AwaitReports { until },
         };
-        let outlook = EngineOutlook::of(board, request, &targets, &self.hall, now);
+        let estimator = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let candidates: Vec<EngineCandidate> = targets
             .iter()
-            .map(|target| outlook.candidate(board, request, target, CopyState::Ready, tries))
+            .map(|target| {
+                estimator.candidate(board, request, target, AdapterCopyState::Ready, attempts)
+            })
             .collect();
-        let terms = ChoiceTerms {
+        let terms = ChoiceContext {
             copy_price: Duration::ZERO,
-            aim_left: request.aim().saturating_duration_since(now),
+            time_to_aim: request.aim().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -159,120 +164,128 @@
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. } => send_to(
                 board,
-                tries,
+                attempts,
                 &targets[to],
                 None,
                 (targets.len(), targets.len()),
                 now,
             ),
-            _ => nowhere_yet(board, request, &targets, now),
+            _ => wait_or_give_up(board, request, &targets, now),
         }
     }
 
     fn choose_for_adapter(
         &self,
-        board: &mut TargetBoard,
+        board: &mut TargetTable,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         adapter: &str,
         now: Instant,
     ) -> Choice {
-        let standing = AdapterStanding::of(board, adapter, now);
-        let drawn = |board: &TargetBoard| sample_for_adapter(board, request, adapter, now);
-        let targets = match look_before_send(board, request, tries, drawn, now) {
+        let availability = AdapterAvailability::of(board, adapter, now);
+        let draw = |board: &TargetTable| sample_for_adapter(board, request, adapter, now);
+        let targets = match query_before_send(board, request, attempts, draw, now) {
             Ok(targets) => targets,
-            Err(until) => return Choice::Look { until },
+            Err(until) => return Choice::AwaitReports { until },
         };
-        let outlook = EngineOutlook::of(board, request, &targets, &self.hall, now);
+        let estimator = EngineEstimator::of(board, request, &targets, &self.hall, now);
         let mut candidates = Vec::with_capacity(targets.len());
         for target in &targets {
             let mut candidate =
-                outlook.candidate(board, request, target, CopyState::Unknown, tries);
-            candidate.copy = standing.copy_at(board, target, candidate.wait);
+                estimator.candidate(board, request, target, AdapterCopyState::Unknown, attempts);
+            candidate.copy_state =
+                availability.copy_at(board, target, candidate.time_to_first_event);
             candidates.push(candidate);
         }
-        let terms = ChoiceTerms {
-            copy_price: copy_price(board, adapter, now),
-            aim_left: request.aim().saturating_duration_since(now),
+        let terms = ChoiceContext {
+            copy_price: copy_cost(board, adapter, now),
+            time_to_aim: request.aim().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
         };
-        let ask_at = |at: usize, spare: bool| AdapterAsk {
+        let load_request = |at: usize, spare: bool| AdapterRequest {
             adapter,
             target: &targets[at],
-            version: standing.newest,
+            version: availability.newest,
             spare,
-            patience: terms.aim_left.saturating_sub(candidates[at].wait),
+            max_load_time: terms
+                .time_to_aim
+                .saturating_sub(candidates[at].time_to_first_event),
         };
         match choose_engine(&candidates, &terms) {
-            EngineChoice::Send { to, .. } if candidates[to].batch > 1.0 && tries.draws_again() => {
-                // All of the sample are taken: other engines may have room.
-                self.choose_for_adapter(board, request, tries, adapter, now)
+            EngineChoice::Send { to, .. }
+                if candidates[to].batch_share > 1.0 && attempts.discard_sample() =>
+            {
+                // Every engine of the sample is busy: others may have room.
+                self.choose_for_adapter(board, request, attempts, adapter, now)
             }
-            EngineChoice::Send { to, ask } => {
-                if let Some(at) = ask {
-                    ask_for(board, tries, &ask_at(at, true), now);
+            EngineChoice::Send { to, also_load } => {
+                if let Some(at) = also_load {
+                    request_adapter(board, attempts, &load_request(at, true), now);
                 }
-                let is_ready = |candidate: &&EngineCandidate| candidate.copy == CopyState::Ready;
+                let is_ready =
+                    |candidate: &&EngineCandidate| candidate.copy_state == AdapterCopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
-                let wait = candidates[to].wait;
-                let version = standing.version_at(board, &targets[to], wait);
-                let version = version.map(|version| VersionSent {
+                let wait = candidates[to].time_to_first_event;
+                let version = availability.version_at(board, &targets[to], wait);
+                let version = version.map(|version| ExpectedVersion {
                     version,
-                    newest: standing.newest,
+                    newest: availability.newest,
                     wait,
                 });
                 send_to(
                     board,
-                    tries,
+                    attempts,
                     &targets[to],
                     version,
                     (targets.len(), ready),
                     now,
                 )
             }
-            EngineChoice::Ask(at) => {
-                ask_for(board, tries, &ask_at(at, false), now);
+            EngineChoice::RequestLoad(at) => {
+                request_adapter(board, attempts, &load_request(at, false), now);
                 Choice::Wait {
-                    until: now + ASK_WAIT,
+                    until: now + HOLDER_TIMEOUT,
                     expected: None,
                 }
             }
             EngineChoice::Wait { until, expected } => {
-                // Whoever is late is asked again; asks that come too often are held back there.
+                // Overdue holders are asked again; the board limits the rate of these requests.
                 for (at, target) in targets.iter().enumerate() {
-                    if standing.is_late_at(board, target) {
-                        ask_for(board, tries, &ask_at(at, false), now);
+                    if availability.is_overdue_at(board, target) {
+                        request_adapter(board, attempts, &load_request(at, false), now);
                     }
                 }
-                let refusable = expected.filter(|_| terms.policy.refuses_early);
-                match refusable.map(|expected| wait_or_refuse(&time_of(request, now), expected)) {
-                    Some(Patience::Refuse { come_back }) => {
-                        tries.trace.add(TraceStep::Waits { expected }, now);
-                        Choice::Refuse(come_back)
+                let rejectable = expected.filter(|_| terms.policy.refuses_early);
+                match rejectable
+                    .map(|expected| wait_or_reject(&request_time(request, now), expected))
+                {
+                    Some(WaitDecision::Reject { retry_after }) => {
+                        attempts.trace.add(TraceStep::Waiting { expected }, now);
+                        Choice::Reject(retry_after)
                     }
                     _ => Choice::Wait {
-                        until: until.max(now + LEAST_WAIT),
+                        until: until.max(now + MIN_WAIT),
                         expected,
                     },
                 }
             }
-            EngineChoice::Nowhere => {
-                let against = AgainstEngines::of(&candidates, now);
-                tries.trace.add(TraceStep::Unplaced(against), now);
-                nowhere_yet(board, request, &targets, now)
+            EngineChoice::NoEngine => {
+                let exclusions = EngineExclusions::of(&candidates, now);
+                attempts.trace.add(TraceStep::Unplaced(exclusions), now);
+                wait_or_give_up(board, request, &targets, now)
             }
         }
     }
 }
 
-/// Decides on a target; `counts` are the candidates and those of them that were ready.
+/// Records a choice in the trace and returns it; `counts` is the number of candidates and of the ready ones among them.
 fn send_to(
-    board: &TargetBoard,
-    tries: &mut Tries,
+    board: &TargetTable,
+    attempts: &mut Attempts,
     target: &Arc<str>,
-    version: Option<VersionSent>,
+    version: Option<ExpectedVersion>,
     counts: (usize, usize),
     now: Instant,
 ) -> Choice {
@@ -284,12 +297,12 @@
         running: link.running(),
         unread_tokens: link.backlog_tokens(),
         load_age: link
-            .others_told
-            .map(|told| now.saturating_duration_since(told)),
+            .others_reported_at
+            .map(|reported| now.saturating_duration_since(reported)),
         version,
-        declared_age: board.confirmation().declared.age(now),
+        declared_age: board.freshness().declared.age(now),
     };
-    tries.trace.add(step, now);
+    attempts.trace.add(step, now);
     Choice::Send(Destination {
         target: target.clone(),
         version,
@@ -297,24 +310,24 @@
     })
 }
 
-fn ask_for(
-    board: &mut TargetBoard,
-    tries: &mut Tries,
-    ask: &AdapterAsk,
+fn request_adapter(
+    board: &mut TargetTable,
+    attempts: &mut Attempts,
+    load_request: &AdapterRequest,
     now: Instant,
 ) {
-    if board.ask(ask, now) {
-        let step = TraceStep::Asks {
-            target: ask.target.into(),
-            spare: ask.spare,
+    if board.request_adapter(load_request, now) {
+        let step = TraceStep::AdapterRequested {
+            target: load_request.target.into(),
+            spare: load_request.spare,
         };
-        tries.trace.add(step, now);
+        attempts.trace.add(step, now);
     }
 }
 
-/// No engine can take a request: it looks again a few times while a refusal is still prompt.
-fn nowhere_yet(
-    board: &TargetBoard,
+/// No engine can take a request: retries the choice while there is time for a prompt rejection.
+fn wait_or_give_up(
+    board: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
     now: Instant,
@@ -322,67 +335,69 @@
     if let Some(choice) = wait_for_opening(board, request, targets, now) {
         return choice;
     }
-    let again = now + LOOK_AGAIN;
-    match is_prompt(request, again) {
+    let retry_at = now + CHOICE_RETRY_INTERVAL;
+    match is_prompt(request, retry_at) {
         true => Choice::Wait {
-            until: again,
+            until: retry_at,
             expected: None,
         },
-        false => Choice::Nowhere,
+        false => Choice::NoTarget,
     }
 }
 
-/// All targets are closed by what they say of themselves: a request waits if one opens while a refusal is still prompt; else
-/// it is refused at once, and its caller is told when one opens. `None` if a target is not closed.
+/// Returns what to do if all targets are closed, or `None` if one is not.
+///
+/// Waits if a target opens while there is time for a prompt rejection; otherwise rejects at once, and the caller
+/// retries when the first target opens.
 fn wait_for_opening(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
     now: Instant,
 ) -> Option<Choice> {
-    let opens = board.first_opening(targets.iter(), now)?;
+    let opens = board.earliest_availability(targets.iter(), now)?;
     if is_prompt(request, opens) {
         return Some(Choice::Wait {
             until: opens,
             expected: None,
         });
     }
-    // Callers that are refused together don't come back together.
-    let spread = rand::rng().random_range(Duration::ZERO..OPENING_SPREAD);
-    let come_back = opens.saturating_duration_since(now) + spread;
-    Some(Choice::Refuse(come_back))
+    // Callers that are rejected together must not retry together.
+    let jitter = rand::rng().random_range(Duration::ZERO..RETRY_SPREAD);
+    let retry_after = opens.saturating_duration_since(now) + jitter;
+    Some(Choice::Reject(retry_after))
 }
 
-/// True if a refusal at this time is still prompt.
+/// Returns true if a rejection at this time is still prompt.
 fn is_prompt(
     request: &CallRequest,
     at: Instant,
 ) -> bool {
-    at.saturating_duration_since(request.arrived) < request.route.aim.mul_f64(LOOK_SHARE)
+    at.saturating_duration_since(request.arrived) < request.route.aim.mul_f64(PROMPT_REJECT_SHARE)
 }
 
-fn time_of(
+fn request_time(
     request: &CallRequest,
     now: Instant,
-) -> RequestTime {
-    RequestTime {
-        passed: now.saturating_duration_since(request.arrived),
+) -> RequestTiming {
+    RequestTiming {
+        elapsed: now.saturating_duration_since(request.arrived),
         aim: request.route.aim,
-        left: request.left(now),
+        time_left: request.time_left(now),
     }
 }
 
-/// The more requests share a copy, the less each pays for it.
-fn copy_price(
-    board: &TargetBoard,
+/// Returns the cost of a new copy of an adapter for one request; requests that share the copy share its cost.
+fn copy_cost(
+    board: &TargetTable,
     adapter: &str,
     now: Instant,
 ) -> Duration {
-    // One request here tells nothing of the other hosts; several do.
-    let here = (board.demand.recent(adapter, now) - 1.0).max(0.0);
-    let told = f64::from(board.adapters.uses(adapter));
+    // Several requests on this host suggest as many on the others; a single one does not.
+    let local = (board.demand.recent_requests(adapter, now) - 1.0).max(0.0);
+    let reported = f64::from(board.adapters.uses(adapter));
     if !board.policy().shares_copy_price {
-        return COPY_PRICE;
+        return COPY_COST;
     }
-    COPY_PRICE.div_f64(1.0 + told.max(here * board.view.hosts as f64))
+    COPY_COST.div_f64(1.0 + reported.max(local * board.view.hosts as f64))
 }
--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -1,17 +1,17 @@
-//! Finds out whether a target has ended under a request, or only broke its answer off.
+//! Detects whether a target crashed while it ran a request, or only dropped the connection.
 
 use {
     crate::{
         clock::Instant,
         connection::{
             http1::{CallClient, CallEnd, CallLimit},
-            targets::{Accused, TargetBoard, TargetRun},
+            targets::{SuspectRequest, TargetIncarnation, TargetTable},
         },
         formats::{HeaderNames, HttpCall},
         note,
         request::{
             direct::CallRequest,
-            poison::{PoisonReport, Strike, TargetEnd},
+            poison::{CrashEvidence, CrashId, PoisonReport},
         },
         timeline::Event,
     },
@@ -19,28 +19,26 @@
     tokio::task::spawn_local,
 };
 
-/// Time for a target's answer to a check of its health; a sound one answers within some milliseconds.
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time from the first check to the second. One that turned the first away for want of room has answered others by then; an end is
-/// told to all hosts so much later.
-const SECOND_CHECK: Duration = Duration::from_millis(200);
+/// Interval between the two health checks: a target that rejected the first one because it was full has answered other
+/// requests by the second. It delays the report of a crash by as much.
+const RECHECK_DELAY: Duration = Duration::from_millis(200);
 
-/// What a check of a target's health showed.
+/// Result of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Health {
-    /// It answered, whatever it said.
-    Answers,
-    /// Nothing takes connections there, or they end at once.
-    Down,
-    /// It says nothing: a link may be cut.
+    /// The target answered, with any status.
+    Answering,
+    /// Connections are refused, or closed at once.
+    Refusing,
+    /// No answer in time: the network may be partitioned.
     Silent,
 }
 
-/// A check of the health of one target.
 struct HealthCheck {
     call: HttpCall,
-    /// The header line that lets only this target answer.
+    /// Header line by which any other target at the address rejects the call.
     expect: String,
 }
 
@@ -56,26 +54,28 @@
         }
     }
 
-    /// Asks over a connection of its own: others may have ended for reasons of theirs.
+    /// Runs the check over a new connection, since an open one may be closed for other reasons.
     async fn at(
         &self,
         address: SocketAddr,
     ) -> Health {
-        let limit = CallLimit::whole(PROBE_LIMIT);
+        let limit = CallLimit::whole(PROBE_TIMEOUT);
         let mut client = CallClient::new(address);
         match client.call(&self.call, &self.expect, limit).await {
-            Ok(_) => Health::Answers,
+            Ok(_) => Health::Answering,
             Err(failure) => match failure.end {
                 CallEnd::TimedOut | CallEnd::Silent => Health::Silent,
-                CallEnd::Broken(_) => Health::Down,
+                CallEnd::Broken(_) => Health::Refusing,
             },
         }
     }
 }
 
-/// True if a target answers right now. Before a suspected request is sent: should the target end, then under it.
-pub async fn answers_now(
-    board: &Rc<RefCell<TargetBoard>>,
+/// Returns true if a target answers a health check now.
+///
+/// Called before a suspect request is sent, so that a crash that follows can be attributed to it.
+pub async fn answers_health_check(
+    board: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     target: &str,
@@ -87,71 +87,71 @@
     };
     match address {
         Some(address) => {
-            HealthCheck::new(names, request, target).at(address).await == Health::Answers
+            HealthCheck::new(names, request, target).at(address).await == Health::Answering
         }
         None => false,
     }
 }
 
-/// A request was lost as its target had just begun it: finds out whether the target has ended, and tells all
-/// hosts if so.
-pub fn accuse(
-    board: &Rc<RefCell<TargetBoard>>,
+/// Records a request as a suspect after its connection was lost, and probes in the background whether its target
+/// crashed; reports a crash to all hosts.
+pub fn probe_after_loss(
+    board: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
-    run: TargetRun,
+    incarnation: TargetIncarnation,
     begun: bool,
 ) {
-    let lost = Instant::now();
-    let accused = Accused {
+    let lost_at = Instant::now();
+    let accused = SuspectRequest {
         begun,
         fingerprint: request.fingerprint(),
         id: request.id_text().to_string(),
     };
     let address = {
         let mut board = board.borrow_mut();
-        board.crashes.on_loss(&run.0, lost);
-        let link = board.links.get(&run.0);
-        // One that leaves ends by plan, whatever runs there.
+        board.crashes.on_loss(&incarnation.0, lost_at);
+        let link = board.links.get(&incarnation.0);
+        // A target that drains stops by plan, whatever it runs.
         let link = link.filter(|link| link.view.usable_until.is_none());
         let Some(address) = link.map(|link| link.view.record.address) else {
             return;
         };
-        if !board.crashes.accuse(&run, accused) {
+        if !board.crashes.add_suspect(&incarnation, accused) {
             return;
         }
         address
     };
     let probe = CrashProbe {
         board: board.clone(),
-        check: HealthCheck::new(names, request, &run.0),
-        run,
-        lost,
+        check: HealthCheck::new(names, request, &incarnation.0),
+        incarnation,
+        lost_at,
     };
     spawn_local(probe.run(address));
 }
 
-/// A target gave a request a whole answer: what ended under it before was ended by others.
-pub fn acquit(
-    board: &Rc<RefCell<TargetBoard>>,
+/// Clears a request that a target has answered completely: earlier crashes were not its fault.
+pub fn clear_suspect(
+    board: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
 ) {
     let board = board.borrow();
-    if board.crashes.is_quiet() {
+    if board.crashes.is_empty() {
         return;
     }
     let fingerprint = request.fingerprint();
-    if board.crashes.standing(&fingerprint).is_some() {
+    if board.crashes.status(&fingerprint).is_some() {
         board.report_poison(PoisonReport::Cleared { fingerprint });
     }
 }
 
-/// Looks at one start of a target.
+/// Probes one incarnation of a target.
 struct CrashProbe {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     check: HealthCheck,
-    run: TargetRun,
-    lost: Instant,
+    incarnation: TargetIncarnation,
+    lost_at: Instant,
 }
 
 impl CrashProbe {
@@ -159,66 +159,69 @@
         self,
         address: SocketAddr,
     ) {
-        let ended = self.has_ended(address).await;
+        let crashed = self.has_crashed(address).await;
         let mut board = self.board.borrow_mut();
-        let accused = board.crashes.take_accused(&self.run);
-        if !ended {
+        let accused = board.crashes.take_suspects(&self.incarnation);
+        if !crashed {
             note!(
                 Event::AccusationDropped,
-                target = self.run.0,
+                target = self.incarnation.0,
                 requests = accused.len(),
             );
             return;
         }
-        let alone = board.crashes.was_alone(&self.run.0, self.lost);
-        let end = TargetEnd::of(&self.run.0, self.run.1);
-        let beside = accused.len() - 1;
+        let alone = board
+            .crashes
+            .is_isolated_loss(&self.incarnation.0, self.lost_at);
+        let end = CrashId::of(&self.incarnation.0, self.incarnation.1);
+        let others = accused.len() - 1;
         for accused in &accused {
             note!(
                 Event::RequestAccused,
                 id = accused.id,
                 fingerprint = accused.fingerprint,
-                target = self.run.0,
+                target = self.incarnation.0,
                 begun = accused.begun,
                 alone = alone,
-                beside = beside,
+                beside = others,
             );
         }
-        let strike = |accused: &Accused| {
+        let to_strike = |accused: &SuspectRequest| {
             let begun = accused.begun;
-            (accused.fingerprint, Strike { end, begun, alone })
+            (accused.fingerprint, CrashEvidence { end, begun, alone })
         };
-        let strikes = accused.iter().map(strike).collect();
-        board.report_poison(PoisonReport::Struck { strikes });
+        let evidence = accused.iter().map(to_strike).collect();
+        board.report_poison(PoisonReport::Crashed { evidence });
     }
 
-    /// True if the target takes no connections twice, and nothing was heard of this start meanwhile.
-    async fn has_ended(
+    /// Returns true if the target was down in both checks and this incarnation has sent nothing meanwhile, or if it was
+    /// replaced.
+    async fn has_crashed(
         &self,
         address: SocketAddr,
     ) -> bool {
-        if self.check.at(address).await != Health::Down {
-            return self.has_other_start();
+        if self.check.at(address).await != Health::Refusing {
+            return self.was_replaced();
         }
-        tokio::time::sleep(SECOND_CHECK).await;
-        if self.has_other_start() {
+        tokio::time::sleep(RECHECK_DELAY).await;
+        if self.was_replaced() {
             return true;
         }
-        self.check.at(address).await == Health::Down && !self.was_heard()
+        self.check.at(address).await == Health::Refusing && !self.has_sent_since_loss()
     }
 
-    /// True if the target is gone or has started anew.
-    fn has_other_start(&self) -> bool {
+    /// Returns true if the target is gone or has a new incarnation.
+    fn was_replaced(&self) -> bool {
         let board = self.board.borrow();
-        let link = board.links.get(&self.run.0);
-        link.is_none_or(|link| link.view.record.started != self.run.1)
+        let link = board.links.get(&self.incarnation.0);
+        link.is_none_or(|link| link.view.record.started != self.incarnation.1)
     }
 
-    /// True if this start of the target has sent anything since the loss.
-    fn was_heard(&self) -> bool {
+    /// Returns true if this incarnation of the target has sent anything since the loss.
+    fn has_sent_since_loss(&self) -> bool {
         let board = self.board.borrow();
-        let link = board.links.get(&self.run.0);
-        link.and_then(|link| link.heard)
-            .is_some_and(|at| at > self.lost)
+        let link = board.links.get(&self.incarnation.0);
+        link.and_then(|link| link.last_received)
+            .is_some_and(|at| at > self.lost_at)
     }
 }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -1,29 +1,29 @@
 use {
     super::{
-        AnswerBody, OwnAnswer, OwnCause,
+        AnswerBody, ErrorCause, LocalAnswer,
+        adapter_waiter::AdapterWaiter,
         admission::{
-            Belief, Charged, HELD_COME_BACK, HeldPlace, PlaceFound, charge, find_place,
-            take_permit, wait_until_confirmed,
+            FreshnessCheck, HeldSlot, QuotaCharge, STALE_RETRY_AFTER, SlotAcquisition,
+            acquire_permit, acquire_slot, charge, wait_until_fresh,
         },
+        attempts::Attempts,
         chooser::{Choice, Chooser},
-        crash_probe::{accuse, acquit, answers_now},
-        exchange::{Destination, OpenAnswer, Sent, WholeAnswer, send},
+        crash_probe::{answers_health_check, clear_suspect, probe_after_loss},
+        exchange::{CompleteAnswer, Destination, OpenAnswer, SendOutcome, send},
         request_trace::{TraceStep, millis},
         stream_relay::StreamRelay,
-        tries::Tries,
-        waiter::Waiter,
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
-        connection::targets::{KeyStanding, TargetBoard, TargetRun},
+        connection::targets::{KeyStatus, TargetIncarnation, TargetTable},
         formats::Formats,
         metrics::{KindLabels, OutcomeLabels, WaitLabels, metrics},
         note,
         request::{
-            direct::{AttemptEnd, CallRequest, CopyState, NextStep, next_step},
-            places::PlaceEnd,
-            poison::Standing,
-            repeats::Paid,
+            direct::{AdapterCopyState, AttemptEnd, CallRequest, NextStep, next_step},
+            places::SlotOutcome,
+            poison::PoisonStatus,
+            repeats::RepeatCharge,
         },
         timeline::Event,
         version::routing::RouteKind,
@@ -32,45 +32,43 @@
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// Callers that were refused come back after this time, if nothing better is known.
-const COME_BACK: Duration = Duration::from_millis(400);
+/// Default retry delay for callers that were rejected.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// Pause before an engine is tried again whose load was not over.
-const LOAD_PAUSE: Duration = Duration::from_millis(25);
+/// Backoff before a request is sent again to an engine that is still loading its adapter.
+const LOAD_BACKOFF: Duration = Duration::from_millis(25);
 
-/// A repeat waits so long for loans of other hosts' allowance, which come within a round trip; a caller would
-/// come back after 0.4 s.
-const LOAN_WAIT: Duration = Duration::from_millis(150);
+/// Timeout of a repeat that waits for repeat budget borrowed from other hosts.
+const BORROW_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time between two looks whether a loan has come.
-const LOAN_LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a waiting repeat checks whether budget was borrowed.
+const BORROW_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A stream whose first event came so shortly before it broke off may have ended its target by its begin: a target falls within a
-/// tenth of a second, and hundreds of tokens later others are as likely.
-const JUST_BEGUN: Duration = Duration::from_secs(1);
+/// A stream that breaks off within this time of its first event is suspected of having crashed its target; later on,
+/// any other request at the target is as likely the cause.
+const STREAM_START_WINDOW: Duration = Duration::from_secs(1);
 
-/// A target that was gone before a request came breaks it off within a round trip, some 2 ms; one that ends under a request has
-/// begun it first.
-const LEAST_RUN: Duration = Duration::from_millis(3);
+/// A connection that is lost sooner than this was closed before the target started the request.
+const MIN_RUN_TIME: Duration = Duration::from_millis(3);
 
-/// How the sends of a request ended.
+/// Result of all sends of a request.
 enum Outcome {
-    /// This is the final answer.
+    /// The final answer.
     Final(Response<AnswerBody>),
-    /// The answer has begun.
+    /// The head and the first piece of an answer that is still being sent.
     Open(Box<OpenAnswer>),
 }
 
-/// Sends each request to a target, again where that is allowed, and gives the final answer.
+/// Sends each request to a target, with resends where the route allows them, and returns the final answer.
 pub struct Dispatcher {
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     chooser: Chooser,
     formats: Arc<dyn Formats>,
 }
 
 impl Dispatcher {
     pub fn new(
-        board: Rc<RefCell<TargetBoard>>,
+        board: Rc<RefCell<TargetTable>>,
         formats: Arc<dyn Formats>,
         hall: &str,
     ) -> Self {
@@ -81,71 +79,70 @@
         }
     }
 
-    /// Serves one request to its final answer, or to the first event of a stream.
+    /// Serves a request up to its final answer, or to the first event of a stream.
     pub async fn serve(
         self: &Rc<Self>,
         request: CallRequest,
     ) -> Response<AnswerBody> {
-        if self.is_refused(&request) {
-            let cause = OwnCause::EndsTargets;
+        if self.is_poison(&request) {
+            let cause = ErrorCause::CrashesTargets;
             let status = cause.status().as_u16();
-            tell(&request, &Tries::default(), status, Some(cause));
-            return self.refuse_poison(&request);
+            log_served(&request, &Attempts::default(), status, Some(cause));
+            return self.reject_poison(&request);
         }
         let charged = match charge(&self.board, &request).await {
             Ok(charged) => charged,
-            Err(answer) => return self.refuse_uncharged(&request, answer),
+            Err(answer) => return self.reject_uncharged(&request, answer),
         };
-        self.note_demand(&request);
-        let mut unserved = Unserved::new(&request, charged);
-        let tried = self.try_targets(&request, &mut unserved.tries, None);
-        let outcome = timeout_at(request.ends, tried).await;
-        let (mut tries, charged) = unserved.disarm();
+        self.record_demand(&request);
+        let mut pending = PendingRequest::new(&request, charged);
+        let tried = self.try_targets(&request, &mut pending.attempts, None);
+        let outcome = timeout_at(request.deadline, tried).await;
+        let (mut attempts, charged) = pending.disarm();
         let response = match outcome {
             Ok(Outcome::Final(response)) => response,
-            Err(_) => self.time_over(&request, &mut tries),
+            Err(_) => self.answer_timeout(&request, &mut attempts),
             Ok(Outcome::Open(answer)) => {
-                tell(&request, &tries, answer.status.as_u16(), None);
-                settle(charged, true);
-                return StreamRelay::start(self.clone(), *answer, request, tries);
+                log_served(&request, &attempts, answer.status.as_u16(), None);
+                settle_charge(charged, true);
+                return StreamRelay::start(self.clone(), *answer, request, attempts);
             }
         };
-        let cause = response.extensions().get::<OwnCause>().copied();
-        settle(charged, cause.is_none_or(OwnCause::may_have_run));
-        tell(&request, &tries, response.status().as_u16(), cause);
+        let cause = response.extensions().get::<ErrorCause>().copied();
+        settle_charge(charged, cause.is_none_or(ErrorCause::may_have_run));
+        log_served(&request, &attempts, response.status().as_u16(), cause);
         response
     }
 
-    /// Opens the rest of a stream that broke, behind the event `after`, at another target.
+    /// Opens the rest of a broken stream at another target, after the event `after`.
     pub async fn resume(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         broken: &str,
         after: Option<u64>,
     ) -> Option<Box<OpenAnswer>> {
         let now = Instant::now();
         let destination = Destination::of(broken);
-        tries.note_end(&destination, AttemptEnd::Lost, now);
+        attempts.record_end(&destination, AttemptEnd::Lost, now);
         if let Some(link) = self.board.borrow_mut().links.get_mut(broken) {
             link.health.on_failure(now);
         }
         if self
-            .after(request, tries, &destination, AttemptEnd::Lost)
+            .handle_failed_send(request, attempts, &destination, AttemptEnd::Lost)
             .await
             .is_some()
         {
             return None;
         }
-        match self.try_targets(request, tries, after).await {
+        match self.try_targets(request, attempts, after).await {
             Outcome::Open(answer) if answer.status.is_success() => Some(answer),
             _ => None,
         }
     }
 
-    /// The answer to a request that is known to end targets. It is told so at once: it would only end another one, with all
-    /// that runs there.
-    fn refuse_poison(
+    /// Rejects a request that is known to crash targets, with an error that callers do not retry.
+    fn reject_poison(
         &self,
         request: &CallRequest,
     ) -> Response<AnswerBody> {
@@ -155,14 +152,14 @@
             fingerprint = request.fingerprint(),
             route = request.route.name,
         );
-        self.answer(request, OwnAnswer::new(OwnCause::EndsTargets))
+        self.answer(request, LocalAnswer::new(ErrorCause::CrashesTargets))
     }
 
-    /// The answer to a request whose customer may not use what it costs, or whose use nobody counts.
-    fn refuse_uncharged(
+    /// Rejects a request that could not be charged to its customer's quota.
+    fn reject_uncharged(
         &self,
         request: &CallRequest,
-        answer: OwnAnswer,
+        answer: LocalAnswer,
     ) -> Response<AnswerBody> {
         let credential = request.credential.as_ref();
         let limit = credential.and_then(|credential| credential.customer.limit);
@@ -172,7 +169,7 @@
             cause = answer.cause.word(),
             route = request.route.name,
             customer = credential.map_or("-", |credential| &credential.customer.name),
-            cost = limit.map_or(0.0, |limit| limit.cost(request.told_tokens)),
+            cost = limit.map_or(0.0, |limit| limit.cost(request.declared_tokens)),
             rate = limit.map_or(0.0, |limit| limit.rate),
             come_back_ms = answer.retry_after.map_or(-1.0, millis),
             waited_ms = millis(request.arrived.elapsed()),
@@ -184,45 +181,45 @@
         self.answer(request, answer)
     }
 
-    /// What is thought of a request under which targets have ended; `None` for every other one.
-    fn standing(
+    /// Returns the verdict on a request that targets have crashed under, or `None` if there were no such crashes.
+    fn verdict(
         &self,
         request: &CallRequest,
-    ) -> Option<Standing> {
+    ) -> Option<PoisonStatus> {
         let board = self.board.borrow();
-        match board.crashes.is_quiet() {
+        match board.crashes.is_empty() {
             true => None,
-            false => board.crashes.standing(&request.fingerprint()),
+            false => board.crashes.status(&request.fingerprint()),
         }
     }
 
-    /// True if the request is known to end targets.
-    fn is_refused(
+    /// Returns true if the request is known to crash targets.
+    fn is_poison(
         &self,
         request: &CallRequest,
     ) -> bool {
-        self.standing(request) == Some(Standing::Refused)
+        self.verdict(request) == Some(PoisonStatus::Rejected)
     }
 
-    /// True if targets have ended under the request: it is not sent again by itself, its caller may do so.
-    fn has_ended_targets(
+    /// Returns true if targets have crashed under the request: only its caller may send it again.
+    fn has_crashed_targets(
         &self,
         request: &CallRequest,
     ) -> bool {
-        self.standing(request).is_some()
+        self.verdict(request).is_some()
     }
 
-    /// True if targets have ended under the request, or one may have a moment ago: it goes to targets only that answer
-    /// right now.
+    /// Returns true if targets have crashed under the request, or one may just have: it is sent only to targets that
+    /// answer a health check first.
     fn is_suspected(
         &self,
         request: &CallRequest,
     ) -> bool {
         let board = self.board.borrow();
-        !board.crashes.is_quiet() && board.crashes.is_suspected(&request.fingerprint())
+        !board.crashes.is_empty() && board.crashes.is_suspected(&request.fingerprint())
     }
 
-    fn note_demand(
+    fn record_demand(
         &self,
         request: &CallRequest,
     ) {
@@ -234,7 +231,7 @@
             return;
         };
         board
-            .speed(&request.service.name)
+            .prefill_throughput(&request.service.name)
             .on_prompt(generation.tokens_in);
         if let Some(adapter) = generation.adapter() {
             board.demand.on_request(adapter, request.arrived);
@@ -244,163 +241,184 @@
     async fn try_targets(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         resume_after: Option<u64>,
     ) -> Outcome {
         loop {
-            if !self.wait_until_confirmed(request).await {
-                return self.unserved(request, tries, OwnCause::Unconfirmed, HELD_COME_BACK);
+            if !self.wait_until_fresh(request).await {
+                return self.answer_unserved(
+                    request,
+                    attempts,
+                    ErrorCause::StaleTables,
+                    STALE_RETRY_AFTER,
+                );
             }
             if resume_after.is_none()
-                && let Some(cause) = self.lost_key(request)
+                && let Some(cause) = self.key_error(request)
             {
-                return self.unserved(request, tries, cause, HELD_COME_BACK);
+                return self.answer_unserved(request, attempts, cause, STALE_RETRY_AFTER);
             }
-            let (choice, mut place) = self.choose(request, tries).await;
+            let (choice, mut slot) = self.choose(request, attempts).await;
             let mut destination = match choice {
                 Choice::Send(destination) => destination,
                 Choice::Wait { until, expected } => {
-                    tries
+                    attempts
                         .trace
-                        .add(TraceStep::Waits { expected }, Instant::now());
-                    self.wait(request, until).await;
+                        .add(TraceStep::Waiting { expected }, Instant::now());
+                    self.wait_for_adapter(request, until).await;
                     continue;
                 }
-                Choice::Look { until } => {
-                    self.wait_for_standings(until).await;
+                Choice::AwaitReports { until } => {
+                    self.wait_for_engine_reports(until).await;
                     continue;
                 }
-                Choice::Refuse(come_back) if tries.history.runs == 0 => {
-                    return self.refuse(request, unplaced_cause(request), come_back);
+                Choice::Reject(retry_after) if attempts.history.runs == 0 => {
+                    return self.reject(request, unplaced_cause(request), retry_after);
                 }
-                Choice::Refuse(_) | Choice::Nowhere => return self.nowhere(request, tries),
+                Choice::Reject(_) | Choice::NoTarget => return self.no_target(request, attempts),
             };
-            if !take_permit(&self.board, &destination.target).await {
+            if !acquire_permit(&self.board, &destination.target).await {
                 let target = destination.target.clone();
                 let step = TraceStep::NoPermit { target };
-                tries.trace.add(step, Instant::now());
+                attempts.trace.add(step, Instant::now());
                 continue;
             }
             destination.resume_after = resume_after;
             let names = self.formats.headers();
             let streams = request.route.kind == RouteKind::Stream;
-            // Paid right before it is sent: it may have waited for its adapter for seconds.
-            let repeats = tries.history.arrivals > 0;
-            let paid = match repeats {
-                true => self.pay_for_repeat(request),
+            // Charged right before the send: the request may have waited seconds for its adapter.
+            let repeats = attempts.history.arrivals > 0;
+            let repeat_charge = match repeats {
+                true => self.charge_repeat(request),
                 false => None,
             };
-            if repeats && paid.is_none() {
-                return self.unserved(request, tries, OwnCause::TurnedAway, COME_BACK);
+            if repeats && repeat_charge.is_none() {
+                return self.answer_unserved(
+                    request,
+                    attempts,
+                    ErrorCause::RejectedByTargets,
+                    DEFAULT_RETRY_AFTER,
+                );
             }
             let verified = self.is_suspected(request);
-            if verified && !answers_now(&self.board, names, request, &destination.target).await {
-                tries.note_end(&destination, AttemptEnd::NotSent, Instant::now());
-                tries.tried.push(destination.target.to_string());
+            if verified
+                && !answers_health_check(&self.board, names, request, &destination.target).await
+            {
+                attempts.record_end(&destination, AttemptEnd::NotSent, Instant::now());
+                attempts.tried.push(destination.target.to_string());
                 continue;
             }
-            // It may have become known while this one waited for its adapter, for seconds.
-            if self.is_refused(request) {
-                return Outcome::Final(self.refuse_poison(request));
+            // The request may have become known as poison while it waited seconds for its adapter.
+            if self.is_poison(request) {
+                return Outcome::Final(self.reject_poison(request));
             }
-            let run = self.run_at(&destination.target);
+            let incarnation = self.incarnation_of(&destination.target);
             let sent_at = Instant::now();
-            // Until its end is known a send may have run.
-            tries.history.runs += 1;
+            // A send counts as run until its end is known.
+            attempts.history.runs += 1;
             let sent = send(&self.board, names, request, &destination, streams).await;
-            tries.history.runs -= 1;
-            if let Some(place) = &mut place {
-                place.end = place_end(&sent, sent_at.elapsed());
+            attempts.history.runs -= 1;
+            if let Some(slot) = &mut slot {
+                slot.end = slot_end(&sent, sent_at.elapsed());
             }
-            drop(place);
-            if let Some(paid) = paid.filter(|_| sent.never_arrived()) {
+            drop(slot);
+            if let Some(repeat_charge) = repeat_charge.filter(|_| sent.never_arrived()) {
                 let mut board = self.board.borrow_mut();
-                board.budget(&request.service.name).give_back(&paid);
+                board.budget(&request.service.name).refund(&repeat_charge);
             }
             let end = match sent {
-                Sent::Whole(answer) => {
-                    acquit(&self.board, request);
-                    return Outcome::Final(pass_on(answer));
+                SendOutcome::Complete(answer) => {
+                    clear_suspect(&self.board, request);
+                    return Outcome::Final(relay(answer));
                 }
-                Sent::Open(answer) => return Outcome::Open(answer),
-                Sent::Failed(answer) => {
+                SendOutcome::Open(answer) => return Outcome::Open(answer),
+                SendOutcome::Failed(answer) => {
                     let status = answer.status.as_u16();
-                    tries.failure = Some(answer);
-                    acquit(&self.board, request);
+                    attempts.failure = Some(answer);
+                    clear_suspect(&self.board, request);
                     AttemptEnd::Failed { status }
                 }
-                Sent::Misdirected => {
+                SendOutcome::Misdirected => {
                     self.on_misdirected(request, &destination);
                     AttemptEnd::NotRun { status: 421 }
                 }
-                Sent::Unconfirmed => continue,
-                Sent::Ended(AttemptEnd::Lost) => {
-                    let begun = verified || sent_at.elapsed() >= LEAST_RUN;
-                    accuse(&self.board, names, request, run, begun);
+                SendOutcome::Withheld => continue,
+                SendOutcome::Ended(AttemptEnd::Lost) => {
+                    let started = verified || sent_at.elapsed() >= MIN_RUN_TIME;
+                    probe_after_loss(&self.board, names, request, incarnation, started);
                     AttemptEnd::Lost
                 }
-                Sent::Ended(end) => end,
+                SendOutcome::Ended(end) => end,
             };
-            tries.note_end(&destination, end, Instant::now());
-            if let Some(response) = self.after(request, tries, &destination, end).await {
+            attempts.record_end(&destination, end, Instant::now());
+            if let Some(response) = self
+                .handle_failed_send(request, attempts, &destination, end)
+                .await
+            {
                 return Outcome::Final(response);
             }
         }
     }
 
-    /// Where a request goes next, and its place there if it needs one.
+    /// Chooses the target of the next send, and acquires a concurrency slot there if it needs one.
     async fn choose(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
-    ) -> (Choice, Option<HeldPlace>) {
+        attempts: &mut Attempts,
+    ) -> (Choice, Option<HeldSlot>) {
         if request.generation.is_some() {
-            return (self.chooser.choose(request, tries, Instant::now()), None);
+            return (self.chooser.choose(request, attempts, Instant::now()), None);
         }
-        let found = find_place(&self.board, request, &tries.tried).await;
+        let outcome = acquire_slot(&self.board, request, &attempts.tried).await;
         let now = Instant::now();
-        match found {
-            PlaceFound::Place(place) => {
-                let choice = self.chooser.choose_place(tries, &place.target, now);
-                (choice, Some(place))
+        match outcome {
+            SlotAcquisition::Acquired(slot) => {
+                let choice = self.chooser.choose_slot(attempts, &slot.target, now);
+                (choice, Some(slot))
             }
-            PlaceFound::Full { come_back } => (Choice::Refuse(come_back), None),
-            PlaceFound::Unknown => (self.chooser.choose(request, tries, now), None),
+            SlotAcquisition::Full { retry_after } => (Choice::Reject(retry_after), None),
+            SlotAcquisition::Unavailable => (self.chooser.choose(request, attempts, now), None),
         }
     }
 
-    /// The start of a target that a send now is for.
-    fn run_at(
+    /// Returns the current incarnation of a target.
+    fn incarnation_of(
         &self,
         target: &Arc<str>,
-    ) -> TargetRun {
-        (target.clone(), self.board.borrow().started(target))
+    ) -> TargetIncarnation {
+        (target.clone(), self.board.borrow().incarnation(target))
     }
 
-    /// A stream was broken off; its request is accused if its answer had just begun.
+    /// Handles a broken stream; its request becomes a suspect if the stream had just begun.
     pub fn on_broken(
         &self,
         request: &CallRequest,
-        run: TargetRun,
+        incarnation: TargetIncarnation,
         first_event: Instant,
     ) {
         let now = Instant::now();
-        match now.saturating_duration_since(first_event) < JUST_BEGUN {
-            true => accuse(&self.board, self.formats.headers(), request, run, true),
-            false => self.board.borrow_mut().crashes.on_loss(&run.0, now),
+        match now.saturating_duration_since(first_event) < STREAM_START_WINDOW {
+            true => probe_after_loss(
+                &self.board,
+                self.formats.headers(),
+                request,
+                incarnation,
+                true,
+            ),
+            false => self.board.borrow_mut().crashes.on_loss(&incarnation.0, now),
         }
     }
 
-    /// A stream came to its end.
-    pub fn on_whole(
+    /// Handles the end of a complete stream.
+    pub fn on_complete(
         &self,
         request: &CallRequest,
     ) {
-        acquit(&self.board, request);
+        clear_suspect(&self.board, request);
     }
 
-    /// Waits until all that a send rests on is young enough; false if that took too long.
-    async fn wait_until_confirmed(
+    /// Waits until all tables that a send depends on are fresh; returns false on timeout.
+    async fn wait_until_fresh(
         &self,
         request: &CallRequest,
     ) -> bool {
@@ -410,119 +428,119 @@
             .as_ref()
             .and_then(|g| g.adapter())
             .is_some();
-        // What a request was routed by may have aged while it waited for its adapter.
+        // The tables that the request was routed by may have become stale while it waited for its adapter.
         if request.credential.is_some()
-            && !wait_until_confirmed(&self.board, Belief::Keys, id).await
+            && !wait_until_fresh(&self.board, FreshnessCheck::Keys, id).await
         {
             return false;
         }
-        if has_adapter && !wait_until_confirmed(&self.board, Belief::Versions, id).await {
+        if has_adapter && !wait_until_fresh(&self.board, FreshnessCheck::Versions, id).await {
             return false;
         }
-        wait_until_confirmed(&self.board, Belief::Targets, id).await
+        wait_until_fresh(&self.board, FreshnessCheck::Targets, id).await
     }
 
-    /// Why a request must not be sent by the key that it was admitted by: it may have been taken away while the request
-    /// waited for its adapter, for seconds.
-    fn lost_key(
+    /// Returns why a request must not be sent with its key any more: the key may have been revoked while the request
+    /// waited seconds for its adapter.
+    fn key_error(
         &self,
         request: &CallRequest,
-    ) -> Option<OwnCause> {
+    ) -> Option<ErrorCause> {
         let credential = request.credential.as_ref()?;
-        let standing = self.board.borrow().key_standing(credential, Instant::now());
-        match standing {
-            KeyStanding::Valid => None,
-            KeyStanding::Gone => Some(OwnCause::UnknownKey),
-            KeyStanding::Moved | KeyStanding::Unconfirmed => Some(OwnCause::Unconfirmed),
+        let key_standing = self.board.borrow().key_status(credential, Instant::now());
+        match key_standing {
+            KeyStatus::Valid => None,
+            KeyStatus::Revoked => Some(ErrorCause::UnknownKey),
+            KeyStatus::Reassigned | KeyStatus::Unconfirmed => Some(ErrorCause::StaleTables),
         }
     }
 
-    /// Decides what follows a send without an answer; gives the final answer if there is one.
-    async fn after(
+    /// Decides what follows a failed send; returns the final answer, or `None` if the request is to be sent again.
+    async fn handle_failed_send(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         destination: &Destination,
         end: AttemptEnd,
     ) -> Option<Response<AnswerBody>> {
         let now = Instant::now();
         let service = &request.service.name;
-        let mut step = next_step(&request.route, &tries.history, end, true);
-        if end == AttemptEnd::Lost && self.has_ended_targets(request) {
-            step = next_step(&request.route, &tries.history, end, false);
+        let mut step = next_step(&request.route, &attempts.history, end, true);
+        if end == AttemptEnd::Lost && self.has_crashed_targets(request) {
+            step = next_step(&request.route, &attempts.history, end, false);
         }
         let repeats = step == NextStep::Resend { repeats: true };
-        if repeats && !self.wait_for_allowance(request).await {
-            self.board.borrow_mut().budget(service).on_refused(now);
-            step = next_step(&request.route, &tries.history, end, false);
+        if repeats && !self.wait_for_budget(request).await {
+            self.board.borrow_mut().budget(service).on_rejected(now);
+            step = next_step(&request.route, &attempts.history, end, false);
         }
         match step {
             NextStep::Resend { repeats } => {
-                tries.trace.add(TraceStep::Resent { repeats }, now);
+                attempts.trace.add(TraceStep::Resent { repeats }, now);
                 let labels = WaitLabels { cause: end.word() };
                 metrics().resends.get_or_create(&labels).inc();
-                if self.is_coming(request, destination, end) {
-                    tokio::time::sleep(LOAD_PAUSE).await;
+                if self.is_loading(request, destination, end) {
+                    tokio::time::sleep(LOAD_BACKOFF).await;
                 } else {
-                    tries.tried.push(destination.target.to_string());
+                    attempts.tried.push(destination.target.to_string());
                 }
                 None
             }
-            NextStep::Refuse => {
-                let answer = OwnAnswer::after(OwnCause::TurnedAway, COME_BACK);
+            NextStep::Reject => {
+                let answer = LocalAnswer::after(ErrorCause::RejectedByTargets, DEFAULT_RETRY_AFTER);
                 Some(self.answer(request, answer))
             }
-            NextStep::PassOn => tries.failure.take().map(pass_on),
-            NextStep::Fail => Some(match tries.failure.take() {
-                Some(failure) => pass_on(failure),
-                None => self.answer(request, OwnAnswer::new(OwnCause::AnswerLost)),
+            NextStep::ForwardFailure => attempts.failure.take().map(relay),
+            NextStep::OutcomeUnknown => Some(match attempts.failure.take() {
+                Some(failure) => relay(failure),
+                None => self.answer(request, LocalAnswer::new(ErrorCause::AnswerLost)),
             }),
         }
     }
 
-    /// True if a repeat can be paid for, perhaps by a loan that other hosts are asked for first.
-    async fn wait_for_allowance(
+    /// Returns true if the budget allows a repeat, after waiting for budget borrowed from other hosts if needed.
+    async fn wait_for_budget(
         &self,
         request: &CallRequest,
     ) -> bool {
         let service = &request.service.name;
-        let begun = Instant::now();
-        let until = request.ends.min(begun + LOAN_WAIT);
+        let started = Instant::now();
+        let until = request.deadline.min(started + BORROW_TIMEOUT);
         loop {
             let now = Instant::now();
             {
                 let mut board = self.board.borrow_mut();
-                if board.budget(service).allows(now) {
+                if board.budget(service).can_repeat(now) {
                     return true;
                 }
-                if now == begun {
-                    board.budget(service).on_wanted(now);
+                if now == started {
+                    board.budget(service).on_waiting(now);
                 }
-                board.ask_for_loans(service, now);
-                if now >= until || !board.budget(service).awaits_loans(now) {
+                board.request_loans(service, now);
+                if now >= until || !board.budget(service).is_borrowing(now) {
                     return false;
                 }
             }
-            tokio::time::sleep(LOAN_LOOK).await;
+            tokio::time::sleep(BORROW_POLL_INTERVAL).await;
         }
     }
 
-    fn pay_for_repeat(
+    fn charge_repeat(
         &self,
         request: &CallRequest,
-    ) -> Option<Paid> {
+    ) -> Option<RepeatCharge> {
         let now = Instant::now();
         let mut board = self.board.borrow_mut();
         let budget = board.budget(&request.service.name);
-        let paid = budget.pay(now);
-        if paid.is_none() {
-            budget.on_refused(now);
+        let repeat_charge = budget.charge(now);
+        if repeat_charge.is_none() {
+            budget.on_rejected(now);
         }
-        paid
+        repeat_charge
     }
 
-    /// True if the engine turned the request away because its adapter was still being loaded.
-    fn is_coming(
+    /// Returns true if the engine rejected the request because it was still loading the adapter.
+    fn is_loading(
         &self,
         request: &CallRequest,
         destination: &Destination,
@@ -537,7 +555,7 @@
         }
         let board = self.board.borrow();
         let copy = board.adapters.get(adapter, &destination.target);
-        copy.is_some_and(|copy| matches!(copy.state, CopyState::Coming { .. }))
+        copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Loading { .. }))
     }
 
     fn on_misdirected(
@@ -550,26 +568,27 @@
         };
         let mut board = self.board.borrow_mut();
         let copy = board.adapters.get(adapter, &destination.target);
-        let coming = copy.is_some_and(|copy| matches!(copy.state, CopyState::Coming { .. }));
-        if !coming {
-            board.on_missing(adapter, &destination.target);
+        let loading =
+            copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Loading { .. }));
+        if !loading {
+            board.on_adapter_missing(adapter, &destination.target);
         }
     }
 
-    /// Waits until a holder has told how its engine stands, or until a time.
-    async fn wait_for_standings(
+    /// Waits until a holder has reported the status of its engine, or until a time.
+    async fn wait_for_engine_reports(
         &self,
         until: Instant,
     ) {
-        let news = self.board.borrow().standing_news();
+        let update = self.board.borrow().engine_status_updates();
         tokio::select! {
-            _ = news.notified() => {}
+            _ = update.notified() => {}
             _ = sleep_until(until) => {}
         }
     }
 
-    /// Waits for news of the adapter, or until a time.
-    async fn wait(
+    /// Waits for an update on the request's adapter, or until a time.
+    async fn wait_for_adapter(
         &self,
         request: &CallRequest,
         until: Instant,
@@ -578,109 +597,114 @@
             sleep_until(until).await;
             return;
         };
-        let waiter = Waiter::start(&self.board, adapter, request.urgency);
+        let waiter = AdapterWaiter::start(&self.board, adapter, request.urgency);
         tokio::select! {
-            _ = waiter.news() => {}
+            _ = waiter.updated() => {}
             _ = sleep_until(until) => {}
         }
     }
 
-    fn nowhere(
+    fn no_target(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
     ) -> Outcome {
-        self.unserved(request, tries, unplaced_cause(request), COME_BACK)
+        self.answer_unserved(
+            request,
+            attempts,
+            unplaced_cause(request),
+            DEFAULT_RETRY_AFTER,
+        )
     }
 
-    /// The answer to a request that is sent nowhere, or not once more.
-    fn unserved(
+    /// Returns the final answer to a request that is not sent, or not again.
+    fn answer_unserved(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
-        cause: OwnCause,
-        come_back: Duration,
+        attempts: &mut Attempts,
+        cause: ErrorCause,
+        retry_after: Duration,
     ) -> Outcome {
-        if let Some(failure) = tries.failure.take() {
-            return Outcome::Final(pass_on(failure));
+        if let Some(failure) = attempts.failure.take() {
+            return Outcome::Final(relay(failure));
         }
-        if tries.history.runs > 0 {
-            let answer = OwnAnswer::new(OwnCause::AnswerLost);
+        if attempts.history.runs > 0 {
+            let answer = LocalAnswer::new(ErrorCause::AnswerLost);
             return Outcome::Final(self.answer(request, answer));
         }
-        self.refuse(request, cause, come_back)
+        self.reject(request, cause, retry_after)
     }
 
-    fn time_over(
+    fn answer_timeout(
         &self,
         request: &CallRequest,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
     ) -> Response<AnswerBody> {
-        if let Some(failure) = tries.failure.take() {
-            return pass_on(failure);
+        if let Some(failure) = attempts.failure.take() {
+            return relay(failure);
         }
-        let cause = match tries.history.runs {
-            0 => OwnCause::TimeOverUnsent,
-            _ => OwnCause::TimeOver,
+        let cause = match attempts.history.runs {
+            0 => ErrorCause::DeadlineExceededUnsent,
+            _ => ErrorCause::DeadlineExceeded,
         };
-        self.answer(request, OwnAnswer::new(cause))
+        self.answer(request, LocalAnswer::new(cause))
     }
 
-    fn refuse(
+    fn reject(
         &self,
         request: &CallRequest,
-        cause: OwnCause,
+        cause: ErrorCause,
         retry_after: Duration,
     ) -> Outcome {
-        Outcome::Final(self.answer(request, OwnAnswer::after(cause, retry_after)))
+        Outcome::Final(self.answer(request, LocalAnswer::after(cause, retry_after)))
     }
 
     fn answer(
         &self,
         request: &CallRequest,
-        answer: OwnAnswer,
+        answer: LocalAnswer,
     ) -> Response<AnswerBody> {
         let names = self.formats.headers();
         answer.into_response(&names.request_id, request.id.as_ref())
     }
 }
 
-/// Tells that the caller has gone, if a request is dropped before its final answer.
-struct Unserved {
+/// Logs that the caller has gone, if dropped before the final answer.
+struct PendingRequest {
     id: String,
     arrived: Instant,
     served: bool,
-    tries: Tries,
-    charged: Option<Charged>,
+    attempts: Attempts,
+    charged: Option<QuotaCharge>,
 }
 
-impl Unserved {
+impl PendingRequest {
     fn new(
         request: &CallRequest,
-        charged: Option<Charged>,
+        charged: Option<QuotaCharge>,
     ) -> Self {
         Self {
             id: request.id_text().to_string(),
             arrived: request.arrived,
             served: false,
-            tries: Tries::default(),
+            attempts: Attempts::default(),
             charged,
         }
     }
 
-    fn disarm(mut self) -> (Tries, Option<Charged>) {
+    fn disarm(mut self) -> (Attempts, Option<QuotaCharge>) {
         self.served = true;
-        (std::mem::take(&mut self.tries), self.charged.take())
+        (std::mem::take(&mut self.attempts), self.charged.take())
     }
 }
 
-impl Drop for Unserved {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if !self.served {
-            let history = &self.tries.history;
+            let history = &self.attempts.history;
             let may_have_run = history.arrivals > 0 || history.runs > 0;
-            settle(self.charged.take(), may_have_run);
-            self.tries.trace.tell(&self.id, Instant::now());
+            settle_charge(self.charged.take(), may_have_run);
+            self.attempts.trace.log(&self.id, Instant::now());
             note!(
                 Event::RequestCallerGone,
                 id = self.id,
@@ -690,82 +714,81 @@
     }
 }
 
-/// Why a request finds no target.
-fn unplaced_cause(request: &CallRequest) -> OwnCause {
+fn unplaced_cause(request: &CallRequest) -> ErrorCause {
     match request.generation {
-        Some(_) => OwnCause::NoAdapter,
-        None => OwnCause::NoTarget,
+        Some(_) => ErrorCause::NoAdapter,
+        None => ErrorCause::NoTarget,
     }
 }
 
-/// What a send tells of how busy its target is.
-fn place_end(
-    sent: &Sent,
+/// Returns what a send shows of the load of its target.
+fn slot_end(
+    sent: &SendOutcome,
     took: Duration,
-) -> PlaceEnd {
+) -> SlotOutcome {
     match sent {
-        Sent::Whole(_) => PlaceEnd::Answered { took },
-        Sent::Ended(AttemptEnd::NotRun { .. }) => PlaceEnd::TurnedAway,
-        _ => PlaceEnd::Other,
+        SendOutcome::Complete(_) => SlotOutcome::Answered { took },
+        SendOutcome::Ended(AttemptEnd::NotRun { .. }) => SlotOutcome::Rejected,
+        _ => SlotOutcome::Other,
     }
 }
 
-/// What was charged for a request stays so if it may have run, and goes back otherwise.
-fn settle(
-    charged: Option<Charged>,
+/// Makes the charge for a request final if the request may have run, and refunds it otherwise.
+fn settle_charge(
+    charged: Option<QuotaCharge>,
     may_have_run: bool,
 ) {
     if let Some(mut charged) = charged.filter(|_| may_have_run) {
-        charged.keep();
+        charged.commit();
     }
 }
 
-/// Tells how a request went: in one line if it went smoothly, else with every step.
-fn tell(
+/// Logs a served request: one line, preceded by its trace if it failed or was late.
+fn log_served(
     request: &CallRequest,
-    tries: &Tries,
+    attempts: &Attempts,
     status: u16,
-    cause: Option<OwnCause>,
+    cause: Option<ErrorCause>,
 ) {
     let now = Instant::now();
     let id = request.id_text();
-    let passed = now.saturating_duration_since(request.arrived);
-    let late = passed > request.route.aim;
+    let elapsed = now.saturating_duration_since(request.arrived);
+    let late = elapsed > request.route.aim;
     if status >= 400 || late {
-        tries.trace.tell(id, now);
+        attempts.trace.log(id, now);
     }
-    count(request, tries, status, cause, passed);
+    record_metrics(request, attempts, status, cause, elapsed);
     let adapter = request.generation.as_ref().and_then(|g| g.adapter());
-    let sent = tries.trace.last_version();
+    let sent = attempts.trace.last_version();
     note!(
         Event::RequestServed,
         id = id,
         route = request.route.name,
         status = status,
         cause = cause.map_or("-", |cause| cause.word()),
-        target = tries.trace.last_target(),
+        target = attempts.trace.last_target(),
         adapter = adapter.unwrap_or("-"),
         version = sent.map_or(0, |sent| sent.version),
         newest = sent.map_or(0, |sent| sent.newest),
-        waited_ms = millis(tries.trace.before_last_send(request.arrived)),
+        waited_ms = millis(attempts.trace.time_to_last_send(request.arrived)),
         expected_ms = sent.map_or(-1.0, |sent| millis(sent.wait)),
-        first_ms = millis(passed),
+        first_ms = millis(elapsed),
         aim_ms = millis(request.route.aim),
-        arrivals = tries.history.arrivals,
+        arrivals = attempts.history.arrivals,
         late = late,
     );
 }
 
-fn count(
+fn record_metrics(
     request: &CallRequest,
-    tries: &Tries,
+    attempts: &Attempts,
     status: u16,
-    cause: Option<OwnCause>,
-    passed: Duration,
+    cause: Option<ErrorCause>,
+    elapsed: Duration,
 ) {
     let kind = request.route.kind.word();
     let outcome = match (status, cause) {
-        (0..400, _) if passed > request.route.aim => "late",
+        (0..400, _) if elapsed > request.route.aim => "late",
         (0..400, _) => "answered",
         (_, None) => "failed_there",
         (503, Some(_)) => "refused",
@@ -777,17 +800,17 @@
     if status < 400 {
         let labels = KindLabels { kind };
         let histogram = metrics.first_event.get_or_create(&labels);
-        histogram.observe(passed.as_secs_f64());
+        histogram.observe(elapsed.as_secs_f64());
     }
-    if let Some(waited) = tries.trace.waited(request.arrived) {
+    if let Some(waited) = attempts.trace.time_waited(request.arrived) {
         let labels = WaitLabels { cause: "adapter" };
         let histogram = metrics.waits.get_or_create(&labels);
         histogram.observe(waited.as_secs_f64());
     }
 }
 
-fn pass_on(answer: WholeAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(answer.body));
+fn relay(answer: CompleteAnswer) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::complete(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
     response
--- /dev/null
+++ b/src/connection/front/engine_estimator.rs
@@ -0,0 +1,110 @@
+use {
+    super::attempts::Attempts,
+    crate::{
+        clock::Instant,
+        connection::targets::{PrefillThroughput, TargetLink, TargetTable},
+        request::direct::{
+            AdapterCopyState, CallRequest, DEFAULT_LOAD_TIME, EngineCandidate, Policy,
+        },
+    },
+    std::{sync::Arc, time::Duration},
+};
+
+/// Maximum age of a report of other hosts' load at an engine; past it that load counts as unknown.
+const MAX_LOAD_AGE: Duration = Duration::from_millis(400);
+
+/// Priority of the requests that engines admit before all others.
+const HIGHEST_PRIORITY: u8 = 0;
+
+/// Estimates wait and load of the candidates for one request.
+pub(super) struct EngineEstimator<'a> {
+    speed: PrefillThroughput,
+    policy: Policy,
+    /// Mean number of running tokens per engine of the service.
+    mean_tokens: f64,
+    hall: &'a str,
+    now: Instant,
+}
+
+impl<'a> EngineEstimator<'a> {
+    pub fn of(
+        board: &mut TargetTable,
+        request: &CallRequest,
+        targets: &[Arc<str>],
+        hall: &'a str,
+        now: Instant,
+    ) -> Self {
+        let service = &request.service.name;
+        let mean_tokens = match board.is_large_site() {
+            // The load of other engines is too stale.
+            true => board.mean_running_tokens(targets.iter()),
+            false => board.mean_running_tokens(board.engines_of(service).iter()),
+        };
+        Self {
+            speed: *board.prefill_throughput(service),
+            policy: board.policy(),
+            mean_tokens,
+            hall,
+            now,
+        }
+    }
+
+    /// Returns an engine as a candidate for a request.
+    pub fn candidate(
+        &self,
+        board: &TargetTable,
+        request: &CallRequest,
+        target: &str,
+        copy_state: AdapterCopyState,
+        attempts: &Attempts,
+    ) -> EngineCandidate {
+        let link = &board.links[target];
+        let generation = request.generation.as_ref();
+        let prompt = generation.map_or(0, |generation| u64::from(generation.tokens_in));
+        let answer = generation.map_or(0, |generation| u64::from(generation.tokens_out));
+        let engine = request.service.engine.as_ref();
+        let memory = engine.map_or(u64::MAX, |engine| engine.memory_tokens.max(1));
+        let tokens = link.running_tokens() + prompt + answer;
+        EngineCandidate {
+            copy_state,
+            time_to_first_event: self
+                .speed
+                .prefill_time(self.backlog_before(link, request) + prompt),
+            load_time: link.load_time(self.now).unwrap_or(DEFAULT_LOAD_TIME),
+            memory_share: tokens as f64 / memory as f64,
+            batch_share: f64::from(link.running() + 1) / f64::from(link.view.record.slots.max(1)),
+            relative_load: tokens as f64 / (self.mean_tokens + (prompt + answer) as f64).max(1.0),
+            same_hall: link.view.record.hall == self.hall,
+            load_unknown: self.is_load_unknown(board, link),
+            avoided: !link.remaining_backoff(self.now).is_zero(),
+            has_holder: link.view.holder.is_some(),
+            tried: attempts.has_tried(target),
+            availability: board.availability(target, self.now),
+        }
+    }
+
+    /// Returns true if the report of other hosts' load at an engine is stale.
+    fn is_load_unknown(
+        &self,
+        board: &TargetTable,
+        link: &TargetLink,
+    ) -> bool {
+        let since = self.now.checked_sub(MAX_LOAD_AGE);
+        board.is_large_site() && since.is_some_and(|since| !link.has_report_since(since))
+    }
+
+    /// Returns the prompt tokens that an engine reads before the prompt of a request.
+    ///
+    /// Engines admit the most urgent requests first, so these wait for at most the one prompt that is being read.
+    fn backlog_before(
+        &self,
+        link: &TargetLink,
+        request: &CallRequest,
+    ) -> u64 {
+        let backlog = link.backlog_tokens();
+        match self.policy.ranks_backlog && request.urgency == HIGHEST_PRIORITY {
+            true => backlog.min(self.speed.mean_prompt_in_prefill()),
+            false => backlog,
+        }
+    }
+}
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -1,105 +1,107 @@
-//! Which engines a request may go to, and what their holders are asked right before it is sent.
+//! Samples the engines that a request may go to, and queries their holders right before it is sent.
 
 use {
-    super::tries::{QueryRound, Tries},
+    super::attempts::{Attempts, QueryRound},
     crate::{
         clock::Instant,
-        connection::{datagram::EngineQuery, targets::TargetBoard},
+        connection::{datagram::EngineQuery, targets::TargetTable},
         request::{
-            direct::{CallRequest, CopyState},
-            notices::Openness,
+            direct::{AdapterCopyState, CallRequest},
+            notices::Availability,
         },
     },
     rand::seq::IndexedRandom,
     std::{sync::Arc, time::Duration},
 };
 
-/// Wait for what holders tell of their engines.
-const QUERY_WAIT: Duration = Duration::from_millis(20);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What a holder told of its engine counts for so long.
-const QUERY_FRESH: Duration = Duration::from_millis(60);
+/// Validity of a holder's report on its engine.
+const QUERY_TTL: Duration = Duration::from_millis(60);
 
-/// Engines that are ready for a request whose holders are asked, at the most.
-const QUERIED_READY: usize = 6;
+/// Maximum number of engines in a sample that are ready for the request.
+const MAX_READY: usize = 6;
 
-/// Engines that are not ready for it whose holders are asked, at the most.
-const QUERIED_OTHERS: usize = 4;
+/// Maximum number of engines in a sample that neither hold nor load the adapter.
+const MAX_OTHERS: usize = 4;
 
-/// Engines on which an adapter may settle, besides those that hold it.
-const SETTLING_PLACES: usize = 8;
+/// Number of engines that an adapter may be loaded at, besides those that hold it.
+const PLACEMENT_CANDIDATES: usize = 8;
 
-/// The engines that a request for the base model alone may go to: a sample of a large site's.
+/// Returns the engines that a request without an adapter may go to; a sample of them on a large site.
 pub(super) fn sample_of_service(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     now: Instant,
 ) -> Vec<Arc<str>> {
     let engines = board.engines_of(&request.service.name);
-    if !board.asks_before_sends() {
+    if !board.is_large_site() {
         return engines;
     }
-    let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
+    let is_closed = |engine: &Arc<str>| board.availability(engine, now) == Availability::Closed;
     let engines = without_closed(engines, is_closed);
     engines
-        .sample(&mut rand::rng(), QUERIED_READY)
+        .sample(&mut rand::rng(), MAX_READY)
         .cloned()
         .collect()
 }
 
-/// The engines that a request for an adapter may go to, in the order in which it settles: on a large
-/// site a sample of those that hold it, those to which it comes, and a few where it may come next.
+/// Returns the engines that a request for an adapter may go to, in the adapter's order of preference.
+///
+/// On a large site these are a sample of the engines that hold it, those that load it, and a few that may load it next.
 pub(super) fn sample_for_adapter(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     adapter: &str,
     now: Instant,
 ) -> Vec<Arc<str>> {
     let service = &request.service.name;
-    if !board.asks_before_sends() {
-        return board.settle_order(service, adapter, SETTLING_PLACES, now);
+    if !board.is_large_site() {
+        return board.placement_order(service, adapter, PLACEMENT_CANDIDATES, now);
     }
-    let places = SETTLING_PLACES + board.adapters.known(adapter);
-    let order = board.settle_order(service, adapter, places, now);
+    let count = PLACEMENT_CANDIDATES + board.adapters.known_engines(adapter);
+    let order = board.placement_order(service, adapter, count, now);
     let copy = |at: &usize| board.adapters.get(adapter, &order[*at]);
     let state = |at: &usize| copy(at).map(|copy| copy.state);
     let is_held = |at: &usize| copy(at).is_some_and(|copy| copy.held().is_some());
     let (ready, others): (Vec<usize>, Vec<usize>) = (0..order.len()).partition(is_held);
-    let (coming, mut open): (Vec<usize>, Vec<usize>) = others
+    let (pending, mut unloaded): (Vec<usize>, Vec<usize>) = others
         .into_iter()
-        .partition(|at| state(at).is_some_and(is_coming));
-    open.retain(|at| !state(at).is_some_and(|state| is_full(state, now)));
-    // Where it was lately it comes back much faster.
-    open.sort_by_key(|at| state(at) != Some(CopyState::Remembered));
-    open.truncate(QUERIED_OTHERS);
-    let is_closed = |engine: &Arc<str>| board.openness(engine, now) == Openness::Closed;
+        .partition(|at| state(at).is_some_and(is_pending));
+    unloaded.retain(|at| !state(at).is_some_and(|state| is_full(state, now)));
+    // An engine that held the adapter lately loads it much faster.
+    unloaded.sort_by_key(|at| state(at) != Some(AdapterCopyState::Cached));
+    unloaded.truncate(MAX_OTHERS);
+    let is_closed = |engine: &Arc<str>| board.availability(engine, now) == Availability::Closed;
     let ready = without_closed(ready, |at| is_closed(&order[*at]));
-    let ready = ready.sample(&mut rand::rng(), QUERIED_READY).copied();
-    let mut chosen: Vec<usize> = ready.chain(coming).chain(open).collect();
+    let ready = ready.sample(&mut rand::rng(), MAX_READY).copied();
+    let mut chosen: Vec<usize> = ready.chain(pending).chain(unloaded).collect();
     chosen.sort_unstable();
     chosen.into_iter().map(|at| order[at].clone()).collect()
 }
 
-/// The engines among which is chosen. On a large site their holders are asked first how they stand,
-/// since what was last heard is too old; `Err` gives the time until which their answers are awaited.
-pub(super) fn look_before_send(
-    board: &TargetBoard,
+/// Returns the engines to choose from.
+///
+/// On a large site their holders are queried first, since earlier reports are too stale; `Err` holds the time until
+/// which to wait for their reports.
+pub(super) fn query_before_send(
+    board: &TargetTable,
     request: &CallRequest,
-    tries: &mut Tries,
-    draw: impl Fn(&TargetBoard) -> Vec<Arc<str>>,
+    attempts: &mut Attempts,
+    draw: impl Fn(&TargetTable) -> Vec<Arc<str>>,
     now: Instant,
 ) -> Result<Vec<Arc<str>>, Instant> {
-    if !board.asks_before_sends() {
+    if !board.is_large_site() {
         return Ok(draw(board));
     }
-    if let Some(round) = &tries.query
-        && now.saturating_duration_since(round.since) < QUERY_FRESH
+    if let Some(round) = &attempts.query
+        && now.saturating_duration_since(round.since) < QUERY_TTL
     {
         let present = |target: &&Arc<str>| board.links.contains_key(*target);
         let targets: Vec<Arc<str>> = round.targets.iter().filter(present).cloned().collect();
-        let told = |target: &Arc<str>| board.links[target].told_since(round.since);
-        let until = round.since + QUERY_WAIT;
-        return match now >= until || targets.iter().all(told) {
+        let has_reported = |target: &Arc<str>| board.links[target].has_report_since(round.since);
+        let until = round.since + QUERY_TIMEOUT;
+        return match now >= until || targets.iter().all(has_reported) {
             true => Ok(targets),
             false => Err(until),
         };
@@ -108,16 +110,16 @@
     if !query_all(board, request, &targets) {
         return Ok(targets);
     }
-    tries.query = Some(QueryRound {
+    attempts.query = Some(QueryRound {
         targets,
         since: now,
     });
-    Err(now + QUERY_WAIT)
+    Err(now + QUERY_TIMEOUT)
 }
 
-/// Asks the holders of these engines how they stand; false if there is none to ask.
+/// Queries the holders of engines for their status; returns false if none of the engines has a holder.
 fn query_all(
-    board: &TargetBoard,
+    board: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
 ) -> bool {
@@ -134,13 +136,13 @@
     let tokens = generation.map_or((0, 0), |generation| {
         (generation.tokens_in, generation.tokens_out)
     });
-    let mut asked = 0;
+    let mut queried = 0;
     for target in targets {
         let chance = match is_ready(target) {
             true => 100 / ready.max(1) as u32,
             false => 0,
         };
-        asked += u32::from(board.query(EngineQuery {
+        queried += u32::from(board.query(EngineQuery {
             target: target.to_string(),
             adapter: adapter.unwrap_or_default().to_string(),
             chance,
@@ -148,11 +150,11 @@
             prompt_tokens: tokens.0,
         }));
     }
-    asked > 0
+    queried > 0
 }
 
-/// Leaves out engines that take no request now, unless all do: a sample of closed ones would have a request refused that others
-/// would take.
+/// Removes closed engines unless all are closed: a sample of closed engines would get a request rejected that others
+/// could take.
 fn without_closed<T>(
     engines: Vec<T>,
     is_closed: impl Fn(&T) -> bool,
@@ -164,12 +166,15 @@
 }
 
 fn is_full(
-    copy: CopyState,
+    copy: AdapterCopyState,
     now: Instant,
 ) -> bool {
-    matches!(copy, CopyState::Full { until } if until > now)
+    matches!(copy, AdapterCopyState::Full { until } if until > now)
 }
 
-pub(super) fn is_coming(copy: CopyState) -> bool {
-    matches!(copy, CopyState::Coming { .. } | CopyState::Asked)
+pub(super) fn is_pending(copy: AdapterCopyState) -> bool {
+    matches!(
+        copy,
+        AdapterCopyState::Loading { .. } | AdapterCopyState::Requested
+    )
 }
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -3,7 +3,7 @@
         clock::Instant,
         connection::{
             http1::{BodyDecoder, ExchangeError, HttpConnection, ResponseHead},
-            targets::{KeyStanding, RequestTokens, TargetBoard, TargetLink, TargetRun},
+            targets::{KeyStatus, RequestTokens, TargetIncarnation, TargetLink, TargetTable},
         },
         formats::{HeaderNames, TargetStart},
         request::{
@@ -22,37 +22,36 @@
     tokio::time::timeout,
 };
 
-/// Time for a connection to a target to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bodies up to this size are read whole before they are passed on, in bytes.
-const WHOLE_LIMIT: usize = 256 * 1024;
+/// Bodies up to this size in bytes are read completely before they are relayed.
+const MAX_BUFFERED_BODY: usize = 256 * 1024;
 
-/// The last rank that engines know among the requests that wait there.
-const LEAST_URGENT: u8 = 9;
+/// Lowest priority that engines know.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// The version of its adapter that a request is sent for.
+/// Version of the adapter that a request is sent for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct VersionSent {
+pub struct ExpectedVersion {
     pub version: u64,
-    /// The newest one that is known.
+    /// Newest known version.
     pub newest: u64,
-    /// The request is expected to begin after this time.
+    /// Expected wait of the request before the engine starts it.
     pub wait: Duration,
 }
 
-/// Where a request goes, and on what condition it may run there.
+/// Target of a send, and the conditions on which the request may run there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
     pub target: Arc<str>,
-    /// Version of the adapter that must be there; none for requests without one.
-    pub version: Option<VersionSent>,
-    /// The answer goes on behind this event.
+    /// Version of the adapter that the target must hold; `None` for requests without an adapter.
+    pub version: Option<ExpectedVersion>,
+    /// Id of the event after which the answer continues.
     pub resume_after: Option<u64>,
 }
 
 impl Destination {
-    /// A target, without conditions.
+    /// Returns a destination without conditions.
     pub fn of(target: &str) -> Self {
         Self {
             target: target.into(),
@@ -62,21 +61,21 @@
     }
 }
 
-/// One request that runs, or may run, at a target; it counts as ended when dropped.
-pub struct Flight {
-    board: Rc<RefCell<TargetBoard>>,
+/// A request that may run at a target; counted there until dropped.
+pub struct InFlightRequest {
+    board: Rc<RefCell<TargetTable>>,
     target: Arc<str>,
-    /// Which start of the target it runs at.
+    /// Incarnation of the target that it runs at.
     started: Option<TargetStart>,
     adapter: Option<String>,
     tokens: RequestTokens,
-    /// Nothing of the answer has come yet.
-    unread: Cell<bool>,
+    /// True until the first byte of the answer arrives.
+    is_prompt_unread: Cell<bool>,
 }
 
-impl Flight {
+impl InFlightRequest {
     fn start(
-        board: &Rc<RefCell<TargetBoard>>,
+        board: &Rc<RefCell<TargetTable>>,
         request: &CallRequest,
         target: &Arc<str>,
     ) -> Self {
@@ -86,7 +85,7 @@
             all: u64::from(generation.tokens_in) + u64::from(generation.tokens_out),
             prompt: u64::from(generation.tokens_in),
         });
-        let started = board.borrow().started(target);
+        let started = board.borrow().incarnation(target);
         board.borrow_mut().start_request(target, adapter, tokens);
         Self {
             board: board.clone(),
@@ -94,12 +93,11 @@
             started,
             adapter: adapter.map(str::to_string),
             tokens,
-            unread: Cell::new(true),
+            is_prompt_unread: Cell::new(true),
         }
     }
 
-    /// Does something with the target's link, unless the target is gone or has started anew: what ends of
-    /// an earlier start says nothing of the later one.
+    /// Applies a change to the target's link, unless the target is gone or has a new incarnation.
     fn with_link(
         &self,
         change: impl FnOnce(&mut TargetLink),
@@ -111,26 +109,26 @@
         }
     }
 
-    /// True unless the target is gone or has started anew since the flight began.
-    fn is_at_known_start(&self) -> bool {
+    /// Returns true if the target still has the incarnation that the request was sent to.
+    fn has_same_incarnation(&self) -> bool {
         let board = self.board.borrow();
         let link = board.links.get(&self.target);
         link.is_some_and(|link| link.view.record.started == self.started)
     }
 
-    /// Something came from the target.
-    fn on_heard(&self) {
-        self.with_link(|link| link.heard = Some(Instant::now()));
+    /// Records that bytes have arrived from the target.
+    fn on_received(&self) {
+        self.with_link(|link| link.last_received = Some(Instant::now()));
     }
 
-    /// The head of the answer to a request that was sent at `sent` has come.
+    /// Records what the head of an answer announces; `sent` is the time of the request.
     fn on_head(
         &self,
         names: &HeaderNames,
         head: &ResponseHead,
         sent: Instant,
     ) {
-        let said = NoticeHeaders {
+        let notice = NoticeHeaders {
             names,
             status: head.status,
             headers: &head.headers,
@@ -139,19 +137,19 @@
         let (target, start) = (&self.target, self.started);
         board
             .notices
-            .on_answer(target, start, &said, sent, Instant::now());
+            .on_answer(target, start, &notice, sent, Instant::now());
     }
 
-    /// The first of the answer has come, or none will.
-    fn on_prompt_read(&self) {
-        if !self.unread.replace(false) {
+    /// Records that the target has read the prompt: the answer has started, or none will come.
+    fn on_prefill_done(&self) {
+        if !self.is_prompt_unread.replace(false) {
             return;
         }
-        self.with_link(|link| link.on_prompt_read(self.tokens));
+        self.with_link(|link| link.on_prefill_done(self.tokens));
     }
 
-    /// Keeps the connection of an exchange that is over.
-    pub fn keep(
+    /// Returns the connection of a finished exchange to the pool of idle ones.
+    pub fn release(
         &self,
         connection: HttpConnection,
         idle_limit: Option<Duration>,
@@ -160,185 +158,186 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.on_prompt_read();
+        self.on_prefill_done();
         self.with_link(|link| link.end(self.adapter.as_deref(), self.tokens));
     }
 }
 
-/// A whole answer of a target.
+/// A complete answer of a target.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-/// An answer whose body goes on.
+/// An answer whose body is still being sent.
 pub struct OpenAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// What has arrived of the body.
+    /// First piece of the body.
     pub first: Bytes,
     pub source: AnswerSource,
 }
 
-/// Where the rest of a body comes from.
+/// Source of the rest of a body.
 pub struct AnswerSource {
     connection: HttpConnection,
     decoder: BodyDecoder,
     reusable: bool,
     idle_limit: Option<Duration>,
-    flight: Flight,
+    in_flight: InFlightRequest,
 }
 
 impl AnswerSource {
-    /// The next piece; `None` at the body's end.
+    /// Returns the next piece, or `None` at the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let piece = self.connection.body_piece(&mut self.decoder).await;
         if matches!(piece, Ok(Some(_))) {
-            self.flight.on_heard();
+            self.in_flight.on_received();
         }
         piece
     }
 
-    /// True if the target has sent nothing at all to this host for so long, or has started anew.
+    /// Returns true if the target has sent nothing to this host for `time`, or if it has a new incarnation.
     pub fn target_is_silent(
         &self,
         time: Duration,
     ) -> bool {
-        let board = self.flight.board.borrow();
-        let link = board.links.get(&self.flight.target);
-        let link = link.filter(|link| link.view.record.started == self.flight.started);
+        let board = self.in_flight.board.borrow();
+        let link = board.links.get(&self.in_flight.target);
+        let link = link.filter(|link| link.view.record.started == self.in_flight.started);
         link.is_none_or(|link| link.is_silent(time, Instant::now()))
     }
 
-    /// The target that answers.
     pub fn target(&self) -> &str {
-        &self.flight.target
+        &self.in_flight.target
     }
 
-    /// The start of the target that answers.
-    pub fn run(&self) -> TargetRun {
-        (self.flight.target.clone(), self.flight.started)
+    /// Returns the incarnation of the target that answers.
+    pub fn incarnation(&self) -> TargetIncarnation {
+        (self.in_flight.target.clone(), self.in_flight.started)
     }
 
-    /// The body is over.
+    /// Ends a completely read body, and returns the connection to the pool if it can be reused.
     pub fn finish(self) {
         if self.reusable {
-            self.flight.keep(self.connection, self.idle_limit);
+            self.in_flight.release(self.connection, self.idle_limit);
         }
     }
 }
 
-/// What a send brought.
-pub enum Sent {
-    Whole(WholeAnswer),
+/// Result of a send.
+pub enum SendOutcome {
+    Complete(CompleteAnswer),
     Open(Box<OpenAnswer>),
-    /// The target ran it and failed.
-    Failed(WholeAnswer),
-    /// No answer that can be passed on.
+    /// The target ran the request and failed.
+    Failed(CompleteAnswer),
+    /// There is no answer that can be relayed.
     Ended(AttemptEnd),
-    /// The target does not hold what the request needs, and did not run it.
+    /// The target does not hold what the request needs, and has not run it.
     Misdirected,
-    /// Nothing was sent: by now it is not known well enough that the target takes requests, or it has said that it takes none,
-    /// or its version of the adapter may serve no longer.
-    Unconfirmed,
+    /// Nothing was sent: a table has become too stale, the target has announced that it accepts no requests, its
+    /// version of the adapter may no longer serve, or the key was revoked.
+    Withheld,
 }
 
-impl Sent {
-    /// True if it is known that nothing of the request arrived at a target.
+impl SendOutcome {
+    /// Returns true if the request certainly never reached a target.
     pub fn never_arrived(&self) -> bool {
-        matches!(self, Self::Unconfirmed | Self::Ended(AttemptEnd::NotSent))
+        matches!(self, Self::Withheld | Self::Ended(AttemptEnd::NotSent))
     }
 }
 
-/// Sends a request to a target and reads its answer: plain ones whole, streams to the first piece.
+/// Sends a request to a target and reads its answer: up to the first piece for streams, otherwise completely if it is
+/// not too large.
 pub async fn send(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     destination: &Destination,
     streams: bool,
-) -> Sent {
-    let begun = Instant::now();
+) -> SendOutcome {
+    let started_at = Instant::now();
     let no_backlog = backlog(board, &destination.target) == 0;
-    let flight = Flight::start(board, request, &destination.target);
-    let Some(mut connection) = connect(&flight).await else {
-        return Sent::Ended(AttemptEnd::NotSent);
+    let in_flight = InFlightRequest::start(board, request, &destination.target);
+    let Some(mut connection) = connect(&in_flight).await else {
+        return SendOutcome::Ended(AttemptEnd::NotSent);
     };
     let now = Instant::now();
-    // The connection may have taken its time to come up, and may lead to a start that is over.
-    if !board.borrow().is_usable(&destination.target, now) || !flight.is_at_known_start() {
-        return Sent::Ended(AttemptEnd::NotSent);
+    // Connecting may have taken long, and the connection may lead to an earlier incarnation.
+    if !board.borrow().is_usable(&destination.target, now) || !in_flight.has_same_incarnation() {
+        return SendOutcome::Ended(AttemptEnd::NotSent);
     }
     if !may_send(board, request, destination, now) {
-        flight.keep(connection, None);
-        return Sent::Unconfirmed;
+        in_flight.release(connection, None);
+        return SendOutcome::Withheld;
     }
-    board.borrow_mut().note_sent(now);
+    board.borrow_mut().record_send_staleness(now);
     let bytes = request_bytes(names, request, destination, now);
-    let is_ours = |head: &ResponseHead| head.headers.get(&names.request_id) == request.id.as_ref();
-    let exchange = connection.exchange(&bytes, &request.method, is_ours);
-    let (head, sent_whole) = match exchange.await {
+    let is_own_answer =
+        |head: &ResponseHead| head.headers.get(&names.request_id) == request.id.as_ref();
+    let exchange = connection.exchange(&bytes, &request.method, is_own_answer);
+    let (head, sent_completely) = match exchange.await {
         Ok(answer) => answer,
-        Err(_) => return lost(&flight),
+        Err(_) => return lost_answer(&in_flight),
     };
-    flight.on_head(names, &head, now);
+    in_flight.on_head(names, &head, now);
     let mut source = AnswerSource {
         connection,
         decoder: BodyDecoder::new(head.framing),
-        reusable: head.keeps_alive && sent_whole,
+        reusable: head.keeps_alive && sent_completely,
         idle_limit: head.idle_limit,
-        flight,
+        in_flight,
     };
     if head.headers.contains_key(&names.not_run) || head.status == StatusCode::MISDIRECTED_REQUEST {
         return not_run(head, source).await;
     }
-    let wanted = if streams && head.status.is_success() {
+    let min_bytes = if streams && head.status.is_success() {
         1
     } else {
-        WHOLE_LIMIT
+        MAX_BUFFERED_BODY
     };
     let mut body = BytesMut::new();
-    while body.len() < wanted {
+    while body.len() < min_bytes {
         match source.next().await {
             Ok(Some(piece)) => body.extend_from_slice(&piece),
             Ok(None) => {
-                trust(&source.flight);
+                record_success(&source.in_flight);
                 let failed = head.status.is_server_error();
-                let answer = whole(head, body.freeze(), source);
+                let answer = complete(head, body.freeze(), source);
                 return match failed {
-                    true => Sent::Failed(answer),
-                    false => Sent::Whole(answer),
+                    true => SendOutcome::Failed(answer),
+                    false => SendOutcome::Complete(answer),
                 };
             }
-            Err(_) => return lost(&source.flight),
+            Err(_) => return lost_answer(&source.in_flight),
         }
     }
-    trust(&source.flight);
-    source.flight.on_prompt_read();
+    record_success(&source.in_flight);
+    source.in_flight.on_prefill_done();
     if no_backlog {
-        let time = begun.elapsed();
-        let tokens = source.flight.tokens.prompt;
+        let time = started_at.elapsed();
+        let tokens = source.in_flight.tokens.prompt;
         let mut board = board.borrow_mut();
         board
-            .speed(&request.service.name)
+            .prefill_throughput(&request.service.name)
             .on_first_event(tokens, time);
     }
-    Sent::Open(Box::new(OpenAnswer {
+    SendOutcome::Open(Box::new(OpenAnswer {
         status: head.status,
-        headers: passed_headers(head.headers),
+        headers: relayed_headers(head.headers),
         first: body.freeze(),
         source,
     }))
 }
 
-/// True if what a send rests on is young enough, the list of targets and the version that it is for, and the target has not
-/// said meanwhile that it takes none.
+/// Returns true if the list of targets and the adapter's version are fresh enough, the key is valid, and the target has
+/// not announced that it accepts no requests.
 fn may_send(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
     destination: &Destination,
     now: Instant,
@@ -346,25 +345,25 @@
     let board = board.borrow();
     let generation = request.generation.as_ref();
     let adapter = generation.and_then(|generation| generation.adapter());
-    let serves = adapter
+    let version_serves = adapter
         .zip(destination.version)
         .is_none_or(|(adapter, sent)| {
-            let until = board.serves_until(adapter, sent.version);
-            until.allows(sent.wait, now)
+            let until = board.version_deadline(adapter, sent.version);
+            until.can_begin(sent.wait, now)
         });
-    // A stream that goes on elsewhere began while its key stood.
+    // A resumed stream was started while its key was valid.
     let resumes = destination.resume_after.is_some();
-    let key_stands = resumes
+    let key_is_valid = resumes
         || request
             .credential
             .as_ref()
-            .is_none_or(|credential| board.key_standing(credential, now) == KeyStanding::Valid);
-    let forbidden = board.forbids(&destination.target, now);
-    serves && key_stands && !forbidden && board.allows_sends(now)
+            .is_none_or(|credential| board.key_status(credential, now) == KeyStatus::Valid);
+    let is_closed = board.is_rejecting_requests(&destination.target, now);
+    version_serves && key_is_valid && !is_closed && board.can_send(now)
 }
 
 fn backlog(
-    board: &Rc<RefCell<TargetBoard>>,
+    board: &Rc<RefCell<TargetTable>>,
     target: &str,
 ) -> u64 {
     let board = board.borrow();
@@ -374,69 +373,69 @@
         .map_or(0, |link| link.backlog_tokens())
 }
 
-async fn connect(flight: &Flight) -> Option<HttpConnection> {
+async fn connect(in_flight: &InFlightRequest) -> Option<HttpConnection> {
     let address = {
-        let mut board = flight.board.borrow_mut();
-        let link = board.links.get_mut(&flight.target)?;
+        let mut board = in_flight.board.borrow_mut();
+        let link = board.links.get_mut(&in_flight.target)?;
         if let Some(connection) = link.take_idle(Instant::now()) {
             return Some(connection);
         }
         link.view.record.address
     };
-    let opened = timeout(CONNECT_LIMIT, HttpConnection::open(address)).await;
+    let opened = timeout(CONNECT_TIMEOUT, HttpConnection::open(address)).await;
     match opened {
         Ok(Ok(connection)) => Some(connection),
         _ => {
-            distrust(flight);
+            record_failure(in_flight);
             None
         }
     }
 }
 
-/// The target turned the request away.
+/// Handles a rejection by the target.
 async fn not_run(
     head: ResponseHead,
     mut source: AnswerSource,
-) -> Sent {
+) -> SendOutcome {
     let status = head.status;
     while let Ok(Some(_)) = source.next().await {}
     source.finish();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Sent::Misdirected;
+        return SendOutcome::Misdirected;
     }
-    Sent::Ended(AttemptEnd::NotRun {
+    SendOutcome::Ended(AttemptEnd::NotRun {
         status: status.as_u16(),
     })
 }
 
-fn whole(
+fn complete(
     head: ResponseHead,
     body: Bytes,
     source: AnswerSource,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     source.finish();
-    WholeAnswer {
+    CompleteAnswer {
         status: head.status,
-        headers: passed_headers(head.headers),
+        headers: relayed_headers(head.headers),
         body,
     }
 }
 
-fn lost(flight: &Flight) -> Sent {
-    distrust(flight);
-    Sent::Ended(AttemptEnd::Lost)
+fn lost_answer(in_flight: &InFlightRequest) -> SendOutcome {
+    record_failure(in_flight);
+    SendOutcome::Ended(AttemptEnd::Lost)
 }
 
-fn trust(flight: &Flight) {
-    flight.with_link(|link| link.health.on_success());
+fn record_success(in_flight: &InFlightRequest) {
+    in_flight.with_link(|link| link.health.on_success());
 }
 
-fn distrust(flight: &Flight) {
-    flight.with_link(|link| link.health.on_failure(Instant::now()));
+fn record_failure(in_flight: &InFlightRequest) {
+    in_flight.with_link(|link| link.health.on_failure(Instant::now()));
 }
 
-/// The headers of an answer that go on to the caller.
-fn passed_headers(mut headers: HeaderMap) -> HeaderMap {
+/// Returns the headers of an answer that are relayed to the caller.
+fn relayed_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in [
         header::CONNECTION,
         header::CONTENT_LENGTH,
@@ -450,7 +449,7 @@
     headers
 }
 
-/// The request as it goes to the target.
+/// Encodes the request for the target.
 fn request_bytes(
     names: &HeaderNames,
     request: &CallRequest,
@@ -486,11 +485,11 @@
             after.as_bytes(),
         ]);
     }
-    let left = request.left(now).as_millis().to_string();
+    let time_left = request.time_left(now).as_millis().to_string();
     line(&[
         names.deadline_ms.as_str().as_bytes(),
         b": ",
-        left.as_bytes(),
+        time_left.as_bytes(),
     ]);
     line(&[
         names.expect_target.as_str().as_bytes(),
@@ -506,7 +505,7 @@
         ]);
     }
     if request.generation.is_some() {
-        let priority = request.urgency.min(LEAST_URGENT).to_string();
+        let priority = request.urgency.min(LOWEST_PRIORITY).to_string();
         line(&[
             names.priority.as_str().as_bytes(),
             b": ",
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -1,12 +1,12 @@
 use {
     super::{
-        AnswerBody, Dispatcher, OwnAnswer, OwnCause, RequestProblem, RequestReader,
-        admission::{Belief, HELD_COME_BACK, wait_until_confirmed},
+        AnswerBody, Dispatcher, ErrorCause, LocalAnswer, RequestReadError, RequestReader,
+        admission::{FreshnessCheck, STALE_RETRY_AFTER, wait_until_fresh},
         request_trace::millis,
     },
     crate::{
         clock::Instant,
-        connection::targets::TargetBoard,
+        connection::targets::TargetTable,
         formats::Formats,
         metrics::{StateLabels, metrics},
         note,
@@ -33,44 +33,44 @@
     },
 };
 
-/// Pause after a failed accept, such as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Backoff after a failed accept, such as when file descriptors run out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Callers come back to another host after this time when this one stops.
-const STOP_COME_BACK: Duration = Duration::from_millis(20);
+/// Retry delay for callers while this host stops; they should use another one.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Callers come back after this time while no configuration is known.
-const NOT_READY_COME_BACK: Duration = Duration::from_millis(300);
+/// Retry delay for callers while no configuration is known.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Connections of callers, among the figures.
-const CALLERS: StateLabels = StateLabels { state: "callers" };
+/// Metric label of callers' connections.
+const CALLER_CONNECTIONS: StateLabels = StateLabels { state: "callers" };
 
-/// How far a planned stop has come.
+/// Stage of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FrontStop {
+pub enum StopStage {
     Serving,
-    /// Requests are served; connections end after their request.
-    Leaving,
-    /// New requests are refused.
-    Refusing,
+    /// Requests are served; connections are closed after their request.
+    Draining,
+    /// New requests are rejected.
+    Rejecting,
 }
 
-/// Takes callers' connections and serves their requests.
+/// Accepts callers' connections and serves their requests.
 pub struct FrontListener {
     dispatcher: Rc<Dispatcher>,
     reader: RequestReader,
-    board: Rc<RefCell<TargetBoard>>,
+    board: Rc<RefCell<TargetTable>>,
     formats: Arc<dyn Formats>,
-    stop: watch::Receiver<FrontStop>,
+    stop: watch::Receiver<StopStage>,
     open_connections: Arc<AtomicUsize>,
 }
 
 impl FrontListener {
     pub fn new(
-        board: Rc<RefCell<TargetBoard>>,
+        board: Rc<RefCell<TargetTable>>,
         formats: Arc<dyn Formats>,
         hall: &str,
-        stop: watch::Receiver<FrontStop>,
+        stop: watch::Receiver<StopStage>,
         open_connections: Arc<AtomicUsize>,
     ) -> Self {
         Self {
@@ -93,7 +93,7 @@
                 Ok((stream, _)) => {
                     spawn_local(self.clone().serve_connection(stream));
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
             }
         }
     }
@@ -116,7 +116,7 @@
         let mut stop = self.stop.clone();
         tokio::select! {
             _ = connection.as_mut() => return,
-            _ = stop.wait_for(|stop| *stop >= FrontStop::Leaving) => {}
+            _ = stop.wait_for(|stop| *stop >= StopStage::Draining) => {}
         }
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
@@ -128,50 +128,59 @@
     ) -> Result<Response<AnswerBody>, io::Error> {
         let arrived = Instant::now();
         let id = self.reader.id(request.headers());
-        let own = |answer: OwnAnswer| {
+        let error_response = |answer: LocalAnswer| {
             answer.into_response(&self.formats.headers().request_id, id.as_ref())
         };
-        if *self.stop.borrow() >= FrontStop::Refusing {
-            return Ok(own(OwnAnswer::after(OwnCause::Stopping, STOP_COME_BACK)));
+        if *self.stop.borrow() >= StopStage::Rejecting {
+            return Ok(error_response(LocalAnswer::after(
+                ErrorCause::Stopping,
+                STOPPING_RETRY_AFTER,
+            )));
         }
         let id_text = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
-        if !wait_until_confirmed(&self.board, Belief::Declared, id_text).await {
-            return Ok(own(OwnAnswer::after(OwnCause::Unconfirmed, HELD_COME_BACK)));
+        if !wait_until_fresh(&self.board, FreshnessCheck::Declared, id_text).await {
+            return Ok(error_response(LocalAnswer::after(
+                ErrorCause::StaleTables,
+                STALE_RETRY_AFTER,
+            )));
         }
-        self.board.borrow_mut().note_routed(Instant::now());
+        self.board
+            .borrow_mut()
+            .record_routing_staleness(Instant::now());
         let routing = self.board.borrow().routing().clone();
         let draw = rand::rng().random::<f64>();
         match self.reader.read(request, &routing, arrived, draw).await {
             Ok(request) => Ok(self.dispatcher.serve(request).await),
-            Err(RequestProblem::Answer(OwnCause::NotReady)) => Ok(own(OwnAnswer::after(
-                OwnCause::NotReady,
-                NOT_READY_COME_BACK,
-            ))),
-            Err(RequestProblem::Answer(cause)) => Ok(own(self.reject(cause, id_text))),
-            Err(RequestProblem::Gone) => Err(io::ErrorKind::ConnectionAborted.into()),
+            Err(RequestReadError::Rejected(ErrorCause::NotReady)) => Ok(error_response(
+                LocalAnswer::after(ErrorCause::NotReady, NOT_READY_RETRY_AFTER),
+            )),
+            Err(RequestReadError::Rejected(cause)) => {
+                Ok(error_response(self.reject(cause, id_text)))
+            }
+            Err(RequestReadError::CallerGone) => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
 }
 
 impl FrontListener {
-    /// The answer to a request that is not routed, with a line on what that rests on.
+    /// Returns the answer to a request that is not routed, and logs the configuration that this depends on.
     ///
-    /// A key that stands nowhere may have been added since a configuration that is older than its bound; its caller
-    /// would take 401 for the last word.
+    /// While the configuration is stale, an unknown key gets a retryable answer, since it may have been added
+    /// meanwhile.
     fn reject(
         &self,
-        cause: OwnCause,
+        cause: ErrorCause,
         id: &str,
-    ) -> OwnAnswer {
+    ) -> LocalAnswer {
         let now = Instant::now();
         let board = self.board.borrow();
         let answer = match cause {
-            OwnCause::UnknownKey if !board.allows_unknown_keys(now) => {
-                OwnAnswer::after(OwnCause::Unconfirmed, HELD_COME_BACK)
+            ErrorCause::UnknownKey if !board.can_reject_unknown_keys(now) => {
+                LocalAnswer::after(ErrorCause::StaleTables, STALE_RETRY_AFTER)
             }
-            cause => OwnAnswer::new(cause),
+            cause => LocalAnswer::new(cause),
         };
-        let age = board.confirmation().declared.age(now);
+        let age = board.freshness().declared.age(now);
         note!(
             Event::RequestRejected,
             id = id,
@@ -184,7 +193,7 @@
     }
 }
 
-/// A connection that is open; counted until dropped.
+/// An open connection; counted until dropped.
 struct OpenConnection {
     count: Arc<AtomicUsize>,
 }
@@ -192,7 +201,10 @@
 impl OpenConnection {
     fn start(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
-        metrics().connections.get_or_create(&CALLERS).inc();
+        metrics()
+            .connections
+            .get_or_create(&CALLER_CONNECTIONS)
+            .inc();
         Self {
             count: count.clone(),
         }
@@ -202,6 +214,9 @@
 impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::Relaxed);
-        metrics().connections.get_or_create(&CALLERS).dec();
+        metrics()
+            .connections
+            .get_or_create(&CALLER_CONNECTIONS)
+            .dec();
     }
 }
--- a/src/connection/front/own_answer.rs
+++ b/src/connection/front/local_answer.rs
@@ -4,69 +4,69 @@
     std::time::Duration,
 };
 
-/// Why a request gets an answer of this host's own.
+/// Reason for which this host answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnCause {
+pub enum ErrorCause {
     /// No configuration is known yet.
     NotReady,
     NoRoute,
-    /// No customer has the key that the request bears, or it bears none.
+    /// The key is missing, or belongs to no customer.
     UnknownKey,
-    /// Its customer has used up what it may, over all hosts.
+    /// The customer's quota, which is shared by all hosts, is used up.
     OverLimit,
-    /// Nobody who counts its customer's use answers; other hosts may reach one.
-    Uncounted,
+    /// No host that counts the customer's quota answers; other hosts may reach one.
+    QuotaUnavailable,
     BodyTooLarge,
     BodyTooSlow,
-    /// The process stops.
+    /// The host is shutting down.
     Stopping,
-    /// What this host would serve it by is too old; other hosts may know more.
-    Unconfirmed,
-    /// Every target that could run it is full, or none is there.
+    /// A table that is needed to serve the request is too stale on this host.
+    StaleTables,
+    /// All targets are full or closed, or there is none.
     NoTarget,
     /// The adapter can't be loaded in time.
     NoAdapter,
-    /// Targets turned it away, and it may not be sent again.
-    TurnedAway,
-    /// The time was over before it ran.
-    TimeOverUnsent,
-    /// The time was over, and it may have run.
-    TimeOver,
-    /// It may have run, and its answer is lost.
+    /// Targets rejected the request, and it may not be sent again.
+    RejectedByTargets,
+    /// The deadline passed before the request ran.
+    DeadlineExceededUnsent,
+    /// The deadline passed, and the request may have run.
+    DeadlineExceeded,
+    /// The request may have run, and its answer is lost.
     AnswerLost,
-    /// Targets end under it, so that it is sent to none any more.
-    EndsTargets,
+    /// The request crashes targets, and is no longer sent to any.
+    CrashesTargets,
 }
 
-impl OwnCause {
-    /// The cause in logs and in the body.
+impl ErrorCause {
+    /// Returns the code of the cause in logs and in the body.
     pub fn word(self) -> &'static str {
         match self {
             Self::NotReady => "not_ready",
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
             Self::OverLimit => "over_limit",
-            Self::Uncounted => "uncounted",
+            Self::QuotaUnavailable => "uncounted",
             Self::BodyTooLarge => "body_too_large",
             Self::BodyTooSlow => "body_too_slow",
             Self::Stopping => "host_stopping",
-            Self::Unconfirmed => "unconfirmed",
+            Self::StaleTables => "unconfirmed",
             Self::NoTarget => "no_target",
             Self::NoAdapter => "no_adapter",
-            Self::TurnedAway => "turned_away",
-            Self::TimeOverUnsent => "time_over_unsent",
-            Self::TimeOver => "time_over",
+            Self::RejectedByTargets => "turned_away",
+            Self::DeadlineExceededUnsent => "time_over_unsent",
+            Self::DeadlineExceeded => "time_over",
             Self::AnswerLost => "answer_lost",
-            Self::EndsTargets => "ends_targets",
+            Self::CrashesTargets => "ends_targets",
         }
     }
 
-    /// True if a request that gets this answer may have run.
+    /// Returns true if a request that gets this answer may have run.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Self::TimeOver | Self::AnswerLost)
+        matches!(self, Self::DeadlineExceeded | Self::AnswerLost)
     }
 
-    /// 408, 429 and 503 promise that the request has not run and never will.
+    /// Returns the HTTP status; 408, 429 and 503 guarantee that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -76,31 +76,30 @@
             Self::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
             Self::NotReady
             | Self::Stopping
-            | Self::Unconfirmed
-            | Self::Uncounted
+            | Self::StaleTables
+            | Self::QuotaUnavailable
             | Self::NoTarget
             | Self::NoAdapter
-            | Self::TurnedAway
-            | Self::TimeOverUnsent => StatusCode::SERVICE_UNAVAILABLE,
-            Self::TimeOver => StatusCode::GATEWAY_TIMEOUT,
+            | Self::RejectedByTargets
+            | Self::DeadlineExceededUnsent => StatusCode::SERVICE_UNAVAILABLE,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
             Self::AnswerLost => StatusCode::BAD_GATEWAY,
-            // It has not run, but 503 would promise that it may be served later, and callers' libraries send 502 to
-            // 504 again by themselves.
-            Self::EndsTargets => StatusCode::INTERNAL_SERVER_ERROR,
+            // The request has not run, but client libraries retry 502 to 504 by themselves.
+            Self::CrashesTargets => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 }
 
-/// An answer of this host's own.
+/// An answer that this host gives itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnAnswer {
-    pub cause: OwnCause,
-    /// When the caller should come back, for requests that have not run.
+pub struct LocalAnswer {
+    pub cause: ErrorCause,
+    /// Delay before a retry, for requests that have not run.
     pub retry_after: Option<Duration>,
 }
 
-impl OwnAnswer {
-    pub fn new(cause: OwnCause) -> Self {
+impl LocalAnswer {
+    pub fn new(cause: ErrorCause) -> Self {
         Self {
             cause,
             retry_after: None,
@@ -108,7 +107,7 @@
     }
 
     pub fn after(
-        cause: OwnCause,
+        cause: ErrorCause,
         retry_after: Duration,
     ) -> Self {
         Self {
@@ -117,13 +116,13 @@
         }
     }
 
-    /// The answer on the wire; it names the request that it belongs to.
+    /// Builds the HTTP response, with the id of the request.
     pub fn into_response(
         self,
         id_name: &HeaderName,
         id: Option<&HeaderValue>,
     ) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(self.cause.word()));
+        let mut response = Response::new(AnswerBody::complete(self.cause.word()));
         *response.status_mut() = self.cause.status();
         response.extensions_mut().insert(self.cause);
         let headers = response.headers_mut();
--- a/src/connection/front/mod.rs
+++ b/src/connection/front/mod.rs
@@ -1,30 +1,30 @@
-//! Callers: their connections, reading their requests, sending these to targets, and the answers.
+//! The front end: accepts callers' connections, reads their requests, sends these to targets and relays the answers.
 
-mod adapter_standing;
+mod adapter_availability;
+mod adapter_waiter;
 mod admission;
-mod against_engines;
 mod answer_body;
+mod attempts;
 mod chooser;
 mod crash_probe;
 mod dispatcher;
-mod engine_outlook;
+mod engine_estimator;
+mod engine_exclusions;
 mod engine_sample;
 mod event_splitter;
 mod exchange;
 mod front_listener;
-mod own_answer;
+mod local_answer;
 mod request_reader;
 mod request_trace;
 mod stream_relay;
-mod tries;
-mod waiter;
 mod waits;
 
 pub use {
     answer_body::{AnswerBody, BrokenAnswer},
     dispatcher::Dispatcher,
     event_splitter::{BrokenStream, EventSplitter},
-    front_listener::{FrontListener, FrontStop},
-    own_answer::{OwnAnswer, OwnCause},
-    request_reader::{RequestProblem, RequestReader},
+    front_listener::{FrontListener, StopStage},
+    local_answer::{ErrorCause, LocalAnswer},
+    request_reader::{RequestReadError, RequestReader},
 };
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -1,5 +1,5 @@
 use {
-    super::{OwnCause, admission::identify},
+    super::{ErrorCause, admission::identify},
     crate::{
         clock::{Instant, timeout_at},
         formats::{Formats, HeaderNames},
@@ -13,7 +13,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: &[HeaderName] = &[
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -31,14 +31,14 @@
 
 /// Why a request could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestProblem {
-    /// The caller gets this answer.
-    Answer(OwnCause),
+pub enum RequestReadError {
+    /// The caller gets an answer with this cause.
+    Rejected(ErrorCause),
     /// The caller is gone.
-    Gone,
+    CallerGone,
 }
 
-/// Makes a [`CallRequest`] out of what arrives on a caller's connection.
+/// Reads a [`CallRequest`] from a caller's connection.
 pub struct RequestReader {
     formats: Arc<dyn Formats>,
 }
@@ -48,7 +48,7 @@
         Self { formats }
     }
 
-    /// The id that the caller gave to its request.
+    /// Returns the id that the caller gave to its request.
     pub fn id(
         &self,
         headers: &HeaderMap,
@@ -56,26 +56,27 @@
         headers.get(&self.formats.headers().request_id).cloned()
     }
 
-    /// Reads the whole request; `draw`, from 0 to below 1, chooses the part of a split route.
+    /// Reads a complete request; `draw`, from 0 to below 1, chooses the part of a split route.
     pub async fn read(
         &self,
         request: Request<Incoming>,
         routing: &RoutingTable,
         arrived: Instant,
         draw: f64,
-    ) -> Result<CallRequest, RequestProblem> {
+    ) -> Result<CallRequest, RequestReadError> {
         if routing.version == 0 {
-            return Err(RequestProblem::Answer(OwnCause::NotReady));
+            return Err(RequestReadError::Rejected(ErrorCause::NotReady));
         }
         let (parts, body) = request.into_parts();
-        let route = find_route(&parts, routing).ok_or(RequestProblem::Answer(OwnCause::NoRoute))?;
-        let credential =
-            identify(&parts.headers, &route, &routing.customers).map_err(RequestProblem::Answer)?;
+        let route =
+            find_route(&parts, routing).ok_or(RequestReadError::Rejected(ErrorCause::NoRoute))?;
+        let credential = identify(&parts.headers, &route, &routing.customers)
+            .map_err(RequestReadError::Rejected)?;
         let service = find_service(&route, routing, draw)?;
         let names = self.formats.headers();
-        let ends = arrived + allowed_time(&parts.headers, names, &route);
+        let deadline = arrived + effective_timeout(&parts.headers, names, &route);
         let generation = generation(&parts.headers, names, &service);
-        let body = read_body(body, routing.limits.body_bytes, ends).await?;
+        let body = read_body(body, routing.limits.body_bytes, deadline).await?;
         Ok(CallRequest {
             id: parts.headers.get(&names.request_id).cloned(),
             path_and_query: parts
@@ -84,12 +85,12 @@
                 .map_or("/", |text| text.as_str())
                 .to_string(),
             method: parts.method,
-            headers: passed_headers(&parts.headers, names, routing),
+            headers: forwarded_headers(&parts.headers, names, routing),
             body,
             arrived,
-            ends,
+            deadline,
             urgency: urgency(routing, &route, credential.as_ref()),
-            told_tokens: told_tokens(&parts.headers, names),
+            declared_tokens: declared_tokens(&parts.headers, names),
             route,
             service,
             generation,
@@ -111,16 +112,16 @@
     route: &Route,
     routing: &RoutingTable,
     draw: f64,
-) -> Result<Arc<TargetService>, RequestProblem> {
+) -> Result<Arc<TargetService>, RequestReadError> {
     let service = route.service(draw).and_then(|name| routing.service(name));
-    // A route to nowhere is the operators' mistake; it may be mended soon.
+    // A route without a service is a configuration error, and may be fixed soon.
     service
         .cloned()
-        .ok_or(RequestProblem::Answer(OwnCause::NoTarget))
+        .ok_or(RequestReadError::Rejected(ErrorCause::NoTarget))
 }
 
-/// The caller's deadline, or the route's time-out if that comes first.
-fn allowed_time(
+/// Returns the caller's deadline, or the route's timeout if that is shorter.
+fn effective_timeout(
     headers: &HeaderMap,
     names: &HeaderNames,
     route: &Route,
@@ -137,7 +138,8 @@
     service.engine.as_ref()?;
     let mut generation = Generation {
         model: text(headers, &names.model)?.to_string(),
-        hint: number(headers, &names.length_hint).and_then(|hint| u32::try_from(hint).ok()),
+        length_hint: number(headers, &names.length_hint)
+            .and_then(|length_hint| u32::try_from(length_hint).ok()),
         ..Generation::default()
     };
     generation.set_token_counts(text(headers, &names.token_counts).unwrap_or_default());
@@ -154,7 +156,7 @@
     routing.urgency(route, customer)
 }
 
-fn told_tokens(
+fn declared_tokens(
     headers: &HeaderMap,
     names: &HeaderNames,
 ) -> Option<u64> {
@@ -176,15 +178,14 @@
     text(headers, name)?.trim().parse().ok()
 }
 
-/// Headers that go on to the target; those that only hosts may set are left out, and callers' keys, which are no
-/// business of targets.
-fn passed_headers(
+/// Returns the headers to forward to the target, without callers' keys and headers that only hosts may set.
+fn forwarded_headers(
     headers: &HeaderMap,
     names: &HeaderNames,
     routing: &RoutingTable,
 ) -> HeaderMap {
     let has_keys = !routing.customers.is_empty();
-    let named_by_connection: Vec<&str> = headers
+    let connection_options: Vec<&str> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -197,8 +198,8 @@
         .filter(|(name, _)| !names.is_set_by_hosts(name))
         .filter(|(name, _)| !(has_keys && **name == header::AUTHORIZATION))
         .filter(|(name, _)| {
-            let named = |named: &&str| named.eq_ignore_ascii_case(name.as_str());
-            names.is_of_request(name) || !named_by_connection.iter().any(named)
+            let is_listed = |is_listed: &&str| is_listed.eq_ignore_ascii_case(name.as_str());
+            names.is_of_request(name) || !connection_options.iter().any(is_listed)
         })
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
@@ -207,31 +208,31 @@
 async fn read_body(
     mut body: Incoming,
     limit: usize,
-    ends: Instant,
-) -> Result<Bytes, RequestProblem> {
+    deadline: Instant,
+) -> Result<Bytes, RequestReadError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > limit as u64 {
-        return Err(RequestProblem::Answer(OwnCause::BodyTooLarge));
+        return Err(RequestReadError::Rejected(ErrorCause::BodyTooLarge));
     }
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     loop {
-        let frame = timeout_at(ends, body.frame()).await;
-        let frame = frame.map_err(|_| RequestProblem::Answer(OwnCause::BodyTooSlow))?;
+        let frame = timeout_at(deadline, body.frame()).await;
+        let frame = frame.map_err(|_| RequestReadError::Rejected(ErrorCause::BodyTooSlow))?;
         let Some(frame) = frame else {
-            return Ok(whole.freeze());
+            return Ok(buffer.freeze());
         };
-        let frame = frame.map_err(|_| RequestProblem::Gone)?;
+        let frame = frame.map_err(|_| RequestReadError::CallerGone)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limit {
-            return Err(RequestProblem::Answer(OwnCause::BodyTooLarge));
+        if buffer.len() + data.len() > limit {
+            return Err(RequestReadError::Rejected(ErrorCause::BodyTooLarge));
         }
-        if whole.is_empty() && body.is_end_stream() {
+        if buffer.is_empty() && body.is_end_stream() {
             return Ok(data);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
 }
--- a/src/connection/front/request_trace.rs
+++ b/src/connection/front/request_trace.rs
@@ -1,69 +1,69 @@
 use {
-    super::{against_engines::AgainstEngines, exchange::VersionSent},
+    super::{engine_exclusions::EngineExclusions, exchange::ExpectedVersion},
     crate::{clock::Instant, note, timeline::Event},
     std::{sync::Arc, time::Duration},
 };
 
-/// Steps of one request that are kept; later ones are only counted.
+/// Maximum number of recorded steps of a request; later ones are only counted.
 const MAX_STEPS: usize = 24;
 
-/// A decision on a request, or something that happened to it.
+/// A decision on a request, or the result of a send.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TraceStep {
-    /// A target was chosen, among so many candidates of which so many were ready.
+    /// A target was chosen; `ready` of the `candidates` were ready.
     Chosen {
         target: Arc<str>,
         candidates: usize,
         ready: usize,
-        /// Requests and unread tokens there, of all hosts.
+        /// Requests and unread prompt tokens of all hosts at the target.
         running: u32,
         unread_tokens: u64,
-        /// Age of what other hosts' part of that rests on.
+        /// Age of the report on other hosts' requests.
         load_age: Option<Duration>,
-        /// Of its adapter, and how old what is known of versions is.
-        version: Option<VersionSent>,
+        /// Version of the adapter, and age of the table of versions.
+        version: Option<ExpectedVersion>,
         declared_age: Option<Duration>,
     },
     /// The holder of an engine was asked for the adapter.
-    Asks {
+    AdapterRequested {
         target: Arc<str>,
         spare: bool,
     },
-    /// The request waits for an adapter that should be there after `expected`.
-    Waits {
+    /// The request waits for an adapter that should be loaded after `expected`.
+    Waiting {
         expected: Option<Duration>,
     },
-    /// No engine could take it, for these reasons.
-    Unplaced(AgainstEngines),
-    /// The host that counts what the target gets did not let it through.
+    /// No engine could take the request, for these reasons.
+    Unplaced(EngineExclusions),
+    /// The target's rate limit granted no permit.
     NoPermit {
         target: Arc<str>,
     },
-    NotReached {
+    Unreachable {
         target: Arc<str>,
     },
-    TurnedAway {
+    Rejected {
         target: Arc<str>,
         status: u16,
     },
-    FailedThere {
+    Failed {
         target: Arc<str>,
         status: u16,
     },
-    Lost {
+    ConnectionLost {
         target: Arc<str>,
     },
-    /// It is sent once more; `repeats` draws on the shared budget.
+    /// The request is sent again; `repeats` if that is charged to the shared repeat budget.
     Resent {
         repeats: bool,
     },
 }
 
-/// What was decided for one request, told only if it does not go smoothly.
+/// Steps of one request, logged only if it fails or is late.
 #[derive(Debug, Default)]
 pub struct RequestTrace {
     steps: Vec<(Instant, TraceStep)>,
-    left_out: usize,
+    dropped_steps: usize,
 }
 
 impl RequestTrace {
@@ -74,11 +74,11 @@
     ) {
         match self.steps.len() < MAX_STEPS {
             true => self.steps.push((now, step)),
-            false => self.left_out += 1,
+            false => self.dropped_steps += 1,
         }
     }
 
-    /// The target that was chosen last.
+    /// Returns the target that was chosen last, or `-` if there was none.
     pub fn last_target(&self) -> &str {
         let chosen = self.steps.iter().rev().find_map(|(_, step)| match step {
             TraceStep::Chosen { target, .. } => Some(&**target),
@@ -87,16 +87,16 @@
         chosen.unwrap_or("-")
     }
 
-    /// The version that the last send was for.
-    pub fn last_version(&self) -> Option<VersionSent> {
+    /// Returns the adapter version of the last choice.
+    pub fn last_version(&self) -> Option<ExpectedVersion> {
         self.steps.iter().rev().find_map(|(_, step)| match step {
             TraceStep::Chosen { version, .. } => *version,
             _ => None,
         })
     }
 
-    /// Time from the arrival to the last send; zero if there was none.
-    pub fn before_last_send(
+    /// Returns the time from the arrival to the last choice of a target; zero if there was none.
+    pub fn time_to_last_send(
         &self,
         arrived: Instant,
     ) -> Duration {
@@ -107,13 +107,14 @@
         sent.map_or(Duration::ZERO, |at| at.saturating_duration_since(arrived))
     }
 
-    /// Time from the arrival to the last send, if the request had to wait for it.
-    pub fn waited(
+    /// Returns the time from the arrival to the last choice of a target, or `None` if the request did not wait or no
+    /// target was chosen.
+    pub fn time_waited(
         &self,
         arrived: Instant,
     ) -> Option<Duration> {
-        let waits = |(_, step): &(Instant, TraceStep)| matches!(step, TraceStep::Waits { .. });
-        if !self.steps.iter().any(waits) {
+        let is_wait = |(_, step): &(Instant, TraceStep)| matches!(step, TraceStep::Waiting { .. });
+        if !self.steps.iter().any(is_wait) {
             return None;
         }
         let chosen = self.steps.iter().rev().find_map(|(at, step)| match step {
@@ -123,19 +124,19 @@
         Some(chosen.saturating_duration_since(arrived))
     }
 
-    /// Writes a line for each step.
-    pub fn tell(
+    /// Logs one line for each step.
+    pub fn log(
         &self,
         id: &str,
         now: Instant,
     ) {
         for (at, step) in &self.steps {
-            tell_step(id, now.saturating_duration_since(*at), step);
+            log_step(id, now.saturating_duration_since(*at), step);
         }
     }
 }
 
-fn tell_step(
+fn log_step(
     id: &str,
     ago: Duration,
     step: &TraceStep,
@@ -170,7 +171,7 @@
                 declared_age_ms = declared_age_ms,
             );
         }
-        TraceStep::Asks { target, spare } => {
+        TraceStep::AdapterRequested { target, spare } => {
             note!(
                 Event::RequestAsks,
                 id = id,
@@ -179,7 +180,7 @@
                 spare = spare
             );
         }
-        TraceStep::Waits { expected } => {
+        TraceStep::Waiting { expected } => {
             let expected_ms = expected.map_or(-1.0, millis);
             note!(
                 Event::RequestWaits,
@@ -188,17 +189,17 @@
                 expected_ms = expected_ms
             );
         }
-        TraceStep::Unplaced(against) => {
+        TraceStep::Unplaced(exclusions) => {
             note!(
                 Event::RequestUnplaced,
                 id = id,
                 ago_ms = ago_ms,
-                weighed = against.weighed,
-                tried = against.tried,
-                closed = against.closed,
-                avoided = against.avoided,
-                without_holder = against.without_holder,
-                full = against.full,
+                weighed = exclusions.candidates,
+                tried = exclusions.tried,
+                closed = exclusions.closed,
+                avoided = exclusions.avoided,
+                without_holder = exclusions.without_holder,
+                full = exclusions.full,
             );
         }
         TraceStep::NoPermit { target } => {
@@ -209,7 +210,7 @@
                 target = target
             );
         }
-        TraceStep::NotReached { target } => {
+        TraceStep::Unreachable { target } => {
             note!(
                 Event::RequestNotReached,
                 id = id,
@@ -217,7 +218,7 @@
                 target = target
             );
         }
-        TraceStep::TurnedAway { target, status } => {
+        TraceStep::Rejected { target, status } => {
             note!(
                 Event::RequestTurnedAway,
                 id = id,
@@ -226,7 +227,7 @@
                 status = status
             );
         }
-        TraceStep::FailedThere { target, status } => {
+        TraceStep::Failed { target, status } => {
             note!(
                 Event::RequestFailedThere,
                 id = id,
@@ -235,7 +236,7 @@
                 status = status
             );
         }
-        TraceStep::Lost { target } => {
+        TraceStep::ConnectionLost { target } => {
             note!(
                 Event::RequestLost,
                 id = id,
@@ -254,7 +255,7 @@
     }
 }
 
-/// Milliseconds with a fraction, for lines.
+/// Converts a duration to milliseconds with one decimal, for log lines.
 pub fn millis(time: Duration) -> f64 {
     (time.as_secs_f64() * 10_000.0).round() / 10.0
 }
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -1,10 +1,10 @@
 use {
     super::{
         AnswerBody, BrokenAnswer, Dispatcher,
+        attempts::Attempts,
         event_splitter::EventSplitter,
         exchange::{AnswerSource, OpenAnswer},
         request_trace::millis,
-        tries::Tries,
     },
     crate::{
         clock::{Instant, sleep_until, timeout_at},
@@ -18,62 +18,61 @@
     tokio::sync::mpsc,
 };
 
-/// Pieces that wait for a slow caller before the target is held up.
-const PIECES: usize = 16;
+/// Pieces that are buffered for a slow caller before backpressure reaches the target.
+const MAX_BUFFERED_PIECES: usize = 16;
 
-/// A stream that may go on elsewhere is given up here after a silence of so many pauses.
-const SILENT_PAUSES: u32 = 4;
+/// Silence after which a resumable stream is abandoned, as a multiple of the route's gap objective.
+const SILENCE_GAP_FACTOR: u32 = 4;
 
-/// Why an answer could not be passed on to its end.
+/// How the relay of an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RelayEnd {
-    Whole,
+    Complete,
     CallerGone,
-    TimeOver,
-    /// The target broke the answer off.
+    DeadlineExceeded,
+    /// The target closed the connection in mid-answer, or the stream was invalid.
     Broken,
-    /// The target is silent, and so are all others that it serves here.
+    /// The target sends nothing, neither for this stream nor for any other of this host.
     Silent,
 }
 
 impl RelayEnd {
     fn word(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::CallerGone => "caller_gone",
-            Self::TimeOver => "time_over",
+            Self::DeadlineExceeded => "time_over",
             Self::Broken => "target_broke_off",
             Self::Silent => "target_silent",
         }
     }
 }
 
-/// Passes one answer on, piece by piece; where the route allows, it goes on at another target when
-/// the first one breaks it off.
+/// Relays an answer piece by piece; on resumable routes a broken stream continues at another target.
 pub struct StreamRelay {
     dispatcher: Rc<Dispatcher>,
     request: CallRequest,
-    tries: Tries,
+    attempts: Attempts,
     caller: mpsc::Sender<Result<Bytes, BrokenAnswer>>,
     events: EventSplitter,
 }
 
 impl StreamRelay {
-    /// Starts to pass an answer on; gives the response for the caller.
+    /// Starts the relay of an answer, and returns the response for the caller.
     pub fn start(
         dispatcher: Rc<Dispatcher>,
         answer: OpenAnswer,
         request: CallRequest,
-        tries: Tries,
+        attempts: Attempts,
     ) -> Response<AnswerBody> {
-        let (caller, pieces) = mpsc::channel(PIECES);
+        let (caller, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
         let mut response = Response::new(AnswerBody::Stream(pieces));
         *response.status_mut() = answer.status;
         *response.headers_mut() = answer.headers;
         let relay = Self {
             dispatcher,
             request,
-            tries,
+            attempts,
             caller,
             events: EventSplitter::default(),
         };
@@ -88,56 +87,57 @@
     ) {
         loop {
             let first_event = Instant::now();
-            let end = self.pass_on(first, &mut source).await;
+            let end = self.relay(first, &mut source).await;
             if end == RelayEnd::Broken {
-                let run = source.run();
-                self.dispatcher.on_broken(&self.request, run, first_event);
+                let incarnation = source.incarnation();
+                self.dispatcher
+                    .on_broken(&self.request, incarnation, first_event);
             }
             match end {
-                RelayEnd::Whole => {
-                    self.dispatcher.on_whole(&self.request);
+                RelayEnd::Complete => {
+                    self.dispatcher.on_complete(&self.request);
                     return source.finish();
                 }
-                RelayEnd::CallerGone => return self.tell(Event::RequestCallerGone, end, &source),
+                RelayEnd::CallerGone => return self.log(Event::RequestCallerGone, end, &source),
                 RelayEnd::Broken | RelayEnd::Silent if self.request.route.resumable => {
                     let target = source.target().to_string();
-                    // What the broken target may still do for it ends with the connection.
+                    // Closes the connection, so that the broken target cancels the request.
                     drop(source);
                     match self.resume(&target).await {
                         Some(answer) => {
                             first = answer.first;
                             source = answer.source;
-                            self.tell(Event::RequestResumed, end, &source);
+                            self.log(Event::RequestResumed, end, &source);
                         }
-                        None => return self.cut(end, &target).await,
+                        None => return self.truncate(end, &target).await,
                     }
                 }
                 _ => {
                     let target = source.target().to_string();
-                    return self.cut(end, &target).await;
+                    return self.truncate(end, &target).await;
                 }
             }
         }
     }
 
-    /// Passes on what one target sends.
-    async fn pass_on(
+    /// Relays the answer of one target.
+    async fn relay(
         &mut self,
         first: Bytes,
         source: &mut AnswerSource,
     ) -> RelayEnd {
-        if let Some(end) = self.give(first).await {
+        if let Some(end) = self.send_to_caller(first).await {
             return end;
         }
-        let silence = self.request.route.gap_aim * SILENT_PAUSES;
+        let max_silence = self.request.route.gap_aim * SILENCE_GAP_FACTOR;
         loop {
-            let silent_at = Instant::now() + silence;
+            let silence_deadline = Instant::now() + max_silence;
             let piece = tokio::select! {
                 piece = source.next() => piece,
                 _ = self.caller.closed() => return RelayEnd::CallerGone,
-                _ = sleep_until(self.request.ends) => return RelayEnd::TimeOver,
-                _ = sleep_until(silent_at), if self.request.route.resumable => {
-                    match source.target_is_silent(silence) {
+                _ = sleep_until(self.request.deadline) => return RelayEnd::DeadlineExceeded,
+                _ = sleep_until(silence_deadline), if self.request.route.resumable => {
+                    match source.target_is_silent(max_silence) {
                         true => return RelayEnd::Silent,
                         false => continue,
                     }
@@ -145,18 +145,18 @@
             };
             match piece {
                 Ok(Some(piece)) => {
-                    if let Some(end) = self.give(piece).await {
+                    if let Some(end) = self.send_to_caller(piece).await {
                         return end;
                     }
                 }
-                Ok(None) if self.events.is_between_events() => return RelayEnd::Whole,
+                Ok(None) if self.events.is_between_events() => return RelayEnd::Complete,
                 Ok(None) | Err(_) => return RelayEnd::Broken,
             }
         }
     }
 
-    /// Gives a piece to the caller; on routes that may be resumed, only whole events.
-    async fn give(
+    /// Sends a piece to the caller; on resumable routes, only complete events.
+    async fn send_to_caller(
         &mut self,
         piece: Bytes,
     ) -> Option<RelayEnd> {
@@ -176,24 +176,24 @@
         }
     }
 
-    /// Opens the rest of the stream at another target, unless the caller leaves meanwhile.
+    /// Opens the rest of the stream at another target; returns `None` if that fails, or if the caller leaves.
     async fn resume(
         &mut self,
         broken: &str,
     ) -> Option<Box<OpenAnswer>> {
-        self.events.restart();
+        self.events.discard_partial();
         let after = self.events.last_id();
         let caller = self.caller.clone();
         let resumed = self
             .dispatcher
-            .resume(&self.request, &mut self.tries, broken, after);
+            .resume(&self.request, &mut self.attempts, broken, after);
         tokio::select! {
-            resumed = timeout_at(self.request.ends, resumed) => resumed.ok().flatten(),
+            resumed = timeout_at(self.request.deadline, resumed) => resumed.ok().flatten(),
             _ = caller.closed() => None,
         }
     }
 
-    fn tell(
+    fn log(
         &self,
         event: Event,
         end: RelayEnd,
@@ -209,15 +209,15 @@
         );
     }
 
-    /// Ends the answer so that it does not look whole.
-    async fn cut(
+    /// Closes the connection early, so that the caller sees a truncated answer.
+    async fn truncate(
         &self,
         end: RelayEnd,
         target: &str,
     ) {
-        self.tries
+        self.attempts
             .trace
-            .tell(self.request.id_text(), Instant::now());
+            .log(self.request.id_text(), Instant::now());
         note!(
             Event::RequestCut,
             id = self.request.id_text(),
--- a/src/connection/peer/peer_server.rs
+++ b/src/connection/peer/peer_server.rs
@@ -6,7 +6,7 @@
     crate::{
         process::{
             control::{ControlEvent, ControlHandle, Input, SharedView},
-            loads::{AskId, LoadAsk},
+            loads::{LoadRequest, LoadRequestId},
         },
         request::{AnswerPart, OwnerService},
         version::AdapterVersion,
@@ -132,7 +132,7 @@
         let ask = request.into_inner();
         let model = AdapterVersion::new(&ask.adapter, &ask.version)
             .map_err(|e| Status::invalid_argument(e.to_string()))?;
-        let ask = LoadAsk {
+        let ask = LoadRequest {
             host: ask.host,
             target: ask.target,
             model,
@@ -152,7 +152,7 @@
         &self,
         request: Request<wire::LoadRelease>,
     ) -> Result<Response<wire::Ack>, Status> {
-        let ask = AskId(request.into_inner().grant);
+        let ask = LoadRequestId(request.into_inner().grant);
         self.control.input(Input::LoadReleased { ask });
         Ok(Response::new(wire::Ack {}))
     }
--- a/src/connection/targets/adapter_map.rs
+++ b/src/connection/targets/adapter_map.rs
@@ -1,55 +1,55 @@
 use {
-    crate::{clock::Instant, formats::HeldModel, request::direct::CopyState},
+    crate::{clock::Instant, formats::HeldModel, request::direct::AdapterCopyState},
     std::{
         collections::{HashMap, VecDeque},
         time::Duration,
     },
 };
 
-/// Time after which a holder that was asked and did not answer is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
+/// Time after which an unanswered request to a holder is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Asks without an answer after which the holder counts as silent.
-const MAX_ASKS: u32 = 4;
+/// Unanswered requests after which the holder counts as unresponsive.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Time for which a silent holder's engine is passed over.
-const SILENT_PAUSE: Duration = Duration::from_millis(1500);
+/// Time for which the engine of an unresponsive holder is skipped.
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// An adapter's copy at one engine, as its holder last told.
+/// An adapter's copy at one engine, as last reported by the engine's holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdapterCopy {
     pub version: u64,
-    pub state: CopyState,
-    /// The engine went on holding this older version when it was asked for a newer one and had no place for
-    /// it: streams on it had not ended.
-    pub older: Option<u64>,
-    /// Requests for it that started there lately, through all hosts, as last told.
+    pub state: AdapterCopyState,
+    /// The older version that the engine still holds because it has no free slot for a newer one while streams
+    /// use the older.
+    pub older_version: Option<u64>,
+    /// Requests for it that recently started there, through all hosts, as last reported.
     pub uses: u32,
-    asked: Option<Instant>,
-    asks: u32,
+    requested_at: Option<Instant>,
+    attempts: u32,
 }
 
 impl AdapterCopy {
-    /// The version that requests find there now, if there is one.
+    /// Returns the version that is loaded now, if any.
     pub fn held(&self) -> Option<u64> {
         match self.state {
-            CopyState::Ready => Some(self.version),
-            _ => self.older,
+            AdapterCopyState::Ready => Some(self.version),
+            _ => self.older_version,
         }
     }
 }
 
-/// Where adapters are, as far as this host was told.
+/// Placement of adapters on engines, as reported to this host.
 #[derive(Debug, Default)]
 pub struct AdapterMap {
     /// By `MODEL/ADAPTER`, then by the engine's id.
     copies: HashMap<String, HashMap<String, AdapterCopy>>,
-    /// Adapters that each engine held lately, the latest last.
+    /// Adapters that each engine recently unloaded, the latest last.
     remembered: HashMap<String, VecDeque<String>>,
 }
 
 impl AdapterMap {
-    /// The copy of an adapter at an engine, if anything is known of it.
+    /// Returns the copy of an adapter at an engine, if anything is known of it.
     pub fn get(
         &self,
         adapter: &str,
@@ -58,38 +58,38 @@
         self.copies.get(adapter)?.get(target)
     }
 
-    /// Engines of which it is known how the adapter stands there.
-    pub fn known(
+    /// Returns the number of engines whose state for the adapter is known.
+    pub fn known_engines(
         &self,
         adapter: &str,
     ) -> usize {
         self.copies.get(adapter).map_or(0, HashMap::len)
     }
 
-    /// The holder told where an adapter stands.
+    /// Records an adapter's state at an engine, as reported by the engine's holder.
     pub fn set(
         &mut self,
         adapter: &str,
         target: &str,
         version: u64,
-        state: CopyState,
+        state: AdapterCopyState,
         uses: u32,
     ) {
-        let is_full = matches!(state, CopyState::Full { .. });
+        let is_full = matches!(state, AdapterCopyState::Full { .. });
         let held = self.get(adapter, target).and_then(AdapterCopy::held);
         let copy = AdapterCopy {
             version,
             state,
-            older: held.filter(|held| is_full && *held < version),
+            older_version: held.filter(|held| is_full && *held < version),
             uses,
-            asked: None,
-            asks: 0,
+            requested_at: None,
+            attempts: 0,
         };
         self.entry(adapter).insert(target.to_string(), copy);
     }
 
-    /// An adapter is gone from an engine, which remembers so many.
-    pub fn set_gone(
+    /// Records that an engine has unloaded an adapter; the engine remembers up to `remembered` unloaded adapters.
+    pub fn set_unloaded(
         &mut self,
         adapter: &str,
         target: &str,
@@ -99,13 +99,16 @@
         let Some(copy) = copies.and_then(|copies| copies.get_mut(target)) else {
             return;
         };
-        copy.older = None;
-        if !matches!(copy.state, CopyState::Ready | CopyState::Coming { .. }) {
+        copy.older_version = None;
+        if !matches!(
+            copy.state,
+            AdapterCopyState::Ready | AdapterCopyState::Loading { .. }
+        ) {
             return;
         }
-        copy.state = CopyState::Remembered;
+        copy.state = AdapterCopyState::Cached;
         let order = self.remembered.entry(target.to_string()).or_default();
-        order.retain(|known| known != adapter);
+        order.retain(|other| other != adapter);
         order.push_back(adapter.to_string());
         let dropped = match order.len() > remembered {
             true => order.pop_front(),
@@ -113,13 +116,13 @@
         };
         if let Some(dropped) = dropped {
             let copy = self.get(&dropped, target);
-            if copy.is_some_and(|copy| copy.state == CopyState::Remembered) {
+            if copy.is_some_and(|copy| copy.state == AdapterCopyState::Cached) {
                 self.forget(&dropped, target);
             }
         }
     }
 
-    /// Requests for an adapter that started lately, as far as holders told.
+    /// Returns the requests for an adapter that recently started, summed over engines.
     pub fn uses(
         &self,
         adapter: &str,
@@ -128,7 +131,7 @@
         copies.map_or(0, |copies| copies.values().map(|copy| copy.uses).sum())
     }
 
-    /// An engine that was just listed says that it holds these models.
+    /// Records the models that a newly listed engine reports as loaded.
     pub fn assume_held(
         &mut self,
         target: &str,
@@ -137,13 +140,14 @@
         for model in models {
             for adapter in &model.adapters {
                 let name = format!("{}/{}", model.name, adapter.name);
-                self.set(&name, target, adapter.version, CopyState::Ready, 0);
+                self.set(&name, target, adapter.version, AdapterCopyState::Ready, 0);
             }
         }
     }
 
-    /// The holder is to be asked; false if it was asked a moment ago.
-    pub fn ask(
+    /// Records a request to the holder for an adapter; returns false if the request must not be sent now, because
+    /// one is outstanding or the holder is unresponsive.
+    pub fn try_request(
         &mut self,
         adapter: &str,
         target: &str,
@@ -154,29 +158,30 @@
             .entry(target.to_string())
             .or_insert(AdapterCopy {
                 version: 0,
-                state: CopyState::Asked,
-                older: None,
+                state: AdapterCopyState::Requested,
+                older_version: None,
                 uses: 0,
-                asked: None,
-                asks: 0,
+                requested_at: None,
+                attempts: 0,
             });
-        let recent = |asked: Instant| now.saturating_duration_since(asked) < ASK_AGAIN;
-        if copy.asked.is_some_and(recent) {
+        let is_recent =
+            |requested_at: Instant| now.saturating_duration_since(requested_at) < RETRY_INTERVAL;
+        if copy.requested_at.is_some_and(is_recent) {
             return false;
         }
-        if copy.asks >= MAX_ASKS {
-            let until = now + SILENT_PAUSE;
-            copy.state = CopyState::Full { until };
-            copy.asks = 0;
-            copy.asked = None;
+        if copy.attempts >= MAX_ATTEMPTS {
+            let until = now + UNRESPONSIVE_BACKOFF;
+            copy.state = AdapterCopyState::Full { until };
+            copy.attempts = 0;
+            copy.requested_at = None;
             return false;
         }
-        if !matches!(copy.state, CopyState::Coming { .. }) {
-            copy.older = copy.held();
-            copy.state = CopyState::Asked;
+        if !matches!(copy.state, AdapterCopyState::Loading { .. }) {
+            copy.older_version = copy.held();
+            copy.state = AdapterCopyState::Requested;
         }
-        copy.asked = Some(now);
-        copy.asks += 1;
+        copy.requested_at = Some(now);
+        copy.attempts += 1;
         true
     }
 
@@ -193,7 +198,7 @@
         }
     }
 
-    /// An engine is gone, or has started anew.
+    /// Drops all state of an engine that is gone or has restarted.
     pub fn forget_target(
         &mut self,
         target: &str,
@@ -212,6 +217,6 @@
         if !self.copies.contains_key(adapter) {
             self.copies.insert(adapter.to_string(), HashMap::new());
         }
-        self.copies.get_mut(adapter).expect("it was just put there")
+        self.copies.get_mut(adapter).expect("inserted above")
     }
 }
