--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -1,13 +1,13 @@
-//! Who gives orders to an engine: leases and holder rows, against a store that loses replies, does
-//! writes late and turns hosts away, with hosts that stand still and start anew.
+//! Leases and holder rows of engines, against a store that loses replies, writes late and rejects calls, with hosts that
+//! pause and restart.
 
 use {
     coveproxy::{
         clock::Instant,
         formats::{Commit, Row, RowKey, Transaction},
         process::holding::{
-            HOLDING_TABLE, HeldEngine, HolderRow, Holding, HoldingAction, HoldingTimings, HostRow,
-            KnownLease, TakenEngine, engine_key, host_key,
+            AssignmentAction, EngineAssignment, HOLDING_TABLE, HeldEngine, HolderRow, HostRow,
+            KnownLease, LeaseTimings, TakenEngine, engine_key, host_key,
         },
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -24,11 +24,11 @@
 const STEP: Duration = Duration::from_millis(50);
 const ENGINES: usize = 4;
 
-/// More than one transaction has room for, at each of three hosts.
+/// More than fit into one transaction at each of three hosts.
 const MANY_ENGINES: usize = 180;
 
-/// Entries that the store takes in one transaction.
-const MOST_ENTRIES: usize = 100;
+/// Limit of the store.
+const MAX_TRANSACTION_ENTRIES: usize = 100;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -38,7 +38,7 @@
     format!("10.0.0.{}:7000", host + 1).parse().unwrap()
 }
 
-/// The rows, under conditions, with one version for the whole store.
+/// A store with conditional writes, and one version for all rows.
 #[derive(Default)]
 struct Store {
     rows: BTreeMap<String, (u64, Vec<u8>)>,
@@ -51,7 +51,7 @@
         transaction: &Transaction,
     ) -> Commit {
         let entries = transaction.expected.len() + transaction.writes.len();
-        assert!(entries <= MOST_ENTRIES, "{entries} entries");
+        assert!(entries <= MAX_TRANSACTION_ENTRIES, "{entries} entries");
         let version = |row: &RowKey| self.rows.get(&*row.key).map_or(0, |(version, _)| *version);
         let holds = transaction
             .expected
@@ -94,21 +94,21 @@
     }
 }
 
-/// Something that happens at a time.
-enum Due {
-    /// The store gets a call and answers, unless the reply is lost.
+/// An event that is due at a time.
+enum Event {
+    /// A call that the store answers, unless the reply is lost.
     Call {
         host: usize,
-        life: u64,
-        action: HoldingAction,
+        generation: u64,
+        action: AssignmentAction,
         sent: Instant,
         term: u64,
         reply: bool,
     },
     Reply {
         host: usize,
-        life: u64,
-        action: HoldingAction,
+        generation: u64,
+        action: AssignmentAction,
         sent: Instant,
         term: u64,
         outcome: Option<Result<Commit, Vec<Row>>>,
@@ -116,10 +116,10 @@
 }
 
 struct Host {
-    holding: Option<Holding>,
-    life: u64,
+    holding: Option<EngineAssignment>,
+    generation: u64,
     paused_until: Instant,
-    cut_until: Instant,
+    partitioned_until: Instant,
     starts_at: Instant,
 }
 
@@ -128,18 +128,18 @@
     now: Instant,
     store: Store,
     hosts: Vec<Host>,
-    due: Vec<(Instant, Due)>,
+    events: Vec<(Instant, Event)>,
     engines: BTreeMap<String, String>,
-    /// What each host last told of its lease, and since when others know.
-    told: HashMap<usize, (u64, Instant)>,
+    /// Last lease version published by each host, and when.
+    published_leases: HashMap<usize, (u64, Instant)>,
     last_order: HashMap<String, (usize, Instant, u64)>,
     orders: usize,
-    turns: usize,
-    /// Transactions that were to change a holder.
+    takeovers: usize,
+    /// Transactions that change holders.
     takes: usize,
-    /// Share of calls whose reply is lost, in percent.
+    /// Percentage of calls whose reply is lost.
     lost: u32,
-    /// Hosts have agreed on who takes engines.
+    /// The hosts have agreed on which of them take engines.
     agreed: bool,
 }
 
@@ -155,12 +155,12 @@
             now,
             store: Store::default(),
             hosts: Vec::new(),
-            due: Vec::new(),
+            events: Vec::new(),
             engines: BTreeMap::new(),
-            told: HashMap::new(),
+            published_leases: HashMap::new(),
             last_order: HashMap::new(),
             orders: 0,
-            turns: 0,
+            takeovers: 0,
             takes: 0,
             lost,
             agreed: true,
@@ -169,9 +169,9 @@
         for at in 0..hosts {
             world.hosts.push(Host {
                 holding: None,
-                life: at as u64,
+                generation: at as u64,
                 paused_until: now,
-                cut_until: now,
+                partitioned_until: now,
                 starts_at: now,
             });
         }
@@ -197,9 +197,9 @@
             front: address(host),
             process: self.rng.random(),
         };
-        let timings = HoldingTimings::new(ms(9_000), ms(2_500), GAP);
-        self.hosts[host].holding = Some(Holding::new(row, timings, self.now));
-        self.hosts[host].life += 100;
+        let timings = LeaseTimings::new(ms(9_000), ms(2_500), GAP);
+        self.hosts[host].holding = Some(EngineAssignment::new(row, timings, self.now));
+        self.hosts[host].generation += 100;
     }
 
     fn is_up(
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Orders come out of what a host believes at this moment, and arrive a little later.
+    /// Sends orders by what the host believes at this moment; they arrive a little later.
     fn tick(
         &mut self,
         host: usize,
@@ -236,7 +236,7 @@
         let mut leases: HashMap<SocketAddr, KnownLease> = HashMap::new();
         let mut claimed: BTreeSet<&str> = BTreeSet::new();
         for other in (0..self.hosts.len()).filter(|other| *other != host) {
-            let Some((version, known_since)) = self.told.get(&other).copied() else {
+            let Some((version, known_since)) = self.published_leases.get(&other).copied() else {
                 continue;
             };
             let lease = KnownLease {
@@ -250,7 +250,7 @@
             if self.is_up(other) {
                 let held = engines.keys();
                 claimed.extend(
-                    held.filter(|engine| holding.may_order(engine, now).is_some())
+                    held.filter(|engine| holding.held_engine(engine, now).is_some())
                         .map(String::as_str),
                 );
             }
@@ -261,20 +261,25 @@
             true => up,
             false => Vec::new(),
         };
-        let open = || {
-            let mut open = engines.clone();
-            open.retain(|engine, _| !claimed.contains(engine.as_str()));
-            Arc::new(open)
+        let unclaimed = || {
+            let mut unclaimed = engines.clone();
+            unclaimed.retain(|engine, _| !claimed.contains(engine.as_str()));
+            Arc::new(unclaimed)
         };
-        let actions = holding.decide(&engines, &takers, true, open, lease_of, now);
+        let actions = holding.decide(&engines, &takers, true, unclaimed, lease_of, now);
         let version = holding.lease_version();
         let term = holding.lease().term();
         let ordered: Vec<(String, HeldEngine)> = engines
             .keys()
-            .filter_map(|engine| Some((engine.clone(), holding.may_order(engine, now)?)))
+            .filter_map(|engine| Some((engine.clone(), holding.held_engine(engine, now)?)))
             .collect();
-        if self.told.get(&host).map(|(told, _)| *told) != Some(version) {
-            self.told.insert(host, (version, now));
+        if self
+            .published_leases
+            .get(&host)
+            .map(|(published_leases, _)| *published_leases)
+            != Some(version)
+        {
+            self.published_leases.insert(host, (version, now));
         }
         for (engine, held) in ordered {
             self.order(host, &engine, held);
@@ -293,15 +298,15 @@
         let arrives = self.now + ms(self.rng.random_range(0..100));
         if let Some((last, at, fence)) = self.last_order.get(engine) {
             if *last != host {
-                self.turns += 1;
+                self.takeovers += 1;
                 assert!(
                     arrives >= *at + GAP,
-                    "orders of two holders of {engine} lie {:?} apart",
+                    "orders of two holders of {engine} are only {:?} apart",
                     arrives.saturating_duration_since(*at)
                 );
                 assert!(held.fence > *fence, "{engine}: two holders share a fence");
             }
-            assert!(held.fence >= *fence, "{engine}: the fence went back");
+            assert!(held.fence >= *fence, "{engine}: the fence decreased");
         }
         self.orders += 1;
         self.last_order
@@ -311,35 +316,35 @@
     fn send(
         &mut self,
         host: usize,
-        action: HoldingAction,
+        action: AssignmentAction,
         term: u64,
     ) {
-        self.takes += usize::from(matches!(action, HoldingAction::Take { .. }));
-        let life = self.hosts[host].life;
+        self.takes += usize::from(matches!(action, AssignmentAction::Take { .. }));
+        let generation = self.hosts[host].generation;
         let (now, sent) = (self.now, self.now);
-        if self.hosts[host].cut_until > now {
-            let reply = Due::Reply {
+        if self.hosts[host].partitioned_until > now {
+            let reply = Event::Reply {
                 host,
-                life,
+                generation,
                 action,
                 sent,
                 term,
                 outcome: None,
             };
-            self.due.push((now + ms(900), reply));
+            self.events.push((now + ms(900), reply));
             return;
         }
         let lost = self.rng.random_range(0..100) < self.lost;
         if lost && self.rng.random_range(0..4) == 0 {
-            let reply = Due::Reply {
+            let reply = Event::Reply {
                 host,
-                life,
+                generation,
                 action,
                 sent,
                 term,
                 outcome: Some(Ok(Commit::TurnedAway)),
             };
-            self.due.push((now + ms(4), reply));
+            self.events.push((now + ms(4), reply));
             return;
         }
         let late = lost && self.rng.random_bool(0.5);
@@ -348,79 +353,83 @@
             false => ms(self.rng.random_range(4..40)),
         };
         if lost {
-            let reply = Due::Reply {
+            let reply = Event::Reply {
                 host,
-                life,
+                generation,
                 action: action.clone(),
                 sent,
                 term,
                 outcome: None,
             };
-            self.due.push((now + ms(900), reply));
+            self.events.push((now + ms(900), reply));
         }
-        let call = Due::Call {
+        let call = Event::Call {
             host,
-            life,
+            generation,
             action,
             sent,
             term,
             reply: !lost,
         };
-        self.due.push((now + delay, call));
+        self.events.push((now + delay, call));
     }
 
     fn deliver(&mut self) {
         loop {
-            let next = (0..self.due.len())
-                .filter(|at| self.due[*at].0 <= self.now)
-                .min_by_key(|at| self.due[*at].0);
+            let next = (0..self.events.len())
+                .filter(|at| self.events[*at].0 <= self.now)
+                .min_by_key(|at| self.events[*at].0);
             let Some(next) = next else {
                 return;
             };
-            let (at, due) = self.due.swap_remove(next);
-            self.happen(at, due);
+            let (at, events) = self.events.swap_remove(next);
+            self.handle(at, events);
         }
     }
 
-    fn happen(
+    fn handle(
         &mut self,
         at: Instant,
-        due: Due,
+        events: Event,
     ) {
-        match due {
-            Due::Call {
+        match events {
+            Event::Call {
                 host,
-                life,
+                generation,
                 action,
                 sent,
                 term,
                 reply,
             } => {
                 let outcome = match &action {
-                    HoldingAction::Renew { transaction }
-                    | HoldingAction::Take { transaction, .. } => Ok(self.store.commit(transaction)),
-                    HoldingAction::ReadTable => Err(self.store.all()),
+                    AssignmentAction::Renew { transaction }
+                    | AssignmentAction::Take { transaction, .. } => {
+                        Ok(self.store.commit(transaction))
+                    }
+                    AssignmentAction::ReadTable => Err(self.store.all()),
                 };
                 if reply {
-                    let reply = Due::Reply {
+                    let reply = Event::Reply {
                         host,
-                        life,
+                        generation,
                         action,
                         sent,
                         term,
                         outcome: Some(outcome),
                     };
-                    self.due.push((at + ms(2), reply));
+                    self.events.push((at + ms(2), reply));
                 }
             }
-            Due::Reply { host, life, .. }
-                if self.hosts[host].life != life || self.hosts[host].holding.is_none() => {}
-            Due::Reply { host, .. } if !self.is_up(host) => {
-                // It reads the reply once it wakes.
+            Event::Reply {
+                host, generation, ..
+            } if self.hosts[host].generation != generation
+                || self.hosts[host].holding.is_none() => {}
+            Event::Reply { host, .. } if !self.is_up(host) => {
+                // It reads the reply when it resumes.
                 let wakes = self.hosts[host].paused_until;
-                self.due.push((wakes, due));
+                self.events.push((wakes, events));
             }
-            Due::Reply {
+            Event::Reply {
                 host,
                 action,
                 sent,
@@ -434,7 +443,7 @@
     fn reply(
         &mut self,
         host: usize,
-        action: HoldingAction,
+        action: AssignmentAction,
         sent: Instant,
         term: u64,
         outcome: Option<Result<Commit, Vec<Row>>>,
@@ -442,43 +451,43 @@
         let now = self.now;
         let holding = self.hosts[host].holding.as_mut().unwrap();
         match (action, outcome) {
-            (HoldingAction::Renew { .. }, Some(Ok(Commit::Done { version }))) => {
+            (AssignmentAction::Renew { .. }, Some(Ok(Commit::Done { version }))) => {
                 holding.on_renewed(sent, Some(version), now);
             }
-            (HoldingAction::Renew { .. }, Some(Ok(Commit::Conflict { rows }))) => {
+            (AssignmentAction::Renew { .. }, Some(Ok(Commit::Conflict { rows }))) => {
                 holding.on_renewal_conflict(&rows, now);
             }
-            (HoldingAction::Renew { .. }, _) => holding.on_renewed(sent, None, now),
-            (HoldingAction::ReadTable, Some(Err(rows))) => {
-                holding.on_table(Some(&rows), term, now);
+            (AssignmentAction::Renew { .. }, _) => holding.on_renewed(sent, None, now),
+            (AssignmentAction::ReadTable, Some(Err(rows))) => {
+                holding.on_table_read(Some(&rows), term, now);
             }
-            (HoldingAction::ReadTable, _) => holding.on_table(None, term, now),
-            (HoldingAction::Take { engines, .. }, Some(Ok(Commit::Done { version }))) => {
+            (AssignmentAction::ReadTable, _) => holding.on_table_read(None, term, now),
+            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::Done { version }))) => {
                 holding.on_taken(&engines, version, term);
             }
-            (HoldingAction::Take { engines, .. }, Some(Ok(Commit::Conflict { rows }))) => {
+            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::Conflict { rows }))) => {
                 holding.on_take_conflict(&engines, &rows, now);
             }
-            (HoldingAction::Take { engines, .. }, Some(Ok(Commit::TurnedAway))) => {
-                holding.on_take_refused(&engines, now);
+            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::TurnedAway))) => {
+                holding.on_take_rejected(&engines, now);
             }
-            (HoldingAction::Take { .. }, _) => holding.on_take_lost(now),
+            (AssignmentAction::Take { .. }, _) => holding.on_take_outcome_unknown(now),
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..self.hosts.len());
         let now = self.now;
         let time = ms(self.rng.random_range(200..16_000));
         match self.rng.random_range(0..4) {
             0 => self.hosts[host].paused_until = now + time,
-            1 => self.hosts[host].cut_until = now + time,
+            1 => self.hosts[host].partitioned_until = now + time,
             2 => {
                 self.hosts[host].holding = None;
                 self.hosts[host].starts_at = now + time;
             }
             _ => {
-                // Everything loses power at once.
+                // All hosts lose power at once.
                 for host in &mut self.hosts {
                     host.holding = None;
                     host.starts_at = now + ms(700);
@@ -497,22 +506,22 @@
     #[case] engines: usize,
     #[case] seeds: u64,
 ) {
-    let (mut orders, mut turns) = (0, 0);
+    let (mut orders, mut takeovers) = (0, 0);
     for seed in 0..seeds {
         let mut world = World::new(seed, 3, lost);
         world.set_engines(engines);
         for step in 0..2_400 {
             world.step();
             if step > 200 && world.rng.random_range(0..120) == 0 {
-                world.strike();
+                world.inject_fault();
             }
         }
         orders += world.orders;
-        turns += world.turns;
+        takeovers += world.takeovers;
     }
-    // The check would be empty if nobody gave orders, or nobody took over.
+    // Ensures that there were orders and takeovers to check.
     assert!(orders > 100_000, "{orders} orders");
-    assert!(turns > 200, "{turns} changes of holder");
+    assert!(takeovers > 200, "{takeovers} changes of holder");
 }
 
 #[test]
@@ -545,8 +554,8 @@
     }
 }
 
-/// After a loss of power hosts go on with the engines that the store gives to them before they have
-/// agreed on anything, and take no others.
+/// After a power loss, hosts resume the engines that the store assigns to them before they agree on anything,
+/// and take no others.
 #[test]
 fn hosts_that_start_anew_do_not_wait_for_agreement() {
     let mut world = World::new(6, 3, 0);
@@ -578,16 +587,16 @@
         world.step();
     }
     for host in &mut world.hosts {
-        host.cut_until = world.now + ms(5_500);
+        host.partitioned_until = world.now + ms(5_500);
     }
-    let mut quiet = Duration::ZERO;
+    let mut longest_pause = Duration::ZERO;
     for _ in 0..140 {
         world.step();
         for (_, at, _) in world.last_order.values() {
-            quiet = quiet.max(world.now.saturating_duration_since(*at));
+            longest_pause = longest_pause.max(world.now.saturating_duration_since(*at));
         }
     }
-    assert!(quiet < ms(200), "no orders for {quiet:?}");
+    assert!(longest_pause < ms(200), "no orders for {longest_pause:?}");
 }
 
 #[test]
@@ -617,7 +626,7 @@
         world.step();
     }
     let cut = world.last_order.values().next().unwrap().0;
-    world.hosts[cut].cut_until = world.now + Duration::from_secs(1_000);
+    world.hosts[cut].partitioned_until = world.now + Duration::from_secs(1_000);
     let begin = world.now;
     while world.last_order.values().any(|(host, _, _)| *host == cut) {
         world.step();
@@ -640,14 +649,14 @@
     assert!(world.takes <= 2 * ENGINES, "{} transactions", world.takes);
 }
 
-/// One host that has its lease, alone before many engines.
-struct Alone {
-    holding: Holding,
+/// A single host with a lease and many vacant engines.
+struct SingleHost {
+    holding: EngineAssignment,
     engines: BTreeMap<String, String>,
     now: Instant,
 }
 
-impl Alone {
+impl SingleHost {
     fn new(
         engines: usize,
         process: u64,
@@ -660,20 +669,20 @@
             process,
         };
         let now = Instant::now();
-        let timings = HoldingTimings::new(ms(9_000), ms(2_500), GAP);
+        let timings = LeaseTimings::new(ms(9_000), ms(2_500), GAP);
         let engines = (0..engines).map(|at| (format!("engine-{at}"), format!("key-{at}")));
-        let mut alone = Self {
-            holding: Holding::new(row, timings, now),
+        let mut single = Self {
+            holding: EngineAssignment::new(row, timings, now),
             engines: engines.collect(),
             now,
         };
-        alone.holding.on_table(Some(&[]), 0, now);
-        alone.holding.on_renewed(now, Some(1), now);
-        alone.holding.on_table(Some(&[]), 1, now);
-        alone
+        single.holding.on_table_read(Some(&[]), 0, now);
+        single.holding.on_renewed(now, Some(1), now);
+        single.holding.on_table_read(Some(&[]), 1, now);
+        single
     }
 
-    fn decide(&mut self) -> Vec<HoldingAction> {
+    fn decide(&mut self) -> Vec<AssignmentAction> {
         let takers = [address(0)];
         let (engines, now) = (&self.engines, self.now);
         self.holding.decide(
@@ -686,16 +695,16 @@
         )
     }
 
-    /// The batches that are taken now.
+    /// Returns the batches that are taken now.
     fn takes(&mut self) -> Vec<Vec<TakenEngine>> {
         let batches = self.decide().into_iter().map(|action| match action {
-            HoldingAction::Take { engines, .. } => engines,
+            AssignmentAction::Take { engines, .. } => engines,
             action => panic!("{action:?}"),
         });
         batches.collect()
     }
 
-    /// Time until the table is read, if it is within so long.
+    /// Returns the time until the table is read, if within `time`.
     fn reads_within(
         &mut self,
         time: Duration,
@@ -703,7 +712,7 @@
         let begin = self.now;
         while self.now < begin + time {
             self.now += STEP;
-            if self.decide().contains(&HoldingAction::ReadTable) {
+            if self.decide().contains(&AssignmentAction::ReadTable) {
                 return Some(self.now.saturating_duration_since(begin));
             }
         }
@@ -711,12 +720,11 @@
     }
 }
 
-/// Hosts that see different sets of hosts for a moment take the same engines. Whoever comes second must
-/// not lose its whole batch to one engine that another host has got.
+/// Guards against a full batch lost to one engine that another host has taken at the same moment.
 #[test]
 fn an_engine_that_another_host_has_got_holds_no_other_up() {
-    let mut alone = Alone::new(40, 1);
-    let batches = alone.takes();
+    let mut single = SingleHost::new(40, 1);
+    let batches = single.takes();
     assert_eq!(batches.len(), 1);
     let holder = HolderRow {
         holder: address(1),
@@ -727,10 +735,10 @@
         version: 9,
         value: Some(serde_json::to_vec(&holder).unwrap().into()),
     };
-    alone
+    single
         .holding
-        .on_take_conflict(&batches[0], &[taken], alone.now);
-    let again = alone.takes();
+        .on_take_conflict(&batches[0], &[taken], single.now);
+    let again = single.takes();
     let names: Vec<&str> = again
         .iter()
         .flatten()
@@ -740,39 +748,38 @@
     assert!(!names.contains(&"engine-5"));
 }
 
-/// A conflict whose reply tells nothing new must not be tried for ever with the same engines.
+/// Guards against endless retries of a conflict whose reply contains nothing new.
 #[test]
 fn an_engine_whose_conflict_is_not_understood_ends_up_alone() {
-    let mut alone = Alone::new(40, 1);
+    let mut single = SingleHost::new(40, 1);
     let (mut tries, mut left) = (0, 40);
     for _ in 0..20 {
-        for batch in alone.takes() {
+        for batch in single.takes() {
             tries += 1;
             if batch.iter().any(|taken| taken.target == "engine-5") {
-                alone.holding.on_take_conflict(&batch, &[], alone.now);
+                single.holding.on_take_conflict(&batch, &[], single.now);
             } else {
-                alone.holding.on_taken(&batch, 9, 1);
+                single.holding.on_taken(&batch, 9, 1);
                 left -= batch.len();
             }
         }
     }
     assert_eq!(left, 1);
-    // Engines that become vacant later go together again.
-    alone
+    // Engines that become vacant later share a transaction again.
+    single
         .engines
         .extend((0..40).map(|at| (format!("later-{at}"), format!("later-key-{at}"))));
-    alone.now += ms(2_100);
-    let sizes: Vec<usize> = alone.takes().iter().map(Vec::len).collect();
+    single.now += ms(2_100);
+    let sizes: Vec<usize> = single.takes().iter().map(Vec::len).collect();
     assert_eq!(sizes, [1, 40]);
-    // Each halving takes three at the most: both halves, and the one that failed once more.
+    // Each halving takes at most three: both halves, and the failed one again.
     assert!(tries <= 18, "{tries} transactions");
 }
 
-/// Another writer spoilt the row of an engine whose holder is lost. The row's version was passed over, so that each try
-/// to take the engine expected an older one, and it never got a holder again.
+/// Guards against an engine without a holder, as each attempt to take it expects the version before the malformed row.
 #[test]
 fn an_engine_whose_row_was_spoilt_is_taken_once_its_holders_lease_has_lapsed() {
-    let mut alone = Alone::new(1, 1);
+    let mut single = SingleHost::new(1, 1);
     let row = |key: String, version: u64, value: Vec<u8>| Row {
         key: key.into(),
         version,
@@ -795,16 +802,21 @@
         row(engine_key("engine-0"), 5, holder),
         row(host_key(address(1)), 4, lost),
     ];
-    alone.holding.on_table(Some(&rows), 1, alone.now);
-    let spoilt = [row(engine_key("engine-0"), 6, b"spoilt".to_vec())];
-    alone.holding.on_table(Some(&spoilt), 1, alone.now);
-    assert!(alone.takes().is_empty(), "its holder may still act");
+    single.holding.on_table_read(Some(&rows), 1, single.now);
+    let malformed = [row(engine_key("engine-0"), 6, b"malformed".to_vec())];
+    single
+        .holding
+        .on_table_read(Some(&malformed), 1, single.now);
+    assert!(
+        single.takes().is_empty(),
+        "its holder may still send orders"
+    );
     let mut expected = None;
     for _ in 0..20 {
-        alone.now += ms(1_000);
-        alone.holding.on_renewed(alone.now, Some(9), alone.now);
-        for action in alone.decide() {
-            if let HoldingAction::Take { transaction, .. } = action {
+        single.now += ms(1_000);
+        single.holding.on_renewed(single.now, Some(9), single.now);
+        for action in single.decide() {
+            if let AssignmentAction::Take { transaction, .. } = action {
                 expected.get_or_insert(transaction.expected[0].version);
             }
         }
@@ -812,25 +824,27 @@
     assert_eq!(expected, Some(6));
 }
 
-/// When many hosts start, the store turns most calls away for a second. Hosts that then read all rows
-/// keep its links and their own busy, and the next tries fail, too.
+/// Guards against table reads after rejected calls, which keep an overloaded store busy.
 #[test]
 fn a_host_that_was_turned_away_reads_nothing() {
-    let mut alone = Alone::new(40, 1);
-    let batches = alone.takes();
-    alone.holding.on_take_refused(&batches[0], alone.now);
-    assert!(alone.takes().is_empty());
-    alone.holding.on_renewed(alone.now, None, alone.now);
-    assert_eq!(alone.reads_within(ms(100)), None);
-    alone.now += ms(900);
-    let actions = alone.decide();
+    let mut single = SingleHost::new(40, 1);
+    let batches = single.takes();
+    single.holding.on_take_rejected(&batches[0], single.now);
+    assert!(single.takes().is_empty());
+    single.holding.on_renewed(single.now, None, single.now);
+    assert_eq!(single.reads_within(ms(100)), None);
+    single.now += ms(900);
+    let actions = single.decide();
     assert!(matches!(
         &actions[..],
-        [HoldingAction::Renew { .. }, HoldingAction::Take { .. }]
+        [
+            AssignmentAction::Renew { .. },
+            AssignmentAction::Take { .. }
+        ]
     ));
 }
 
-/// Hundreds of hosts lose replies at the same moment; the rows of 3,000 engines are half a MB for each.
+/// Guards against hundreds of hosts that read a large table at the same moment.
 #[test]
 fn hosts_read_many_rows_at_different_times_after_lost_replies() {
     let rows = (0..3_000).map(|at| {
@@ -846,22 +860,20 @@
     });
     let rows: Vec<Row> = rows.collect();
     let read_at = |process| {
-        let mut alone = Alone::new(40, process);
-        alone.holding.on_table(Some(&rows), 1, alone.now);
-        let batches = alone.takes();
+        let mut single = SingleHost::new(40, process);
+        single.holding.on_table_read(Some(&rows), 1, single.now);
+        let batches = single.takes();
         assert_eq!(batches.len(), 1);
-        alone.holding.on_take_lost(alone.now);
-        assert!(alone.takes().is_empty(), "they are pending");
-        alone.reads_within(ms(3_100)).expect("it reads")
+        single.holding.on_take_outcome_unknown(single.now);
+        assert!(single.takes().is_empty(), "pending engines were taken");
+        single.reads_within(ms(3_100)).expect("the table is read")
     };
     let times: BTreeSet<Duration> = (0..30).map(read_at).collect();
     assert!(times.len() >= 15, "{times:?}");
 }
 
-/// A host's lease lapsed while the store took long to answer that another engine is no longer to be had. The
-/// answer came once the lease was held anew, and the host took it for a confirmation of all that it held
-/// before; another host gave orders to one of those engines by then. Only a read of the table in the new
-/// term may confirm what is held.
+/// Guards against a conflict reply from before a lapse of the lease that confirms engines which another host has taken
+/// since. Only a read of the table in the new term may confirm them.
 #[test]
 fn an_answer_from_before_a_lapse_confirms_nothing() {
     let mut world = World::new(8, 2, 0);
@@ -870,7 +882,7 @@
     let mut holding = world.hosts[0].holding.take().unwrap();
     let engines = world.engines.clone();
     let takers = [address(0)];
-    let decide = |holding: &mut Holding, now: Instant| {
+    let decide = |holding: &mut EngineAssignment, now: Instant| {
         holding.decide(
             &engines,
             &takers,
@@ -885,9 +897,9 @@
         for action in decide(&mut holding, now) {
             let term = holding.lease().term();
             match action {
-                HoldingAction::ReadTable => holding.on_table(Some(&[]), term, now),
-                HoldingAction::Renew { .. } => holding.on_renewed(now, Some(1), now),
-                HoldingAction::Take { engines, .. } => {
+                AssignmentAction::ReadTable => holding.on_table_read(Some(&[]), term, now),
+                AssignmentAction::Renew { .. } => holding.on_renewed(now, Some(1), now),
+                AssignmentAction::Take { engines, .. } => {
                     let is_first = |taken: &TakenEngine| taken.target == "engine-0";
                     let first: Vec<TakenEngine> = engines.into_iter().filter(is_first).collect();
                     holding.on_taken(&first, 2, term);
@@ -896,7 +908,7 @@
         }
     }
     let held_at = start + Duration::from_secs(4);
-    assert!(holding.may_order("engine-0", held_at).is_some());
+    assert!(holding.held_engine("engine-0", held_at).is_some());
     let back_at = start + Duration::from_secs(30);
     holding.on_renewed(back_at, Some(9), back_at);
     let other = TakenEngine {
@@ -904,5 +916,5 @@
         fence: 1,
     };
     holding.on_take_conflict(&[other], &[], back_at);
-    assert_eq!(holding.may_order("engine-0", back_at + STEP), None);
+    assert_eq!(holding.held_engine("engine-0", back_at + STEP), None);
 }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -1,25 +1,24 @@
-//! Few targets of a plain service before many hosts, asked for twice what they bear: each host sees a request or two in a
-//! second, so that by itself none knows how busy the targets are. They turned half of what came away, served 75 in a second
-//! where 90 could be, and a third of these late, behind a queue that was always full.
+//! Slots at the targets of a plain service under overload. Without them each host sees too few requests to know the
+//! load: targets reject many requests and answer the rest late, behind full queues.
 
 use {
     coveproxy::{
         clock::Instant,
-        request::places::{PlaceAnswer, PlaceAsk, PlaceEnd, ServicePlaces, TargetPlaces},
+        request::places::{ServiceSlots, SlotOutcome, SlotRequest, SlotResponse, TargetSlots},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
     std::{cmp::Reverse, collections::BinaryHeap, collections::VecDeque, time::Duration},
 };
 
-const AIM: Duration = Duration::from_millis(300);
-const LEFT: Duration = Duration::from_millis(1_500);
+const LATENCY_GOAL: Duration = Duration::from_millis(300);
+const TIME_LEFT: Duration = Duration::from_millis(1_500);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A target that works on some requests at once and queues some more.
+/// A target with limited parallelism and a bounded queue.
 struct Target {
     slots: usize,
     queue: usize,
@@ -27,30 +26,29 @@
     waiting: VecDeque<(u64, Instant)>,
 }
 
-/// What callers got.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: usize,
     late: usize,
-    refused: usize,
-    turned_away: usize,
+    rejected: usize,
+    rejected_by_target: usize,
 }
 
-/// Requests for one service for a time, at so many a second; gives out places or not.
-struct Play {
+/// A simulation of requests at a constant average rate, with or without slot allocation.
+struct Simulation {
     rng: StdRng,
     targets: Vec<Target>,
-    places: Option<ServicePlaces>,
-    /// Ends of requests: when, at which target, which, sent when.
+    allocator: Option<ServiceSlots>,
+    /// Ends of requests: when, target, id, sent when.
     ends: BinaryHeap<Reverse<(Instant, usize, u64, Instant)>>,
     outcome: Outcome,
 }
 
-impl Play {
+impl Simulation {
     fn new(
         seed: u64,
         targets: usize,
-        with_places: bool,
+        with_slots: bool,
     ) -> Self {
         let target = |_| Target {
             slots: 6,
@@ -61,7 +59,7 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             targets: (0..targets).map(target).collect(),
-            places: with_places.then(ServicePlaces::default),
+            allocator: with_slots.then(ServiceSlots::default),
             ends: BinaryHeap::new(),
             outcome: Outcome::default(),
         }
@@ -92,7 +90,7 @@
         now: Instant,
     ) {
         let Some(at) = self.target_for(id, now) else {
-            self.outcome.refused += 1;
+            self.outcome.rejected += 1;
             return;
         };
         let target = &mut self.targets[at];
@@ -102,39 +100,39 @@
         } else if target.waiting.len() < target.queue {
             target.waiting.push_back((id, now));
         } else {
-            self.outcome.turned_away += 1;
-            self.tell(at, id, PlaceEnd::TurnedAway);
+            self.outcome.rejected_by_target += 1;
+            self.release(at, id, SlotOutcome::Rejected);
         }
     }
 
-    /// The target that a request is sent to; none if there is no place.
+    /// Returns the target to send to; `None` if there is no free slot.
     fn target_for(
         &mut self,
         id: u64,
         now: Instant,
     ) -> Option<usize> {
         let count = self.targets.len();
-        let Some(places) = &mut self.places else {
+        let Some(slots) = &mut self.allocator else {
             return Some(self.rng.random_range(0..count));
         };
         let names: Vec<String> = (0..count).map(|at| format!("t{at}")).collect();
-        places.set_targets(names.iter().map(|name| (name.as_str(), 6)));
-        let ask = PlaceAsk {
+        slots.set_targets(names.iter().map(|name| (name.as_str(), 6)));
+        let request = SlotRequest {
             id,
-            passed_over: &[],
-            aim: AIM,
-            left: LEFT,
+            excluded: &[],
+            latency_goal: LATENCY_GOAL,
+            time_left: TIME_LEFT,
         };
-        match places.ask(&ask, now) {
-            PlaceAnswer::Granted { target } => Some(target[1..].parse().unwrap()),
-            PlaceAnswer::Full { come_back } => {
+        match slots.acquire(&request, now) {
+            SlotResponse::Granted { target } => Some(target[1..].parse().unwrap()),
+            SlotResponse::Full { retry_after } => {
                 assert!(
-                    come_back >= ms(100) && come_back <= ms(1_000),
-                    "{come_back:?}"
+                    retry_after >= ms(100) && retry_after <= ms(1_000),
+                    "{retry_after:?}"
                 );
                 None
             }
-            PlaceAnswer::Nowhere => panic!("there are targets"),
+            SlotResponse::NoTarget => panic!("no eligible target"),
         }
     }
 
@@ -159,11 +157,11 @@
             }
             self.ends.pop();
             let took = ended - sent;
-            match took <= AIM {
+            match took <= LATENCY_GOAL {
                 true => self.outcome.in_time += 1,
                 false => self.outcome.late += 1,
             }
-            self.tell(at, id, PlaceEnd::Answered { took });
+            self.release(at, id, SlotOutcome::Answered { took });
             match self.targets[at].waiting.pop_front() {
                 Some((next, sent)) => self.start(at, next, sent, ended),
                 None => self.targets[at].running -= 1,
@@ -171,19 +169,20 @@
         }
     }
 
-    fn tell(
+    fn release(
         &mut self,
         at: usize,
         id: u64,
-        end: PlaceEnd,
+        outcome: SlotOutcome,
     ) {
-        if let Some(places) = &mut self.places {
-            places.end(&format!("t{at}"), id, end);
+        if let Some(slots) = &mut self.allocator {
+            slots.release(&format!("t{at}"), id, outcome);
         }
     }
 }
 
-/// Asked for twice and more of what they bear, targets answer nine tenths of it within the aim, and the rest is refused at once.
+/// Under overload at least nine tenths of the capacity is answered within the latency goal, and the rest is rejected
+/// before it is sent.
 #[rstest]
 fn under_twice_the_load_nine_tenths_of_what_targets_bear_are_answered_in_time(
     #[values(1, 3)] targets: usize,
@@ -192,59 +191,59 @@
     let time = Duration::from_secs(20);
     let capacity = targets as f64 * 6.0 / 0.066;
     for seed in 0..10 {
-        let outcome = Play::new(seed, targets, true).run(capacity * times, time);
-        let borne = capacity * time.as_secs_f64();
+        let outcome = Simulation::new(seed, targets, true).run(capacity * times, time);
+        let capacity_total = capacity * time.as_secs_f64();
         assert!(
-            outcome.in_time as f64 >= 0.9 * borne,
-            "{outcome:?} of {borne}"
+            outcome.in_time as f64 >= 0.9 * capacity_total,
+            "{outcome:?} of {capacity_total}"
         );
         assert!(outcome.late * 20 < outcome.in_time, "{outcome:?}");
-        assert_eq!(outcome.turned_away, 0, "{outcome:?}");
+        assert_eq!(outcome.rejected_by_target, 0, "{outcome:?}");
     }
 }
 
-/// Without them most answers are late: what the places are for.
+/// The overload that the tests simulate does make responses late without slots.
 #[test]
 fn without_places_most_answers_are_late() {
-    let outcome = Play::new(1, 1, false).run(190.0, Duration::from_secs(20));
+    let outcome = Simulation::new(1, 1, false).run(190.0, Duration::from_secs(20));
     println!("{outcome:?}");
     assert!(outcome.late > outcome.in_time, "{outcome:?}");
 }
 
-/// Below what targets bear nobody is refused.
+/// Below capacity almost no request is rejected.
 #[rstest]
 fn with_room_nobody_is_refused(#[values(0.3, 0.6, 0.8)] load: f64) {
     let capacity = 3.0 * 6.0 / 0.066;
     for seed in 0..10 {
-        let outcome = Play::new(seed, 3, true).run(capacity * load, Duration::from_secs(20));
+        let outcome = Simulation::new(seed, 3, true).run(capacity * load, Duration::from_secs(20));
         let answered = outcome.in_time + outcome.late;
-        assert!(outcome.refused * 200 <= answered, "{outcome:?}");
+        assert!(outcome.rejected * 200 <= answered, "{outcome:?}");
     }
 }
 
-/// A place whose end is never told is free again after the time that its request had.
+/// A slot of a host that is lost is released at the request's deadline.
 #[test]
 fn places_of_lost_hosts_come_back() {
     let now = Instant::now();
-    let mut places = TargetPlaces::new(6);
-    let limit = places.limit() as u64;
+    let mut slots = TargetSlots::new(6);
+    let limit = slots.limit() as u64;
     for id in 0..limit {
-        places.take(id, now + LEFT);
+        slots.acquire(id, now + TIME_LEFT);
     }
-    assert!(places.load(now) >= 1.0);
-    assert_eq!(places.load(now + LEFT), 0.0);
+    assert!(slots.load(now) >= 1.0);
+    assert_eq!(slots.load(now + TIME_LEFT), 0.0);
 }
 
-/// An end that is told twice, or for a place that was given up, says nothing.
+/// A repeated release must not change the limit.
 #[test]
 fn ends_that_come_twice_say_nothing() {
     let now = Instant::now();
-    let mut places = TargetPlaces::new(6);
-    places.take(1, now + LEFT);
-    places.end(1, PlaceEnd::TurnedAway, AIM);
-    let limit = places.limit();
+    let mut slots = TargetSlots::new(6);
+    slots.acquire(1, now + TIME_LEFT);
+    slots.release(1, SlotOutcome::Rejected, LATENCY_GOAL);
+    let limit = slots.limit();
     for _ in 0..10 {
-        places.end(1, PlaceEnd::TurnedAway, AIM);
+        slots.release(1, SlotOutcome::Rejected, LATENCY_GOAL);
     }
-    assert_eq!(places.limit(), limit);
+    assert_eq!(slots.limit(), limit);
 }
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -1,16 +1,17 @@
-//! Decisions on one request that is sent straight to its target.
+//! Routing decisions for a request that a host sends directly to its target.
 
 use {
     coveproxy::{
         clock::Instant,
-        connection::targets::ReadingSpeed,
+        connection::targets::PrefillThroughput,
         request::{
             direct::{
-                AttemptEnd, ChoiceTerms, CopyState, EngineCandidate, EngineChoice, Generation,
-                NextStep, Patience, PlainCandidate, Policy, PromptPart, RequestHistory,
-                RequestTime, USUAL_LOAD, choose_engine, choose_plain, next_step, wait_or_refuse,
+                AdapterCopyState, AttemptEnd, ChoiceContext, DEFAULT_LOAD_TIME, EngineCandidate,
+                EngineChoice, Generation, NextStep, PlainCandidate, Policy, PromptPart,
+                RequestHistory, RequestTiming, WaitDecision, choose_engine, choose_plain,
+                next_step, wait_or_reject,
             },
-            notices::Openness,
+            notices::Availability,
         },
         version::routing::{
             BaseModel, EngineSpec, FrontLimits, Route, RouteKind, RoutingTable, TargetService,
@@ -61,26 +62,54 @@
 const FIRST: NextStep = NextStep::Resend { repeats: false };
 const AGAIN: NextStep = NextStep::Resend { repeats: true };
 
-/// What follows the first send of a request, by what its route lets be repeated.
+/// Guards against resending a request whose route does not allow it to run twice.
 #[rstest]
 #[case::never_left(RouteKind::Unsafe, false, 1, AttemptEnd::NotSent, true, FIRST)]
 #[case::turned_away(RouteKind::Unsafe, false, 1, NOT_RUN, true, AGAIN)]
-#[case::turned_away_without_budget(RouteKind::Unsafe, false, 1, NOT_RUN, false, NextStep::Refuse)]
-#[case::unsafe_lost(RouteKind::Unsafe, false, 3, AttemptEnd::Lost, true, NextStep::Fail)]
-#[case::unsafe_failed(RouteKind::Unsafe, false, 3, FAILED, true, NextStep::PassOn)]
+#[case::turned_away_without_budget(RouteKind::Unsafe, false, 1, NOT_RUN, false, NextStep::Reject)]
+#[case::unsafe_lost(
+    RouteKind::Unsafe,
+    false,
+    3,
+    AttemptEnd::Lost,
+    true,
+    NextStep::OutcomeUnknown
+)]
+#[case::unsafe_failed(RouteKind::Unsafe, false, 3, FAILED, true, NextStep::ForwardFailure)]
 #[case::safe_lost(RouteKind::Safe, false, 2, AttemptEnd::Lost, true, AGAIN)]
-#[case::safe_lost_at_its_last(RouteKind::Safe, false, 1, AttemptEnd::Lost, true, NextStep::Fail)]
+#[case::safe_lost_at_its_last(
+    RouteKind::Safe,
+    false,
+    1,
+    AttemptEnd::Lost,
+    true,
+    NextStep::OutcomeUnknown
+)]
 #[case::safe_lost_without_budget(
     RouteKind::Safe,
     false,
     2,
     AttemptEnd::Lost,
     false,
-    NextStep::Fail
+    NextStep::OutcomeUnknown
 )]
 #[case::safe_failed(RouteKind::Safe, false, 2, FAILED, true, AGAIN)]
-#[case::safe_failed_without_budget(RouteKind::Safe, false, 2, FAILED, false, NextStep::PassOn)]
-#[case::stream_lost(RouteKind::Stream, false, 2, AttemptEnd::Lost, true, NextStep::Fail)]
+#[case::safe_failed_without_budget(
+    RouteKind::Safe,
+    false,
+    2,
+    FAILED,
+    false,
+    NextStep::ForwardFailure
+)]
+#[case::stream_lost(
+    RouteKind::Stream,
+    false,
+    2,
+    AttemptEnd::Lost,
+    true,
+    NextStep::OutcomeUnknown
+)]
 #[case::resumable_lost(RouteKind::Stream, true, 2, AttemptEnd::Lost, true, AGAIN)]
 fn what_follows_the_first_send(
     #[case] kind: RouteKind,
@@ -91,7 +120,7 @@
     #[case] expected: NextStep,
 ) {
     let mut history = RequestHistory::default();
-    history.note(end);
+    history.record(end);
     let route = route(kind, resumable, max_attempts);
     assert_eq!(next_step(&route, &history, end, budget_left), expected);
 }
@@ -100,11 +129,11 @@
 fn a_request_that_may_have_run_is_never_called_not_run() {
     let route = route(RouteKind::Safe, false, 2);
     let mut history = RequestHistory::default();
-    history.note(AttemptEnd::Lost);
-    history.note(NOT_RUN);
+    history.record(AttemptEnd::Lost);
+    history.record(NOT_RUN);
     for budget_left in [true, false] {
         let step = next_step(&route, &history, NOT_RUN, budget_left);
-        assert_ne!(step, NextStep::Refuse);
+        assert_ne!(step, NextStep::Reject);
     }
 }
 
@@ -114,9 +143,9 @@
     let mut history = RequestHistory::default();
     let mut sends = 0;
     loop {
-        history.note(NOT_RUN);
+        history.record(NOT_RUN);
         sends += 1;
-        if next_step(&route, &history, NOT_RUN, true) == NextStep::Refuse {
+        if next_step(&route, &history, NOT_RUN, true) == NextStep::Reject {
             break;
         }
         assert!(sends < 20);
@@ -126,15 +155,15 @@
 
 fn plain(
     in_flight: u32,
-    near: bool,
+    same_hall: bool,
 ) -> PlainCandidate {
     PlainCandidate {
         in_flight,
         slots: 6,
-        near,
+        same_hall,
         avoided_for: Duration::ZERO,
         tried: false,
-        openness: Openness::Open,
+        availability: Availability::Open,
     }
 }
 
@@ -148,11 +177,11 @@
 #[case::a_failed_one_if_there_is_no_other(
     vec![PlainCandidate { avoided_for: ms(100), ..plain(0, true) }], Some(0))]
 #[case::a_limited_one_only_if_there_is_no_other(
-    vec![PlainCandidate { openness: Openness::Limited, ..plain(0, true) }, plain(5, false)], Some(1))]
+    vec![PlainCandidate { availability: Availability::Limited, ..plain(0, true) }, plain(5, false)], Some(1))]
 #[case::a_limited_one_if_the_others_are_closed(
-    vec![PlainCandidate { openness: Openness::Closed, ..plain(0, true) },
-         PlainCandidate { openness: Openness::Limited, ..plain(5, false) }], Some(1))]
-#[case::all_closed(vec![PlainCandidate { openness: Openness::Closed, ..plain(0, true) }], None)]
+    vec![PlainCandidate { availability: Availability::Closed, ..plain(0, true) },
+         PlainCandidate { availability: Availability::Limited, ..plain(5, false) }], Some(1))]
+#[case::all_closed(vec![PlainCandidate { availability: Availability::Closed, ..plain(0, true) }], None)]
 #[case::none(vec![], None)]
 fn the_plain_target_with_most_room_is_chosen(
     #[case] candidates: Vec<PlainCandidate>,
@@ -164,32 +193,32 @@
 }
 
 fn engine(
-    copy: CopyState,
+    copy_state: AdapterCopyState,
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
-        load: USUAL_LOAD,
-        copy,
-        wait: ms(wait_ms),
-        memory: 0.3,
-        batch: 0.3,
-        crowd: 1.0,
-        near: true,
-        unknown: false,
+        load_time: DEFAULT_LOAD_TIME,
+        copy_state,
+        time_to_first_event: ms(wait_ms),
+        memory_share: 0.3,
+        batch_share: 0.3,
+        relative_load: 1.0,
+        same_hall: true,
+        load_unknown: false,
         avoided: false,
         has_holder: true,
         tried: false,
-        openness: Openness::Open,
+        availability: Availability::Open,
     }
 }
 
 fn terms(
     price_ms: u64,
     now: Instant,
-) -> ChoiceTerms {
-    ChoiceTerms {
+) -> ChoiceContext {
+    ChoiceContext {
         copy_price: ms(price_ms),
-        aim_left: ms(800),
+        time_to_aim: ms(800),
         priority: 2,
         policy: Policy::default(),
         now,
@@ -197,30 +226,35 @@
 }
 
 fn send(to: usize) -> EngineChoice {
-    EngineChoice::Send { to, ask: None }
+    EngineChoice::Send {
+        to,
+        also_load: None,
+    }
 }
 
 #[rstest]
-#[case::nearest_end(vec![(CopyState::Ready, 300), (CopyState::Ready, 80)], send(1))]
-#[case::the_copy_rather_than_a_load(vec![(CopyState::Unknown, 50), (CopyState::Ready, 200)], send(1))]
-#[case::a_load_if_there_is_no_copy(vec![(CopyState::Unknown, 50), (CopyState::Unknown, 50)], EngineChoice::Ask(0))]
-#[case::home_though_others_are_idler(vec![(CopyState::Unknown, 200), (CopyState::Unknown, 0)], EngineChoice::Ask(0))]
-#[case::away_if_home_is_drowned(vec![(CopyState::Unknown, 3_000), (CopyState::Unknown, 0)], EngineChoice::Ask(1))]
+#[case::nearest_end(vec![(AdapterCopyState::Ready, 300), (AdapterCopyState::Ready, 80)], send(1))]
+#[case::the_copy_rather_than_a_load(vec![(AdapterCopyState::Unknown, 50), (AdapterCopyState::Ready, 200)], send(1))]
+#[case::a_load_if_there_is_no_copy(vec![(AdapterCopyState::Unknown, 50), (AdapterCopyState::Unknown, 50)], EngineChoice::RequestLoad(0))]
+#[case::home_though_others_are_idler(vec![(AdapterCopyState::Unknown, 200), (AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(0))]
+#[case::away_if_home_is_drowned(vec![(AdapterCopyState::Unknown, 3_000), (AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(1))]
 #[case::busy_copy_and_another_one(
-    vec![(CopyState::Ready, 420), (CopyState::Unknown, 20)], EngineChoice::Send { to: 0, ask: Some(1) })]
-#[case::wait_if_the_copy_is_hopeless(vec![(CopyState::Ready, 6_000), (CopyState::Unknown, 20)], EngineChoice::Ask(1))]
+    vec![(AdapterCopyState::Ready, 420), (AdapterCopyState::Unknown, 20)], EngineChoice::Send { to: 0, also_load: Some(1) })]
+#[case::wait_if_the_copy_is_hopeless(vec![(AdapterCopyState::Ready, 6_000), (AdapterCopyState::Unknown, 20)], EngineChoice::RequestLoad(1))]
 fn engines_are_chosen_by_expected_time(
-    #[case] candidates: Vec<(CopyState, u64)>,
+    #[case] candidates: Vec<(AdapterCopyState, u64)>,
     #[case] expected: EngineChoice,
 ) {
     let now = Instant::now();
     let candidates: Vec<EngineCandidate> = candidates
         .into_iter()
-        .map(|(copy, wait)| engine(copy, wait))
+        .map(|(copy_state, wait)| engine(copy_state, wait))
         .collect();
-    // A copy of a popular adapter costs each request little.
+    // The copy cost of a popular adapter is low.
     let price = match expected {
-        EngineChoice::Send { ask: Some(_), .. } => 5,
+        EngineChoice::Send {
+            also_load: Some(_), ..
+        } => 5,
         _ => 300,
     };
     assert_eq!(choose_engine(&candidates, &terms(price, now)), expected);
@@ -230,8 +264,8 @@
 fn a_rare_adapter_gets_no_second_copy_for_a_little_haste() {
     let now = Instant::now();
     let candidates = [
-        engine(CopyState::Ready, 420),
-        engine(CopyState::Unknown, 20),
+        engine(AdapterCopyState::Ready, 420),
+        engine(AdapterCopyState::Unknown, 20),
     ];
     assert_eq!(choose_engine(&candidates, &terms(300, now)), send(0));
 }
@@ -241,9 +275,9 @@
     let now = Instant::now();
     let due = now + ms(1_100);
     let candidates = [
-        engine(CopyState::Coming { due }, 20),
-        engine(CopyState::Unknown, 20),
-        engine(CopyState::Unknown, 20),
+        engine(AdapterCopyState::Loading { due }, 20),
+        engine(AdapterCopyState::Unknown, 20),
+        engine(AdapterCopyState::Unknown, 20),
     ];
     let choice = choose_engine(&candidates, &terms(300, now));
     assert!(matches!(choice, EngineChoice::Wait { until, .. } if until > due));
@@ -252,33 +286,33 @@
 #[test]
 fn a_full_engine_is_asked_again_only_later() {
     let now = Instant::now();
-    let full = CopyState::Full {
+    let full = AdapterCopyState::Full {
         until: now + ms(400),
     };
-    let candidates = [engine(full, 20), engine(CopyState::Unknown, 20)];
+    let candidates = [engine(full, 20), engine(AdapterCopyState::Unknown, 20)];
     assert_eq!(
         choose_engine(&candidates, &terms(300, now)),
-        EngineChoice::Ask(1)
+        EngineChoice::RequestLoad(1)
     );
     let alone = [engine(full, 20)];
     assert_eq!(
         choose_engine(&alone, &terms(300, now)),
-        EngineChoice::Nowhere
+        EngineChoice::NoEngine
     );
     let later = terms(300, now + ms(401));
-    assert_eq!(choose_engine(&alone, &later), EngineChoice::Ask(0));
+    assert_eq!(choose_engine(&alone, &later), EngineChoice::RequestLoad(0));
 }
 
 #[rstest]
-#[case::avoided(EngineCandidate { avoided: true, ..engine(CopyState::Ready, 0) })]
-#[case::turned_away_there(EngineCandidate { tried: true, ..engine(CopyState::Ready, 0) })]
-#[case::closed(EngineCandidate { openness: Openness::Closed, ..engine(CopyState::Ready, 0) })]
-#[case::no_holder_and_no_copy(EngineCandidate { has_holder: false, ..engine(CopyState::Unknown, 0) })]
+#[case::avoided(EngineCandidate { avoided: true, ..engine(AdapterCopyState::Ready, 0) })]
+#[case::turned_away_there(EngineCandidate { tried: true, ..engine(AdapterCopyState::Ready, 0) })]
+#[case::closed(EngineCandidate { availability: Availability::Closed, ..engine(AdapterCopyState::Ready, 0) })]
+#[case::no_holder_and_no_copy(EngineCandidate { has_holder: false, ..engine(AdapterCopyState::Unknown, 0) })]
 fn engines_that_can_not_serve_are_left_out(#[case] candidate: EngineCandidate) {
     let now = Instant::now();
     assert_eq!(
         choose_engine(&[candidate], &terms(0, now)),
-        EngineChoice::Nowhere
+        EngineChoice::NoEngine
     );
 }
 
@@ -286,10 +320,10 @@
 fn an_engine_short_of_memory_is_used_last() {
     let now = Instant::now();
     let pressed = EngineCandidate {
-        memory: 0.99,
-        ..engine(CopyState::Ready, 0)
+        memory_share: 0.99,
+        ..engine(AdapterCopyState::Ready, 0)
     };
-    let candidates = [pressed, engine(CopyState::Ready, 400)];
+    let candidates = [pressed, engine(AdapterCopyState::Ready, 400)];
     assert_eq!(choose_engine(&candidates, &terms(300, now)), send(1));
 }
 
@@ -297,39 +331,39 @@
 fn a_crowded_engine_gives_popular_adapters_away() {
     let now = Instant::now();
     let crowded = EngineCandidate {
-        crowd: 2.5,
-        ..engine(CopyState::Ready, 60)
+        relative_load: 2.5,
+        ..engine(AdapterCopyState::Ready, 60)
     };
-    let candidates = [crowded, engine(CopyState::Ready, 100)];
+    let candidates = [crowded, engine(AdapterCopyState::Ready, 100)];
     assert_eq!(choose_engine(&candidates, &terms(5, now)), send(1));
-    let candidates = [crowded, engine(CopyState::Unknown, 20)];
+    let candidates = [crowded, engine(AdapterCopyState::Unknown, 20)];
     let choice = choose_engine(&candidates, &terms(5, now));
     assert_eq!(
         choice,
         EngineChoice::Send {
             to: 0,
-            ask: Some(1)
+            also_load: Some(1)
         }
     );
     assert_eq!(choose_engine(&candidates, &terms(300, now)), send(0));
 }
 
 #[rstest]
-#[case::in_time(0, 300, Patience::Wait)]
-#[case::late_and_prompt(10, 1_000, Patience::Refuse { come_back: ms(1_040) })]
-#[case::late_but_no_longer_prompt(200, 1_000, Patience::Wait)]
-#[case::later_than_callers_come_back(10, 6_000, Patience::Wait)]
+#[case::in_time(0, 300, WaitDecision::Wait)]
+#[case::late_and_prompt(10, 1_000, WaitDecision::Reject { retry_after: ms(1_040) })]
+#[case::late_but_no_longer_prompt(200, 1_000, WaitDecision::Wait)]
+#[case::later_than_callers_come_back(10, 6_000, WaitDecision::Wait)]
 fn who_would_be_late_is_told_at_once(
-    #[case] passed: u64,
+    #[case] elapsed: u64,
     #[case] expected: u64,
-    #[case] patience: Patience,
+    #[case] patience: WaitDecision,
 ) {
-    let time = RequestTime {
-        passed: ms(passed),
+    let time = RequestTiming {
+        elapsed: ms(elapsed),
         aim: ms(800),
-        left: ms(15_000),
+        time_left: ms(15_000),
     };
-    assert_eq!(wait_or_refuse(&time, ms(expected)), patience);
+    assert_eq!(wait_or_reject(&time, ms(expected)), patience);
 }
 
 #[test]
@@ -437,30 +471,30 @@
     assert_eq!(spec.adapter_room(&model), room);
 }
 
-/// An urgent request passes prompts that wait, so a long one is met more often than a short one.
+/// A request is more likely to arrive during a long prefill than during a short one.
 #[test]
 fn the_prompt_in_reading_is_larger_than_the_mean() {
-    let mut speed = ReadingSpeed::default();
-    assert_eq!(speed.prompt_in_reading(), u64::MAX);
+    let mut speed = PrefillThroughput::default();
+    assert_eq!(speed.mean_prompt_in_prefill(), u64::MAX);
     for _ in 0..500 {
         speed.on_prompt(1_000);
         speed.on_prompt(9_000);
     }
-    let tokens = speed.prompt_in_reading();
+    let tokens = speed.mean_prompt_in_prefill();
     assert!((7_700..8_700).contains(&tokens), "{tokens}");
 }
 
-/// A further copy is made only for an adapter that is used enough to pay for it.
+/// Guards against further copies of an adapter that is rarely used.
 #[rstest]
-#[case::rare(300, EngineChoice::Send { to: 0, ask: None })]
-#[case::often(15, EngineChoice::Send { to: 0, ask: Some(1) })]
+#[case::rare(300, EngineChoice::Send { to: 0, also_load: None })]
+#[case::often(15, EngineChoice::Send { to: 0, also_load: Some(1) })]
 fn a_busy_copy_calls_for_another_by_use(
     #[case] price_ms: u64,
     #[case] expected: EngineChoice,
 ) {
     let now = Instant::now();
-    let busy = engine(CopyState::Ready, 470);
-    let free = engine(CopyState::Unknown, 10);
+    let busy = engine(AdapterCopyState::Ready, 470);
+    let free = engine(AdapterCopyState::Unknown, 10);
     assert_eq!(
         choose_engine(&[busy, free], &terms(price_ms, now)),
         expected
@@ -470,27 +504,33 @@
 #[test]
 fn a_policy_without_further_copies_asks_for_none() {
     let now = Instant::now();
-    let busy = engine(CopyState::Ready, 470);
-    let free = engine(CopyState::Unknown, 10);
+    let busy = engine(AdapterCopyState::Ready, 470);
+    let free = engine(AdapterCopyState::Unknown, 10);
     let mut terms = terms(15, now);
     terms.policy.adds_copies = false;
     let choice = choose_engine(&[busy, free], &terms);
-    assert_eq!(choice, EngineChoice::Send { to: 0, ask: None });
+    assert_eq!(
+        choice,
+        EngineChoice::Send {
+            to: 0,
+            also_load: None
+        }
+    );
 }
 
-/// While the weight store has too much to do, a load elsewhere takes longer than a busy copy.
+/// While the weight store is busy, a load on another engine takes longer than waiting for a busy one.
 #[rstest]
-#[case::usual(270, EngineChoice::Ask(1))]
+#[case::usual(270, EngineChoice::RequestLoad(1))]
 #[case::the_store_is_busy(900, send(0))]
 fn a_copy_elsewhere_is_weighed_with_the_time_that_loads_take(
     #[case] load_ms: u64,
     #[case] expected: EngineChoice,
 ) {
     let candidates = [
-        engine(CopyState::Ready, 600),
+        engine(AdapterCopyState::Ready, 600),
         EngineCandidate {
-            load: ms(load_ms),
-            ..engine(CopyState::Unknown, 20)
+            load_time: ms(load_ms),
+            ..engine(AdapterCopyState::Unknown, 20)
         },
     ];
     assert_eq!(
@@ -500,22 +540,22 @@
 }
 
 fn limited(
-    copy: CopyState,
+    copy_state: AdapterCopyState,
     wait_ms: u64,
 ) -> EngineCandidate {
     EngineCandidate {
-        openness: Openness::Limited,
-        ..engine(copy, wait_ms)
+        availability: Availability::Limited,
+        ..engine(copy_state, wait_ms)
     }
 }
 
-/// An engine that takes only so many requests gets those that would else wait or be refused, and loads nothing while another
-/// one can.
+/// An engine of limited availability gets only requests that would otherwise wait or be rejected, and loads an adapter only if
+/// no other engine can.
 #[rstest]
-#[case::another_copy_serves(vec![limited(CopyState::Ready, 0), engine(CopyState::Ready, 80)], send(1))]
-#[case::its_copy_is_the_only_one(vec![limited(CopyState::Ready, 0), engine(CopyState::Unknown, 0)], send(0))]
-#[case::another_loads(vec![limited(CopyState::Unknown, 0), engine(CopyState::Unknown, 50)], EngineChoice::Ask(1))]
-#[case::nobody_else_can(vec![limited(CopyState::Unknown, 0)], EngineChoice::Ask(0))]
+#[case::another_copy_serves(vec![limited(AdapterCopyState::Ready, 0), engine(AdapterCopyState::Ready, 80)], send(1))]
+#[case::its_copy_is_the_only_one(vec![limited(AdapterCopyState::Ready, 0), engine(AdapterCopyState::Unknown, 0)], send(0))]
+#[case::another_loads(vec![limited(AdapterCopyState::Unknown, 0), engine(AdapterCopyState::Unknown, 50)], EngineChoice::RequestLoad(1))]
+#[case::nobody_else_can(vec![limited(AdapterCopyState::Unknown, 0)], EngineChoice::RequestLoad(0))]
 fn a_limited_engine_is_used_for_what_only_it_serves_well(
     #[case] candidates: Vec<EngineCandidate>,
     #[case] expected: EngineChoice,
--- a/tests/target_notices.rs
+++ b/tests/target_notices.rs
@@ -1,4 +1,5 @@
-//! What targets say of themselves: how it is read, how hosts join what they know, and how one host counts for all.
+//! Target notices: parsing of headers, merging between hosts, and the permits by which one host enforces a limit for
+//! all.
 
 use {
     coveproxy::{
@@ -6,9 +7,10 @@
         formats::{HeaderNames, TargetStart},
         request::{
             notices::{
-                LimitWord, NamedLimit, Notice, NoticeBook, NoticeHeaders, NoticeNews, TargetNotices,
+                AnnouncedLimit, LimitHeader, Notice, NoticeChange, NoticeHeaders, NoticeRegistry,
+                TargetNotices,
             },
-            permits::{PermitDesk, permit_giver},
+            permits::{PermitAllocator, permit_host},
         },
     },
     http::{HeaderMap, HeaderName, HeaderValue, StatusCode},
@@ -62,33 +64,33 @@
 }
 
 #[rstest]
-#[case::fraction(b"2.25", LimitWord::Rate(2.25))]
-#[case::zero(b"0", LimitWord::Rate(0.0))]
-#[case::blanks(b" 4 ", LimitWord::Rate(4.0))]
-#[case::empty(b"", LimitWord::Unknown)]
-#[case::negative(b"-1", LimitWord::Unknown)]
-#[case::no_number(b"NaN", LimitWord::Unknown)]
-#[case::infinite(b"1e400", LimitWord::Unknown)]
-#[case::words(b"two", LimitWord::Unknown)]
-#[case::long(&[b'1'; 10_000], LimitWord::Unknown)]
-#[case::not_ascii(b"2\xff", LimitWord::Unknown)]
+#[case::fraction(b"2.25", LimitHeader::Rate(2.25))]
+#[case::zero(b"0", LimitHeader::Rate(0.0))]
+#[case::blanks(b" 4 ", LimitHeader::Rate(4.0))]
+#[case::empty(b"", LimitHeader::Unknown)]
+#[case::negative(b"-1", LimitHeader::Unknown)]
+#[case::no_number(b"NaN", LimitHeader::Unknown)]
+#[case::infinite(b"1e400", LimitHeader::Unknown)]
+#[case::words(b"two", LimitHeader::Unknown)]
+#[case::long(&[b'1'; 10_000], LimitHeader::Unknown)]
+#[case::not_ascii(b"2\xff", LimitHeader::Unknown)]
 fn a_limit_is_read_or_left_aside(
     #[case] text: &[u8],
-    #[case] expected: LimitWord,
+    #[case] expected: LimitHeader,
 ) {
     let (notice, unreadable) = read(200, &[("limit", text)]);
     assert_eq!(notice.limit, expected);
-    assert_eq!(unreadable, usize::from(expected == LimitWord::Unknown));
+    assert_eq!(unreadable, usize::from(expected == LimitHeader::Unknown));
 }
 
 #[rstest]
-#[case::doubled(200, &[("limit", b"2".as_slice()), ("limit", b"3")], LimitWord::Unknown)]
-#[case::of_another_target(421, &[("limit", b"2".as_slice())], LimitWord::Unknown)]
-#[case::absent(200, &[], LimitWord::Absent)]
+#[case::doubled(200, &[("limit", b"2".as_slice()), ("limit", b"3")], LimitHeader::Unknown)]
+#[case::of_another_target(421, &[("limit", b"2".as_slice())], LimitHeader::Unknown)]
+#[case::absent(200, &[], LimitHeader::Absent)]
 fn what_can_not_be_gone_by_is_left_aside(
     #[case] status: u16,
     #[case] lines: &[(&'static str, &[u8])],
-    #[case] expected: LimitWord,
+    #[case] expected: LimitHeader,
 ) {
     assert_eq!(read(status, lines).0.limit, expected);
 }
@@ -96,20 +98,20 @@
 #[test]
 fn a_limit_ends_with_an_answer_that_names_none_and_lifts_slowly() {
     let begin = Instant::now();
-    let mut said = TargetNotices::new(None, begin);
+    let mut notices = TargetNotices::new(None, begin);
     let named = Notice {
-        limit: LimitWord::Rate(2.0),
+        limit: LimitHeader::Rate(2.0),
         ..Notice::default()
     };
-    let news = said.hear(&named, begin, begin + ms(10));
-    assert_eq!(news, [NoticeNews::Limited { rate: 2.0 }]);
-    // An answer to a request from before says nothing of it.
+    let changes = notices.record(&named, begin, begin + ms(10));
+    assert_eq!(changes, [NoticeChange::Limited { rate: 2.0 }]);
+    // The response to a request that was sent before the limit was announced.
     let absent = Notice::default();
-    assert_eq!(said.hear(&absent, begin, begin + ms(20)), []);
+    assert_eq!(notices.record(&absent, begin, begin + ms(20)), []);
     let over = begin + ms(1_000);
-    let news = said.hear(&absent, begin + ms(900), over);
-    assert_eq!(news, [NoticeNews::Unlimited { rate: 2.0 }]);
-    let rate = |at| said.limit.unwrap().rate_at(at);
+    let changes = notices.record(&absent, begin + ms(900), over);
+    assert_eq!(changes, [NoticeChange::Unlimited { rate: 2.0 }]);
+    let rate = |at| notices.limit.unwrap().rate_at(at);
     assert_eq!(rate(over), Some(2.0));
     assert_eq!(rate(over + ms(2_000)), Some(8.0));
     assert_eq!(rate(over + ms(6_000)), None);
@@ -118,104 +120,107 @@
 #[test]
 fn a_later_start_makes_void_what_an_earlier_one_said() {
     let now = Instant::now();
-    let mut book = NoticeBook::default();
+    let mut registry = NoticeRegistry::default();
     let start = |ms| Some(TargetStart::from_unix_ms(ms));
-    let leaves = Notice {
-        leaves: true,
+    let leaving = Notice {
+        leaving: true,
         ..Notice::default()
     };
-    book.hear("t", start(5), &leaves, now, now);
-    assert!(book.leaves("t", start(5)));
-    assert!(!book.leaves("t", start(6)));
+    registry.record("t", start(5), &leaving, now, now);
+    assert!(registry.is_leaving("t", start(5)));
+    assert!(!registry.is_leaving("t", start(6)));
     let named = Notice {
-        limit: LimitWord::Rate(1.0),
+        limit: LimitHeader::Rate(1.0),
         ..Notice::default()
     };
-    book.hear("t", start(6), &named, now, now);
-    assert!(!book.leaves("t", start(6)));
-    // News of the earlier start comes late.
+    registry.record("t", start(6), &named, now, now);
+    assert!(!registry.is_leaving("t", start(6)));
+    // An update of the earlier start arrives late.
     let late = TargetNotices {
-        leaves: true,
+        leaving: true,
         ..TargetNotices::new(start(5), now)
     };
-    assert!(!book.take("t", &late, now));
-    assert!(!book.leaves("t", start(6)));
-    assert!(book.get("t", start(6)).unwrap().limit.is_some());
+    assert!(!registry.merge("t", &late, now));
+    assert!(!registry.is_leaving("t", start(6)));
+    assert!(registry.get("t", start(6)).unwrap().limit.is_some());
 }
 
-/// News of one start of a target, as hosts tell it to one another.
-fn any_news(begin: Instant) -> impl Strategy<Value = TargetNotices> {
+/// Updates of one start of a target, as hosts exchange them.
+fn any_update(begin: Instant) -> impl Strategy<Value = TargetNotices> {
     let limit = (0u64..20, 0u32..4, any::<bool>());
-    (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaves, limit)| TargetNotices {
-        leaves,
-        limit: limit.map(|(told, rate, ended)| NamedLimit {
+    (any::<bool>(), proptest::option::of(limit)).prop_map(move |(leaving, limit)| TargetNotices {
+        leaving,
+        limit: limit.map(|(reported_at, rate, ended)| AnnouncedLimit {
             rate: f64::from(rate),
-            told: begin + ms(told),
+            reported_at: begin + ms(reported_at),
             ended,
         }),
         ..TargetNotices::new(None, begin)
     })
 }
 
-/// Each answer of a target in need names its limit again, and each ask for leave says when it was last named: told on to all as
-/// news, every request to one target would be a message to every host.
+/// Each response of a limited target and each permit request confirms the limit: were that an update, every request to
+/// a target would cause a message to every host.
 #[test]
 fn that_a_target_says_the_same_still_is_no_news() {
     let begin = Instant::now();
-    let mut book = NoticeBook::default();
+    let mut registry = NoticeRegistry::default();
     let named = |at: Instant, rate: f64| TargetNotices {
-        limit: Some(NamedLimit {
+        limit: Some(AnnouncedLimit {
             rate,
-            told: at,
+            reported_at: at,
             ended: false,
         }),
         ..TargetNotices::new(None, at)
     };
-    assert!(book.take("t", &named(begin, 2.0), begin));
+    assert!(registry.merge("t", &named(begin, 2.0), begin));
     let later = begin + ms(700);
-    assert!(!book.take("t", &named(later, 2.0), later));
-    assert_eq!(book.get("t", None).unwrap().limit.unwrap().told, later);
-    assert!(book.take("t", &named(later + ms(1), 1.0), later + ms(1)));
+    assert!(!registry.merge("t", &named(later, 2.0), later));
+    assert_eq!(
+        registry.get("t", None).unwrap().limit.unwrap().reported_at,
+        later
+    );
+    assert!(registry.merge("t", &named(later + ms(1), 1.0), later + ms(1)));
 }
 
 proptest! {
-    /// Order, repetition and detours of news don't matter.
+    /// Updates may arrive in any order and more than once.
     #[test]
     fn hosts_that_have_heard_the_same_news_know_the_same(
-        (news, order) in {
+        (updates, order) in {
             let begin = Instant::now();
-            proptest::collection::vec(any_news(begin), 1..8)
-                .prop_flat_map(|news| {
-                    let repeated: Vec<usize> = (0..news.len()).chain(0..news.len()).collect();
-                    (Just(news), Just(repeated).prop_shuffle())
+            proptest::collection::vec(any_update(begin), 1..8)
+                .prop_flat_map(|updates| {
+                    let repeated: Vec<usize> = (0..updates.len()).chain(0..updates.len()).collect();
+                    (Just(updates), Just(repeated).prop_shuffle())
                 })
         },
     ) {
-        let begin = news[0].heard;
+        let begin = updates[0].updated_at;
         let mut straight = TargetNotices::new(None, begin);
-        for told in &news {
-            straight.join(told);
+        for update in &updates {
+            straight.merge(update);
         }
         let mut shuffled = TargetNotices::new(None, begin);
         for at in order {
-            shuffled.join(&news[at]);
+            shuffled.merge(&updates[at]);
         }
         prop_assert_eq!(straight.limit, shuffled.limit);
-        prop_assert_eq!(straight.leaves, shuffled.leaves);
+        prop_assert_eq!(straight.leaving, shuffled.leaving);
     }
 }
 
-/// Hosts that send to one target for as long as callers ask for more than it takes.
-struct Crowd {
+/// Hosts that send more to one target than it accepts.
+struct Overload {
     rng: StdRng,
     rate: f64,
-    /// Each host: when it may ask again.
+    /// When each host may retry.
     hosts: Vec<Instant>,
-    desk: PermitDesk,
+    allocator: PermitAllocator,
     sent: Vec<Instant>,
 }
 
-impl Crowd {
+impl Overload {
     fn new(
         seed: u64,
         hosts: usize,
@@ -226,13 +231,13 @@
             rng: StdRng::seed_from_u64(seed),
             rate,
             hosts: vec![begin; hosts],
-            desk: PermitDesk::default(),
+            allocator: PermitAllocator::default(),
             sent: Vec::new(),
         }
     }
 
-    /// Plays some seconds, a request at one of the hosts each few milliseconds; at these times another host counts.
-    fn play(
+    /// Simulates a request at a random host every 5 ms; at the times in `changes` another host takes over the counting.
+    fn run(
         &mut self,
         begin: Instant,
         seconds: u64,
@@ -242,21 +247,21 @@
         for step in 0..seconds * 200 {
             let passed = ms(step * 5);
             if changes.next_if(|at| **at <= passed).is_some() {
-                self.desk = PermitDesk::default();
+                self.allocator = PermitAllocator::default();
             }
             let now = begin + passed;
             let host = self.rng.random_range(0..self.hosts.len());
             if self.hosts[host] > now {
                 continue;
             }
-            match self.desk.ask("t", None, self.rate, now) {
+            match self.allocator.request("t", None, self.rate, now) {
                 Ok(()) => self.sent.push(now),
-                Err(pause) => self.hosts[host] = now + pause,
+                Err(delay) => self.hosts[host] = now + delay,
             }
         }
     }
 
-    fn most_in(
+    fn max_in(
         &self,
         window: Duration,
     ) -> usize {
@@ -268,8 +273,8 @@
     }
 }
 
-/// One host counts for all: nine tenths of a limit are used while callers ask for more, and it is not exceeded by more than
-/// half, plus five, in four seconds, whoever counts.
+/// Under excess load at least nine tenths of a limit are used, and no window of 4 s exceeds it by more than half plus
+/// five, also when the counting host changes.
 #[rstest]
 fn a_limit_is_used_and_kept(
     #[values(6, 24, 195, 380)] hosts: usize,
@@ -278,36 +283,36 @@
     #[values(&[], &[ms(7_000), ms(7_500), ms(9_000), ms(20_000)])] changes: &[Duration],
 ) {
     let begin = Instant::now();
-    let mut crowd = Crowd::new(seed, hosts, rate, begin);
+    let mut load = Overload::new(seed, hosts, rate, begin);
     let seconds = 60;
-    crowd.play(begin, seconds, changes);
+    load.run(begin, seconds, changes);
     let allowed = 1.5 * rate * 4.0 + 5.0;
-    let most = crowd.most_in(ms(4_000));
-    assert!(most as f64 <= allowed, "{most} of {allowed}");
+    let max = load.max_in(ms(4_000));
+    assert!(max as f64 <= allowed, "{max} of {allowed}");
     if changes.is_empty() {
-        let used = crowd.sent.len() as f64;
-        let least = 0.9 * rate * seconds as f64;
-        assert!(used >= least, "{used} of {least}");
+        let used = load.sent.len() as f64;
+        let min = 0.9 * rate * seconds as f64;
+        assert!(used >= min, "{used} of {min}");
     }
 }
 
-/// All hosts name the same one to count, and one that goes changes that only for the targets it counted.
+/// All hosts choose the same counting host, and a host that leaves changes that only for the targets that it counted.
 #[test]
 fn hosts_agree_on_who_counts() {
     let hosts: Vec<SocketAddr> = (1..=20)
         .map(|at| SocketAddr::from(([10, 0, 0, at], 7_000)))
         .collect();
     let gone = hosts[7];
-    let rest: Vec<SocketAddr> = hosts.iter().copied().filter(|host| *host != gone).collect();
+    let remaining: Vec<SocketAddr> = hosts.iter().copied().filter(|host| *host != gone).collect();
     let mut counted = 0;
     for target in 0..200 {
         let target = format!("i-{target}");
-        let giver = permit_giver(&target, hosts.iter().copied()).unwrap();
-        let reversed = permit_giver(&target, hosts.iter().rev().copied()).unwrap();
-        assert_eq!(giver, reversed);
-        let after = permit_giver(&target, rest.iter().copied()).unwrap();
-        assert!(giver == gone || giver == after);
-        counted += usize::from(giver == gone);
+        let counting_host = permit_host(&target, hosts.iter().copied()).unwrap();
+        let reversed = permit_host(&target, hosts.iter().rev().copied()).unwrap();
+        assert_eq!(counting_host, reversed);
+        let after = permit_host(&target, remaining.iter().copied()).unwrap();
+        assert!(counting_host == gone || counting_host == after);
+        counted += usize::from(counting_host == gone);
     }
     assert!((2..30).contains(&counted), "{counted}");
 }
--- a/tests/target_board.rs
+++ b/tests/target_table.rs
@@ -1,4 +1,4 @@
-//! What this host tells the holders of engines of its own requests.
+//! The table of targets: usage reports to holders, adapter placement, staleness bounds, restarts of targets.
 
 use {
     coveproxy::{
@@ -6,8 +6,8 @@
         connection::{
             datagram::{Placement, PlacementState, Usage},
             targets::{
-                AdapterAsk, BeliefBounds, BoardSettings, Confirmation, ControlRequest, FleetView,
-                RequestTokens, TableConfirmation, TargetBoard, TargetView,
+                AdapterRequest, ControlRequest, FleetView, ReplicaFreshness, RequestTokens,
+                StalenessBounds, TableFreshness, TargetTable, TargetTableSettings, TargetView,
             },
         },
         formats::{HeldAdapter, HeldModel, TargetRecord, TargetStart, TargetState},
@@ -67,32 +67,32 @@
 }
 
 struct World {
-    board: TargetBoard,
-    told: flume::Receiver<ControlRequest>,
+    table: TargetTable,
+    sent: flume::Receiver<ControlRequest>,
     now: Instant,
 }
 
 impl World {
     fn new(holder: Option<SocketAddr>) -> Self {
-        let (control, told) = flume::unbounded();
-        let settings = BoardSettings {
+        let (control, sent) = flume::unbounded();
+        let settings = TargetTableSettings {
             budget_window: ms(10_000),
             budget_ratio: 0.2,
             budget_extra: 50.0,
             first_start: false,
             policy: Policy::default(),
-            bounds: BeliefBounds {
+            bounds: StalenessBounds {
                 declared: ms(3_000),
                 revoke: Duration::from_secs(5),
                 targets: ms(2_000),
                 version: ms(5_000),
             },
         };
-        let mut board = TargetBoard::new(settings, control);
-        board.set_view(view(holder));
+        let mut table = TargetTable::new(settings, control);
+        table.set_view(view(holder));
         Self {
-            board,
-            told,
+            table,
+            sent,
             now: Instant::now(),
         }
     }
@@ -102,27 +102,27 @@
             all: 100,
             prompt: 80,
         };
-        self.board.start_request(ENGINE, Some("m0/a1"), tokens);
+        self.table.start_request(ENGINE, Some("m0/a1"), tokens);
     }
 
-    /// What the holders are told within some periods of reports.
+    /// Returns the usage reports sent to holders within some report intervals.
     fn reports(
         &mut self,
         periods: usize,
     ) -> Vec<(SocketAddr, Usage)> {
         for _ in 0..periods {
             self.now += ms(150);
-            self.board.report_usage(self.now);
+            self.table.report_usage(self.now);
         }
         let usage = |request| match request {
-            ControlRequest::Usage { holder, usage } => Some((holder, usage)),
+            ControlRequest::ReportUsage { holder, usage } => Some((holder, usage)),
             _ => None,
         };
-        self.told.drain().filter_map(usage).collect()
+        self.sent.drain().filter_map(usage).collect()
     }
 }
 
-/// A holder that started anew would else drop adapters that are in use.
+/// Guards against a new holder that evicts adapters in use because it knows of no requests.
 #[rstest]
 #[case::first_holder(None)]
 #[case::another_holder(Some(holder(1)))]
@@ -130,7 +130,7 @@
     let mut world = World::new(before);
     world.start_request();
     world.reports(3);
-    world.board.set_view(view(Some(holder(2))));
+    world.table.set_view(view(Some(holder(2))));
     let reports = world.reports(1);
     let (to, usage) = &reports[0];
     assert_eq!(*to, holder(2));
@@ -138,7 +138,7 @@
     assert_eq!(usage.adapters[0].in_flight, 1);
 }
 
-/// A holder whose process was replaced at the same address is not seen to change.
+/// Guards against a holder that restarts at the same address, which looks unchanged, and knows of no requests.
 #[test]
 fn a_holder_is_told_again_while_requests_run() {
     let mut world = World::new(Some(holder(1)));
@@ -159,8 +159,9 @@
     assert!(world.reports(20).is_empty());
 }
 
-/// Places at which an adapter may settle on a site of so many hosts, when `held` engines have a holder.
-fn settling(
+/// Returns the numbers of the engines preferred for an adapter, on a site of `hosts` hosts where the `held` engines
+/// have a holder.
+fn preferred_engines(
     hosts: usize,
     held: impl Fn(usize) -> bool,
 ) -> Vec<usize> {
@@ -168,17 +169,17 @@
     let engines = (0..12).map(|at| (format!("e{at:02}"), held(at).then(|| holder(1))));
     let mut view = view_of(engines);
     Arc::get_mut(&mut view).unwrap().hosts = hosts;
-    world.board.set_view(view);
+    world.table.set_view(view);
     let order = world
-        .board
-        .settle_order("models", "m0/a1", 3, Instant::now());
+        .table
+        .placement_order("models", "m0/a1", 3, Instant::now());
     let number = |id: &Arc<str>| id[1..].parse().unwrap();
     order.iter().map(number).collect()
 }
 
 #[test]
 fn adapters_settle_where_somebody_can_load_them() {
-    let order = settling(3, |at| at % 3 == 0);
+    let order = preferred_engines(3, |at| at % 3 == 0);
     assert_eq!(order.len(), 3);
     assert!(order.iter().all(|at| at % 3 == 0), "{order:?}");
 }
@@ -187,12 +188,12 @@
 #[case::without_any_holder(3, false)]
 #[case::on_a_large_site(100, false)]
 #[case::with_all_holders(3, true)]
-fn the_places_are_as_ever(
+fn preferred_engines_do_not_depend_on_holders(
     #[case] hosts: usize,
     #[case] held: bool,
 ) {
-    let order = settling(hosts, |at| held || hosts > 3 && at % 3 == 0);
-    assert_eq!(order, settling(3, |_| true));
+    let order = preferred_engines(hosts, |at| held || hosts > 3 && at % 3 == 0);
+    assert_eq!(order, preferred_engines(3, |_| true));
 }
 
 #[test]
@@ -209,16 +210,16 @@
         hosts: 3,
         ..FleetView::default()
     };
-    world.board.set_view(Arc::new(view));
+    world.table.set_view(Arc::new(view));
     let order = world
-        .board
-        .settle_order("models", "m0/a1", 3, Instant::now());
-    let full = world.board.engines_of("models");
+        .table
+        .placement_order("models", "m0/a1", 3, Instant::now());
+    let full = world.table.engines_of("models");
     assert_eq!(full.len(), 4);
     assert!(order.len() == 3 && order.iter().all(|engine| full.contains(engine)));
 }
 
-/// The next host may choose the same engine a moment later, on a small site too.
+/// Guards against late reports: other hosts would choose the same engine, on a small site too.
 #[test]
 fn a_send_is_told_at_once() {
     let mut world = World::new(Some(holder(1)));
@@ -228,8 +229,7 @@
     assert_eq!(reports[0].1.unread_tokens, 80);
 }
 
-/// Sends stop some time before the bound, so that the last one arrives within it; a host that the store
-/// does not answer goes on.
+/// Guards against requests that arrive after the staleness bound; during an outage of the store, sends go on.
 #[rstest]
 #[case::young(Some(1_000), false, true)]
 #[case::near_the_bound(Some(1_900), false, false)]
@@ -242,48 +242,54 @@
     #[case] allowed: bool,
 ) {
     let mut world = World::new(None);
-    let targets = TableConfirmation {
-        right_at: age_ms.map(|_| world.now),
+    let targets = TableFreshness {
+        confirmed_at: age_ms.map(|_| world.now),
         store_failed,
     };
-    world.board.set_confirmation(Confirmation {
+    world.table.set_freshness(ReplicaFreshness {
         targets,
-        ..Confirmation::default()
+        ..ReplicaFreshness::default()
     });
     let now = world.now + ms(age_ms.unwrap_or(0));
-    assert_eq!(world.board.allows_sends(now), allowed);
+    assert_eq!(world.table.can_send(now), allowed);
     assert!(
-        world.board.allows_routing(now),
-        "the other table says nothing"
+        world.table.can_route(now),
+        "the configuration has a bound of its own"
     );
 }
 
 #[test]
 fn ages_are_told_of_once_a_second_if_they_come_near_their_bounds() {
     let mut world = World::new(None);
-    let right_at = world.now;
-    let targets = TableConfirmation {
-        right_at: Some(right_at),
+    let confirmed_at = world.now;
+    let targets = TableFreshness {
+        confirmed_at: Some(confirmed_at),
         store_failed: false,
     };
-    world.board.set_confirmation(Confirmation {
+    world.table.set_freshness(ReplicaFreshness {
         targets,
-        ..Confirmation::default()
+        ..ReplicaFreshness::default()
     });
-    world.board.note_sent(right_at + ms(400));
-    assert_eq!(world.board.largest_ages(right_at + ms(1_100)), None);
-    world.board.note_sent(right_at + ms(1_500));
-    world.board.note_sent(right_at + ms(1_300));
-    let told = world.board.largest_ages(right_at + ms(2_200)).unwrap();
-    assert_eq!(told.targets, ms(1_500));
+    world.table.record_send_staleness(confirmed_at + ms(400));
     assert_eq!(
-        world.board.largest_ages(right_at + ms(3_400)),
+        world.table.take_max_staleness(confirmed_at + ms(1_100)),
+        None
+    );
+    world.table.record_send_staleness(confirmed_at + ms(1_500));
+    world.table.record_send_staleness(confirmed_at + ms(1_300));
+    let largest = world
+        .table
+        .take_max_staleness(confirmed_at + ms(2_200))
+        .unwrap();
+    assert_eq!(largest.targets, ms(1_500));
+    assert_eq!(
+        world.table.take_max_staleness(confirmed_at + ms(3_400)),
         None,
-        "told once"
+        "reported once"
     );
 }
 
-/// Failures, connections, loads and adapters were those of the earlier start.
+/// Guards against failures, loads and adapters that are carried over to a target's new incarnation.
 #[test]
 fn a_target_that_starts_anew_is_known_as_if_just_listed() {
     let mut world = World::new(Some(holder(1)));
@@ -311,28 +317,28 @@
             ..FleetView::default()
         })
     };
-    world.board.set_view(started(1, &["a1", "a2"]));
+    world.table.set_view(started(1, &["a1", "a2"]));
     world.start_request();
-    let link = world.board.links.get_mut(ENGINE).unwrap();
+    let link = world.table.links.get_mut(ENGINE).unwrap();
     link.health.on_failure(world.now);
     link.others_in_flight = 5;
-    world.board.set_view(started(1, &["a1", "a2"]));
-    let link = &world.board.links[ENGINE];
+    world.table.set_view(started(1, &["a1", "a2"]));
+    let link = &world.table.links[ENGINE];
     assert_eq!(link.running(), 6, "the same start");
-    assert!(world.board.adapters.get("m0/a2", ENGINE).is_some());
-    world.board.set_view(started(2, &["a1"]));
-    let link = &world.board.links[ENGINE];
+    assert!(world.table.adapters.get("m0/a2", ENGINE).is_some());
+    world.table.set_view(started(2, &["a1"]));
+    let link = &world.table.links[ENGINE];
     assert_eq!(link.running(), 0);
-    assert_eq!(link.avoided_for(world.now), Duration::ZERO);
-    assert!(world.board.adapters.get("m0/a1", ENGINE).is_some());
-    assert!(world.board.adapters.get("m0/a2", ENGINE).is_none());
+    assert_eq!(link.remaining_backoff(world.now), Duration::ZERO);
+    assert!(world.table.adapters.get("m0/a1", ENGINE).is_some());
+    assert!(world.table.adapters.get("m0/a2", ENGINE).is_none());
     let reports = world.reports(1);
-    let (_, usage) = reports.last().expect("the holder hears that nothing runs");
+    let (_, usage) = reports.last().expect("a report that nothing runs");
     assert_eq!((usage.in_flight, usage.adapters.len()), (0, 0));
 }
 
-/// Requests waited for a new version while the old one could have served them: once its holder had been asked for the
-/// new one and had no place for it, the old copy was forgotten.
+/// Guards against an old copy that is forgotten once a newer version is requested: requests would wait for the new one
+/// although the old one could serve them.
 #[rstest]
 #[case::not_answered_yet(None, Some(1))]
 #[case::no_place(Some((2, PlacementState::Full)), Some(1))]
@@ -352,35 +358,34 @@
         ..Placement::default()
     };
     let old = placement((1, PlacementState::Ready));
-    world.board.on_placement(&old, world.now);
-    let ask = AdapterAsk {
+    world.table.on_placement(&old, world.now);
+    let request = AdapterRequest {
         adapter: "m0/a1",
         target: ENGINE,
         version: 2,
         spare: false,
-        patience: ms(500),
+        max_load_time: ms(500),
     };
-    assert!(world.board.ask(&ask, world.now));
+    assert!(world.table.request_adapter(&request, world.now));
     if let Some(answer) = answer {
-        world.board.on_placement(&placement(answer), world.now);
+        world.table.on_placement(&placement(answer), world.now);
     }
-    let copy = world.board.adapters.get("m0/a1", ENGINE).unwrap();
+    let copy = world.table.adapters.get("m0/a1", ENGINE).unwrap();
     assert_eq!(copy.held(), held);
 }
 
-/// Targets are put together by service only when one has changed; one that has moved, come or gone must
-/// not be missed.
+/// Guards against targets that are grouped under an old service: groups are rebuilt only when a target has changed.
 #[test]
 fn targets_that_change_are_found_under_their_service() {
     let mut world = World::new(None);
-    let ids = |board: &TargetBoard, service: &str| -> Vec<String> {
-        let targets = board.targets_of(service).iter();
+    let ids = |table: &TargetTable, service: &str| -> Vec<String> {
+        let targets = table.targets_of(service).iter();
         targets.map(|target| target.id.to_string()).collect()
     };
     world
-        .board
+        .table
         .set_view(view_of(["a", "b"].map(|id| (id.to_string(), None))));
-    assert_eq!(ids(&world.board, "models"), ["a", "b"]);
+    assert_eq!(ids(&world.table, "models"), ["a", "b"]);
     let mut moved = target("b", None);
     Arc::get_mut(&mut moved.record).unwrap().service = "others".to_string();
     let targets = [target("c", None), moved].map(|view| (view.record.id.clone(), Arc::new(view)));
@@ -389,7 +394,7 @@
         hosts: 3,
         ..FleetView::default()
     };
-    world.board.set_view(Arc::new(view));
-    assert_eq!(ids(&world.board, "models"), ["c"]);
-    assert_eq!(ids(&world.board, "others"), ["b"]);
+    world.table.set_view(Arc::new(view));
+    assert_eq!(ids(&world.table, "models"), ["c"]);
+    assert_eq!(ids(&world.table, "others"), ["b"]);
 }
