--- a/src/process/tables/mod.rs
+++ b/src/process/tables/mod.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's tables: how new they are, and whose turn it is to read.
+//! In-memory replicas of the store's tables, and the schedule of reads from the store.
 
 mod read_schedule;
 mod table_changes;
--- a/src/process/tables/read_schedule.rs
+++ b/src/process/tables/read_schedule.rs
@@ -1,39 +1,37 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// A host that starts leaves others this time to hand it their copies, before it reads itself.
+/// After its start, a host waits this long for a replica from another host before it reads the store.
 const FIRST_WAIT: Duration = Duration::from_millis(150);
 
-/// Hosts that start at once read for the first time one after the other, so far apart.
+/// Added to the delay of the first read for each rank, to spread hosts that start together.
 const FIRST_STEP: Duration = Duration::from_millis(25);
 
-/// Steps that a host waits at the most before its first read.
+/// Ranks above this one delay the first read no further.
 const MOST_FIRST_STEPS: u32 = 12;
 
-/// While reads fail, the first reader's pause is as given; the pause of each further host is longer by
-/// this share of it. When the store is out for all, somebody looks for it every half bound, and tells
-/// the others when it is back. In an outage of 8 s 195 hosts make 268 calls for each table; with equal
-/// pauses they made 975 (a test plays it).
+/// Share of the backoff that is added for each rank, to limit the calls of a large site while the
+/// store is unavailable.
 const RETRY_STEP: f64 = 0.25;
 
-/// How often tables are read, and how long others wait before they read themselves.
+/// Staleness limits and retry backoffs of the reads of one table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadTimings {
-    /// The first reader lets its copy get so old before it reads again.
+    /// Staleness at which the host of rank 0 reads.
     pub period: Duration,
-    /// Each further host waits so much longer.
+    /// Added to that staleness for each further rank.
     pub step: Duration,
-    /// No host waits longer than this.
+    /// Staleness at which every host reads.
     pub most: Duration,
-    /// First pause after a failed read; it doubles with each further one.
+    /// Backoff after the first failed read; doubles with each further failure.
     pub retry: Duration,
-    /// The first reader pauses for no longer than this.
+    /// Upper limit of the backoff at rank 0.
     pub most_retry: Duration,
-    /// No host pauses longer than this.
+    /// Upper limit of the backoff at any rank.
     pub longest_retry: Duration,
 }
 
 impl ReadTimings {
-    /// Timings that keep every copy younger than `bound`, with room for one read that fails.
+    /// Returns timings that keep staleness below `bound` even if one read fails.
     pub fn within(bound: Duration) -> Self {
         Self {
             period: bound.mul_f64(0.30),
@@ -48,17 +46,17 @@
 
 /// Decides when this host reads a table from the store.
 ///
-/// The hosts that answer are in an order that all agree on. The first reads each period and tells
-/// the others; a further one reads when what it was told has got too old for its place in the order.
+/// All hosts agree on a ranking of the live hosts. The host of rank 0 reads at a fixed interval and
+/// forwards the changes; each other host reads only when its replica is staler than its rank allows.
 #[derive(Debug)]
 pub struct ReadSchedule {
     timings: ReadTimings,
     started: Instant,
     reading: bool,
     failures: u32,
-    /// When the last read failed, if none has succeeded since.
+    /// When the last read failed; `None` if it succeeded.
     failed_at: Option<Instant>,
-    /// The first read, if no other host can hand a copy over.
+    /// Earliest time of the first read once it is known that no other host has a replica.
     no_copy_read: Option<Instant>,
 }
 
@@ -77,7 +75,7 @@
         }
     }
 
-    /// No other host has a copy to hand over: the first read is at `at`, if not before.
+    /// Moves the first read forward to `at`, as no other host has a replica. Later calls have no effect.
     pub fn on_no_copy(
         &mut self,
         at: Instant,
@@ -85,7 +83,7 @@
         self.no_copy_read.get_or_insert(at);
     }
 
-    /// True if this host should read now; it must say later how that ended.
+    /// Returns true if a read is due and marks it as running until `on_end` is called.
     pub fn start(
         &mut self,
         age: Option<Duration>,
@@ -105,7 +103,7 @@
         due
     }
 
-    /// The read ended.
+    /// Records the outcome of the running read.
     pub fn on_end(
         &mut self,
         succeeded: bool,
@@ -121,17 +119,17 @@
         self.failed_at = Some(now);
     }
 
-    /// Reads that failed since the last one that succeeded.
+    /// Returns the number of failed reads since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// When the last read failed, if none has succeeded since.
+    /// Returns when the last read failed, or `None` if it succeeded.
     pub fn failed_at(&self) -> Option<Instant> {
         self.failed_at
     }
 
-    /// Pause after the last read that failed.
+    /// Returns the exponential backoff after the last failed read.
     fn pause(
         &self,
         place: u32,
@@ -143,6 +141,7 @@
         in_turn.min(self.timings.longest_retry)
     }
 
+    /// Returns when the first read is due.
     fn first_read(
         &self,
         place: u32,
@@ -151,6 +150,7 @@
         self.no_copy_read.map_or(in_turn, |at| at.min(in_turn))
     }
 
+    /// Returns the staleness at which a host of this rank reads.
     fn limit(
         &self,
         place: u32,
--- a/src/process/tables/table_changes.rs
+++ b/src/process/tables/table_changes.rs
@@ -3,20 +3,20 @@
     formats::{Row, bytes_of},
 };
 
-/// Rows that changed, or all rows, to be passed on to another host.
+/// Changed rows or a full snapshot of a table, for transfer to another host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableChanges {
     pub rows: Vec<Row>,
-    /// The copy is as of this version.
+    /// Store version of the sender's replica.
     pub version: u64,
-    /// Stands for the meaning of all its rows.
+    /// Digest of the sender's replica.
     pub digest: u64,
-    /// `rows` is the whole table; what it does not name is gone.
+    /// `rows` is the full table; rows missing from it are deleted.
     pub whole: bool,
 }
 
 impl TableChanges {
-    /// Bytes of all values in it.
+    /// Returns the size of all values in bytes.
     pub fn bytes(&self) -> usize {
         bytes_of(&self.rows)
     }
--- a/src/process/tables/table_copy.rs
+++ b/src/process/tables/table_copy.rs
@@ -8,64 +8,63 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Rows that are gone and still remembered, at the most.
+/// Maximum number of retained tombstones (rows without a value).
 const MAX_GONE: usize = 256;
 
-/// How another host's copy stands against this one.
+/// Result of comparing another host's replica with this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
-    /// Both mean the same.
+    /// Both have the same digest.
     Same,
-    /// The other one is newer.
+    /// The other replica is newer.
     Newer,
-    /// This one is newer.
+    /// The other replica is older.
     Older,
 }
 
-/// A row with what it means here, in short.
 #[derive(Debug, Clone)]
 struct KeptRow {
     row: Row,
-    /// Equal for two values of a row that mean the same here.
+    /// Equal for equivalent values of a row.
     fingerprint: u64,
 }
 
-/// A copy of one table of the store, which never goes back to an older version.
+/// A replica of one table of the store. Its version never decreases.
 #[derive(Debug, Default)]
 pub struct TableCopy {
     rows: BTreeMap<Arc<str>, KeptRow>,
-    /// The copy holds every change up to this version of the store.
+    /// The replica holds every change up to this version of the store.
     version: u64,
-    /// Sum over the fingerprints of the rows that are there: equal for copies that mean the same.
+    /// Sum of the digests of all rows; equal for equivalent replicas.
     digest: u64,
-    /// The copy was right at this time; `None` before the first read.
+    /// When the replica was last known to match the store; `None` before the first read.
     as_of: Option<Instant>,
-    /// Changes at or before this version may have been forgotten.
+    /// Deletions up to this version may be missing from the tombstones.
     floor: u64,
 }
 
 impl TableCopy {
-    /// The version to ask for changes since; 0 before the first read.
+    /// Returns the store version of the replica; 0 before the first read.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Stands for the meaning of all rows.
+    /// Returns the digest of all rows; equal for equivalent replicas.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// True once the table has been read.
+    /// Returns true once the table has been read.
     pub fn is_known(&self) -> bool {
         self.as_of.is_some()
     }
 
-    /// When the copy was last known to be right; `None` before the first read.
+    /// Returns when the replica was last known to match the store; `None` before the first read.
     pub fn right_at(&self) -> Option<Instant> {
         self.as_of
     }
 
-    /// Time since the copy was known to be right.
+    /// Returns the time since the replica was known to match the store; `None` before the first read.
     pub fn age(
         &self,
         now: Instant,
@@ -73,15 +72,16 @@
         self.as_of.map(|at| now.saturating_duration_since(at))
     }
 
-    /// The rows that are there.
+    /// Returns the rows that have a value.
     pub fn rows(&self) -> impl Iterator<Item = &Row> {
         let rows = self.rows.values().map(|kept| &kept.row);
         rows.filter(|row| row.value.is_some())
     }
 
-    /// Takes in changes that were asked for at `asked`; gives the rows that matter.
+    /// Applies changes that were requested from the store at `asked`; returns the rows whose meaning
+    /// changed.
     ///
-    /// `fingerprint` is equal for two values of a row that mean the same.
+    /// `fingerprint` is equal for equivalent values of a row.
     pub fn apply_changes(
         &mut self,
         batch: RowBatch,
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Takes in the whole table, as asked for at `asked`; gives the rows that matter.
+    /// Applies a snapshot that was requested from the store at `asked`; returns the rows whose meaning
+    /// changed.
     pub fn apply_whole(
         &mut self,
         batch: RowBatch,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// A read that was asked for at `asked` confirms this copy, unless the copy is newer.
+    /// Records a read requested at `asked`; returns false if it is older than the replica.
     fn accept(
         &mut self,
         batch: &RowBatch,
@@ -120,7 +121,7 @@
         true
     }
 
-    /// Puts all rows of a table in place of those that are there.
+    /// Replaces all rows; returns those whose meaning changed.
     fn put_whole(
         &mut self,
         batch: RowBatch,
@@ -137,7 +138,8 @@
                 value: None,
             })
             .collect();
-        // Where this copy differs although its row is no older, it missed something in between.
+        // A row that differs although its version is not older missed a change: it takes the version
+        // of the snapshot, so that it is replaced.
         let rows = batch.rows.into_iter().map(|row| {
             let print = print_of(&row, fingerprint);
             let old = self.rows.get(&row.key);
@@ -153,8 +155,8 @@
         self.put_all(rows, fingerprint)
     }
 
-    /// Takes in what another host told of its copy, which was right at `as_of`; gives the rows that
-    /// matter, and whether both copies now mean the same. If not, the whole table must be asked for.
+    /// Applies changes from another host, whose replica matched the store at `as_of`; returns the rows
+    /// whose meaning changed and whether the digests now agree. If not, a full snapshot is required.
     pub fn apply_from_host(
         &mut self,
         changes: TableChanges,
@@ -182,8 +184,8 @@
         (changed, same)
     }
 
-    /// Another host's copy stands at this version, has this digest and was right at `as_of`. If both
-    /// mean the same, this copy was right then, too.
+    /// Compares with another host's replica, which matched the store at `as_of`. If the digests agree,
+    /// this replica matched the store then as well.
     pub fn compare(
         &mut self,
         version: u64,
@@ -200,7 +202,7 @@
         }
     }
 
-    /// What has changed since `version`, for another host.
+    /// Returns the changes since `version`, or a full snapshot if they are no longer available.
     pub fn changes_since(
         &self,
         version: u64,
@@ -219,6 +221,7 @@
         }
     }
 
+    /// Advances the version and the time of confirmation.
     fn confirm(
         &mut self,
         version: u64,
@@ -228,7 +231,7 @@
         self.as_of = self.as_of.max(Some(asked));
     }
 
-    /// Puts rows in place of older ones; gives those that matter.
+    /// Replaces older rows; returns those whose meaning changed.
     fn put_all(
         &mut self,
         rows: Vec<Row>,
@@ -244,7 +247,7 @@
         changed
     }
 
-    /// Puts a row in place of an older one; true if that matters.
+    /// Replaces an older row; returns true if its meaning changed.
     fn put(
         &mut self,
         row: &Row,
@@ -273,7 +276,7 @@
         true
     }
 
-    /// Drops the oldest rows that are gone.
+    /// Evicts the older half of the tombstones when there are more than the maximum.
     fn forget_gone(&mut self) {
         let mut gone: Vec<u64> = self
             .rows
@@ -292,7 +295,7 @@
     }
 }
 
-/// What a row adds to the digest.
+/// Returns the contribution of a row to the digest; 0 for a tombstone.
 fn print_of(
     row: &Row,
     fingerprint: &impl Fn(&Row) -> u64,
--- a/tests/table_copy.rs
+++ b/tests/table_copy.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's tables: how they follow the store and one another.
+//! Replicas of the store's tables: updates from the store and from other hosts, and the read schedule.
 
 use {
     coveproxy::{
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// Only what stands before a comma matters.
+/// Values are equivalent if they are equal up to the first comma.
 fn fingerprint(row: &Row) -> u64 {
     let value = row.value.as_deref().unwrap_or_default();
     let end = value.iter().position(|byte| *byte == b',');
@@ -71,7 +71,7 @@
     );
     assert!(copy.apply_whole(stale, later, fingerprint).is_empty());
     assert_eq!(values(&copy)["a"], "x");
-    // A stale answer confirms nothing either.
+    // A stale reply does not count as a confirmation.
     assert_eq!(copy.age(later), Some(ms(500)));
 }
 
@@ -128,8 +128,8 @@
     assert_eq!(copy.age(later), Some(age));
 }
 
-/// Hosts read the store at times, and one another; values change to and fro. After a last exchange
-/// all copies mean what the store says.
+/// Replicas must converge to the store after random writes, reads and pulls, also when a value changes
+/// back.
 #[test]
 fn copies_that_talk_come_to_mean_the_same() {
     for seed in 0..400 {
@@ -201,7 +201,7 @@
     copy.apply_whole(batch(version, there.collect()), now, fingerprint);
 }
 
-/// One host hears of another's copy and asks for what it lacks, as the control thread does.
+/// Pulls the changes that `host` lacks, as the control thread does.
 fn pull(
     copies: &mut [TableCopy],
     host: usize,
@@ -226,7 +226,7 @@
     if !same && !whole {
         let changes = copies[from].changes_since(0);
         let (_, same) = copies[host].apply_from_host(changes, as_of, fingerprint);
-        assert!(same, "a whole copy brings both together");
+        assert!(same, "digests differ after a full snapshot");
     }
 }
 
@@ -259,7 +259,7 @@
         }
         now += ms(50);
     }
-    // At most a second between two tries, and no flood.
+    // At most one second between two reads, and no burst.
     assert!((19..30).contains(&reads), "{reads}");
     assert!(schedule.failures() >= 19);
     now += ms(1_000);
@@ -275,7 +275,10 @@
         let timings = ReadTimings::within(ms(2_000));
         ReadSchedule::new(timings, now).start(None, place, now + passed)
     };
-    assert!(!reads_after(0, ms(100)), "others may hand it their copies");
+    assert!(
+        !reads_after(0, ms(100)),
+        "another host may still send its replica"
+    );
     assert!(reads_after(0, ms(150)));
     assert!(!reads_after(3, ms(150)));
     assert!(reads_after(3, ms(225)));
@@ -289,15 +292,15 @@
     let mut schedule = ReadSchedule::new(timings, now);
     assert!(!schedule.start(None, 9, now + ms(30)));
     schedule.on_no_copy(now + ms(40));
-    // Whoever says so later does not put it off.
+    // A later call does not delay the read.
     schedule.on_no_copy(now + ms(5_000));
     assert!(!schedule.start(None, 9, now + ms(30)));
     assert!(schedule.start(None, 9, now + ms(40)));
     assert!(!schedule.start(None, 9, now + ms(50)), "one read at a time");
 }
 
-/// The store is out for 8 s, for 195 hosts whose copies must be younger than 4 s. Each host's read fails
-/// after 4 ms. Before, when all paused alike, they made 975 calls for each table.
+/// 195 hosts with a staleness bound of 4 s must not flood a store that is unavailable for 8 s; each read
+/// fails after 4 ms.
 #[test]
 fn many_hosts_make_few_calls_while_the_store_is_out() {
     let step = ms(10);
@@ -326,6 +329,6 @@
     assert!(calls < 600, "{calls} calls");
     assert!(
         longest_gap <= bound / 2,
-        "{longest_gap:?}: nobody sees that it is back"
+        "{longest_gap:?} without a read: the recovery is detected too late"
     );
 }
--- a/tests/table_transfer.rs
+++ b/tests/table_transfer.rs
@@ -1,4 +1,4 @@
-//! How copies of the store's tables are packed, and how much of them a host hands to others.
+//! Encoding of table changes for transfer between hosts, and the bandwidth allowance of the sender.
 
 use {
     coveproxy::{
@@ -37,7 +37,7 @@
     }
 }
 
-/// Text as operators declare it: much of it stands again and again.
+/// Returns a repetitive configuration, as operators declare it.
 fn routes(count: usize) -> Vec<u8> {
     let route =
         |at: usize| format!("{{\"name\":\"r-{at}\",\"host\":\"h.example\",\"timeoutMs\":600}},");
@@ -73,7 +73,7 @@
     );
 }
 
-/// A page that claims to unpack to more than any table may hold takes no memory.
+/// A forged uncompressed size must not cause a large allocation.
 #[test]
 fn a_page_that_claims_too_much_is_not_unpacked() {
     // Field 1: a body of one byte; field 2: 2^31 bytes.
@@ -91,7 +91,7 @@
     }
 }
 
-/// However long a copy was on its way, it was right when it was asked for, less the age that was told.
+/// The duration of a transfer must not make a replica appear newer than it is.
 #[test]
 fn the_time_on_its_way_makes_no_copy_newer() {
     let transfer = CopyTransfer::begin(TableName::Targets, CopySource::Store, 0);
@@ -106,7 +106,7 @@
         let _ = CopyPage::read(&bytes);
     }
 
-    /// Over any time, a host sends no more than its share of the link, one backlog and one page.
+    /// Over any period, a host sends at most its share of the link, one backlog and one page.
     #[test]
     fn no_more_is_admitted_than_the_link_carries(
         link_mbps in 1.0f64..1_000.0,
@@ -124,17 +124,17 @@
             let most = link_mbps * 125_000.0 * 0.5 * time.as_secs_f64() + 200_000.0;
             prop_assert!(sent as f64 <= most, "{sent} of {most}");
         }
-        prop_assert!(sent > 0, "whoever asks first is served");
+        prop_assert!(sent > 0, "the first request is always admitted");
     }
 }
 
-/// A link that is free again serves again, and one that is not known sets no limit.
+/// Transfers are admitted again once the link is free; an unknown bandwidth sets no limit.
 #[test]
 fn an_allowance_is_full_for_as_long_as_its_link_is() {
     let now = Instant::now();
     let mut allowance = SendAllowance::new(Some(10.0));
     assert!(allowance.admit(100_000, now));
-    assert!(!allowance.admit(100_000, now), "160 ms are still to go");
+    assert!(!allowance.admit(100_000, now), "160 ms of backlog remain");
     assert!(allowance.admit(100_000, now + Duration::from_millis(20)));
     let mut unlimited = SendAllowance::new(None);
     assert!((0..100).all(|_| unlimited.admit(1_000_000, now)));
