--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -21,7 +21,7 @@
             hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
             ownership::SessionLease,
             settings::NodeSettings,
-            tables::{ReadSchedule, ReadTimings, TableCopy},
+            tables::{ReadSchedule, ReadTimings, TableReplica},
         },
         timeline::Event,
         version::routing::RoutingTable,
@@ -60,7 +60,7 @@
 
 /// A copy of a table, and when this host reads it.
 pub(super) struct KeptTable {
-    pub copy: TableCopy,
+    pub copy: TableReplica,
     pub schedule: ReadSchedule,
     /// Whom this host asks for changes at this moment.
     pub pulling: Option<SocketAddr>,
@@ -165,7 +165,7 @@
         let lease = &settings.lease;
         let timings = HoldingTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
         let table = |bound| KeptTable {
-            copy: TableCopy::default(),
+            copy: TableReplica::default(),
             schedule: ReadSchedule::new(ReadTimings::within(bound), now),
             pulling: None,
         };
@@ -385,7 +385,7 @@
         &self,
         now: Instant,
     ) -> Freshness {
-        let state = |copy: &TableCopy| CopyState {
+        let state = |copy: &TableReplica| CopyState {
             version: copy.version(),
             digest: copy.digest(),
             age_ms: copy
--- a/src/process/tables/mod.rs
+++ b/src/process/tables/mod.rs
@@ -2,10 +2,10 @@
 
 mod read_schedule;
 mod table_changes;
-mod table_copy;
+mod table_replica;
 
 pub use {
     read_schedule::{ReadSchedule, ReadTimings},
     table_changes::TableChanges,
-    table_copy::{Comparison, TableCopy},
+    table_replica::{Comparison, TableReplica},
 };
--- a/src/process/tables/table_copy.rs
+++ b/src/process/tables/table_replica.rs
@@ -31,7 +31,7 @@
 
 /// A replica of one table of the store. Its version never decreases.
 #[derive(Debug, Default)]
-pub struct TableCopy {
+pub struct TableReplica {
     rows: BTreeMap<Arc<str>, KeptRow>,
     /// The replica holds every change up to this version of the store.
     version: u64,
@@ -43,7 +43,7 @@
     floor: u64,
 }
 
-impl TableCopy {
+impl TableReplica {
     /// Returns the store version of the replica; 0 before the first read.
     pub fn version(&self) -> u64 {
         self.version
