--- a/tests/table_copy.rs
+++ b/tests/table_replica.rs
@@ -4,7 +4,7 @@
     coveproxy::{
         clock::Instant,
         formats::{Row, RowBatch},
-        process::tables::{Comparison, ReadSchedule, ReadTimings, TableCopy},
+        process::tables::{Comparison, ReadSchedule, ReadTimings, TableReplica},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -47,8 +47,9 @@
     }
 }
 
-fn values(copy: &TableCopy) -> BTreeMap<String, String> {
-    copy.rows()
+fn values(replica: &TableReplica) -> BTreeMap<String, String> {
+    replica
+        .rows()
         .map(|row| {
             let value = row.value.as_deref().unwrap();
             let text = String::from_utf8_lossy(value);
@@ -61,44 +62,45 @@
 #[test]
 fn a_copy_never_goes_back() {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
-    copy.apply_whole(batch(10, vec![row("a", 10, Some("x"))]), now, fingerprint);
+    let mut replica = TableReplica::default();
+    replica.apply_whole(batch(10, vec![row("a", 10, Some("x"))]), now, fingerprint);
     let later = now + ms(500);
     let stale = batch(9, vec![row("a", 9, Some("old"))]);
     assert!(
-        copy.apply_changes(stale.clone(), later, fingerprint)
+        replica
+            .apply_changes(stale.clone(), later, fingerprint)
             .is_empty()
     );
-    assert!(copy.apply_whole(stale, later, fingerprint).is_empty());
-    assert_eq!(values(&copy)["a"], "x");
+    assert!(replica.apply_whole(stale, later, fingerprint).is_empty());
+    assert_eq!(values(&replica)["a"], "x");
     // A stale reply does not count as a confirmation.
-    assert_eq!(copy.age(later), Some(ms(500)));
+    assert_eq!(replica.age(later), Some(ms(500)));
 }
 
 #[test]
 fn what_does_not_matter_is_no_change() {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
-    copy.apply_whole(batch(1, vec![row("a", 1, Some("x,1"))]), now, fingerprint);
-    let digest = copy.digest();
-    let changed = copy.apply_changes(batch(2, vec![row("a", 2, Some("x,2"))]), now, fingerprint);
+    let mut replica = TableReplica::default();
+    replica.apply_whole(batch(1, vec![row("a", 1, Some("x,1"))]), now, fingerprint);
+    let digest = replica.digest();
+    let changed = replica.apply_changes(batch(2, vec![row("a", 2, Some("x,2"))]), now, fingerprint);
     assert!(changed.is_empty());
-    assert_eq!(copy.digest(), digest);
-    let changed = copy.apply_changes(batch(3, vec![row("a", 3, Some("y,2"))]), now, fingerprint);
+    assert_eq!(replica.digest(), digest);
+    let changed = replica.apply_changes(batch(3, vec![row("a", 3, Some("y,2"))]), now, fingerprint);
     assert_eq!(changed.len(), 1);
-    assert_ne!(copy.digest(), digest);
+    assert_ne!(replica.digest(), digest);
 }
 
 #[test]
 fn rows_that_a_whole_read_lacks_are_gone() {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
+    let mut replica = TableReplica::default();
     let both = vec![row("a", 1, Some("x")), row("b", 2, Some("y"))];
-    copy.apply_whole(batch(2, both), now, fingerprint);
-    let changed = copy.apply_whole(batch(5, vec![row("b", 2, Some("y"))]), now, fingerprint);
+    replica.apply_whole(batch(2, both), now, fingerprint);
+    let changed = replica.apply_whole(batch(5, vec![row("b", 2, Some("y"))]), now, fingerprint);
     assert_eq!(changed, [row("a", 5, None)]);
-    assert_eq!(values(&copy).len(), 1);
-    let told = copy.changes_since(4);
+    assert_eq!(values(&replica).len(), 1);
+    let told = replica.changes_since(4);
     assert!(told.whole || told.rows.contains(&row("a", 5, None)));
 }
 
@@ -113,19 +115,19 @@
     #[case] expected: Comparison,
 ) {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
-    copy.apply_whole(batch(5, vec![row("a", 1, Some("x"))]), now, fingerprint);
+    let mut replica = TableReplica::default();
+    replica.apply_whole(batch(5, vec![row("a", 1, Some("x"))]), now, fingerprint);
     let digest = match same {
-        true => copy.digest(),
-        false => copy.digest() + 1,
+        true => replica.digest(),
+        false => replica.digest() + 1,
     };
     let later = now + ms(300);
-    assert_eq!(copy.compare(version, digest, later), expected);
+    assert_eq!(replica.compare(version, digest, later), expected);
     let age = match expected {
         Comparison::Same => Duration::ZERO,
         _ => ms(300),
     };
-    assert_eq!(copy.age(later), Some(age));
+    assert_eq!(replica.age(later), Some(age));
 }
 
 /// Replicas must converge to the store after random writes, reads and pulls, also when a value changes
@@ -137,7 +139,7 @@
         let begin = Instant::now();
         let mut store: BTreeMap<String, (u64, Option<String>)> = BTreeMap::new();
         let mut version = 0;
-        let mut copies: Vec<TableCopy> = (0..4).map(|_| TableCopy::default()).collect();
+        let mut replicas: Vec<TableReplica> = (0..4).map(|_| TableReplica::default()).collect();
         for step in 0..120 {
             let now = begin + ms(step * 100);
             for _ in 0..rng.random_range(0..3) {
@@ -151,17 +153,17 @@
             }
             let reader = rng.random_range(0..4);
             match rng.random_range(0..6) {
-                0 | 1 => read_store(&store, version, &mut copies[reader], now, &mut rng),
+                0 | 1 => read_store(&store, version, &mut replicas[reader], now, &mut rng),
                 _ => {
                     let other = rng.random_range(0..4);
-                    pull(&mut copies, reader, other, now);
+                    pull(&mut replicas, reader, other, now);
                 }
             }
         }
         let now = begin + ms(60_000);
-        read_store(&store, version, &mut copies[0], now, &mut rng);
+        read_store(&store, version, &mut replicas[0], now, &mut rng);
         for host in 1..4 {
-            pull(&mut copies, host, 0, now);
+            pull(&mut replicas, host, 0, now);
         }
         let expected: BTreeMap<String, String> = store
             .iter()
@@ -170,9 +172,9 @@
                 Some((key.clone(), value))
             })
             .collect();
-        for copy in &copies {
-            assert_eq!(values(copy), expected, "seed {seed}");
-            assert_eq!(copy.age(now), Some(Duration::ZERO), "seed {seed}");
+        for replica in &replicas {
+            assert_eq!(values(replica), expected, "seed {seed}");
+            assert_eq!(replica.age(now), Some(Duration::ZERO), "seed {seed}");
         }
     }
 }
@@ -180,7 +182,7 @@
 fn read_store(
     store: &BTreeMap<String, (u64, Option<String>)>,
     version: u64,
-    copy: &mut TableCopy,
+    replica: &mut TableReplica,
     now: Instant,
     rng: &mut StdRng,
 ) {
@@ -193,39 +195,39 @@
         rows.sort_by_key(|row| row.version);
         rows
     };
-    if copy.is_known() && rng.random_bool(0.8) {
-        copy.apply_changes(batch(version, rows(copy.version())), now, fingerprint);
+    if replica.is_known() && rng.random_bool(0.8) {
+        replica.apply_changes(batch(version, rows(replica.version())), now, fingerprint);
         return;
     }
     let there = rows(0).into_iter().filter(|row| row.value.is_some());
-    copy.apply_whole(batch(version, there.collect()), now, fingerprint);
+    replica.apply_whole(batch(version, there.collect()), now, fingerprint);
 }
 
 /// Pulls the changes that `host` lacks, as the control thread does.
 fn pull(
-    copies: &mut [TableCopy],
+    replicas: &mut [TableReplica],
     host: usize,
     from: usize,
     now: Instant,
 ) {
-    if host == from || !copies[from].is_known() {
+    if host == from || !replicas[from].is_known() {
         return;
     }
-    let as_of = now - copies[from].age(now).unwrap();
-    let (version, digest) = (copies[from].version(), copies[from].digest());
-    if copies[host].compare(version, digest, as_of) != Comparison::Newer {
+    let as_of = now - replicas[from].age(now).unwrap();
+    let (version, digest) = (replicas[from].version(), replicas[from].digest());
+    if replicas[host].compare(version, digest, as_of) != Comparison::Newer {
         return;
     }
-    let since = match copies[host].is_known() {
-        true => copies[host].version(),
+    let since = match replicas[host].is_known() {
+        true => replicas[host].version(),
         false => 0,
     };
-    let changes = copies[from].changes_since(since);
+    let changes = replicas[from].changes_since(since);
     let whole = changes.whole;
-    let (_, same) = copies[host].apply_from_host(changes, as_of, fingerprint);
+    let (_, same) = replicas[host].apply_from_host(changes, as_of, fingerprint);
     if !same && !whole {
-        let changes = copies[from].changes_since(0);
-        let (_, same) = copies[host].apply_from_host(changes, as_of, fingerprint);
+        let changes = replicas[from].changes_since(0);
+        let (_, same) = replicas[host].apply_from_host(changes, as_of, fingerprint);
         assert!(same, "digests differ after a full snapshot");
     }
 }
