--- a/src/process/tables/table_replica.rs
+++ b/src/process/tables/table_replica.rs
@@ -9,7 +9,7 @@
 };
 
 /// Maximum number of retained tombstones (rows without a value).
-const MAX_GONE: usize = 256;
+const MAX_TOMBSTONES: usize = 256;
 
 /// Result of comparing another host's replica with this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct KeptRow {
+struct ReplicaRow {
     row: Row,
     /// Equal for equivalent values of a row.
     fingerprint: u64,
@@ -32,7 +32,7 @@
 /// A replica of one table of the store. Its version never decreases.
 #[derive(Debug, Default)]
 pub struct TableReplica {
-    rows: BTreeMap<Arc<str>, KeptRow>,
+    rows: BTreeMap<Arc<str>, ReplicaRow>,
     /// The replica holds every change up to this version of the store.
     version: u64,
     /// Sum of the digests of all rows; equal for equivalent replicas.
@@ -40,7 +40,7 @@
     /// When the replica was last known to match the store; `None` before the first read.
     as_of: Option<Instant>,
     /// Deletions up to this version may be missing from the tombstones.
-    floor: u64,
+    compacted_version: u64,
 }
 
 impl TableReplica {
@@ -74,55 +74,55 @@
 
     /// Returns the rows that have a value.
     pub fn rows(&self) -> impl Iterator<Item = &Row> {
-        let rows = self.rows.values().map(|kept| &kept.row);
+        let rows = self.rows.values().map(|entry| &entry.row);
         rows.filter(|row| row.value.is_some())
     }
 
-    /// Applies changes that were requested from the store at `asked`; returns the rows whose meaning
+    /// Applies changes that were requested from the store at `requested_at`; returns the rows whose meaning
     /// changed.
     ///
     /// `fingerprint` is equal for equivalent values of a row.
     pub fn apply_changes(
         &mut self,
         batch: RowBatch,
-        asked: Instant,
+        requested_at: Instant,
         fingerprint: impl Fn(&Row) -> u64,
     ) -> Vec<Row> {
-        match self.accept(&batch, asked) {
-            true => self.put_all(batch.rows, &fingerprint),
+        match self.accept(&batch, requested_at) {
+            true => self.upsert_all(batch.rows, &fingerprint),
             false => Vec::new(),
         }
     }
 
-    /// Applies a snapshot that was requested from the store at `asked`; returns the rows whose meaning
+    /// Applies a snapshot that was requested from the store at `requested_at`; returns the rows whose meaning
     /// changed.
     pub fn apply_whole(
         &mut self,
         batch: RowBatch,
-        asked: Instant,
+        requested_at: Instant,
         fingerprint: impl Fn(&Row) -> u64,
     ) -> Vec<Row> {
-        match self.accept(&batch, asked) {
-            true => self.put_whole(batch, &fingerprint),
+        match self.accept(&batch, requested_at) {
+            true => self.replace_all(batch, &fingerprint),
             false => Vec::new(),
         }
     }
 
-    /// Records a read requested at `asked`; returns false if it is older than the replica.
+    /// Records a read requested at `requested_at`; returns false if it is older than the replica.
     fn accept(
         &mut self,
         batch: &RowBatch,
-        asked: Instant,
+        requested_at: Instant,
     ) -> bool {
         if batch.version < self.version {
             return false;
         }
-        self.confirm(batch.version, asked);
+        self.confirm(batch.version, requested_at);
         true
     }
 
     /// Replaces all rows; returns those whose meaning changed.
-    fn put_whole(
+    fn replace_all(
         &mut self,
         batch: RowBatch,
         fingerprint: &impl Fn(&Row) -> u64,
@@ -141,18 +141,18 @@
         // A row that differs although its version is not older missed a change: it takes the version
         // of the snapshot, so that it is replaced.
         let rows = batch.rows.into_iter().map(|row| {
-            let print = print_of(&row, fingerprint);
+            let row_digest = digest_of(&row, fingerprint);
             let old = self.rows.get(&row.key);
-            let stale =
-                old.is_some_and(|old| old.fingerprint != print && old.row.version >= row.version);
+            let stale = old
+                .is_some_and(|old| old.fingerprint != row_digest && old.row.version >= row.version);
             match stale {
                 true => Row { version, ..row },
                 false => row,
             }
         });
         let rows: Vec<Row> = rows.chain(missing).collect();
-        self.floor = self.floor.max(version);
-        self.put_all(rows, fingerprint)
+        self.compacted_version = self.compacted_version.max(version);
+        self.upsert_all(rows, fingerprint)
     }
 
     /// Applies changes from another host, whose replica matched the store at `as_of`; returns the rows
@@ -173,9 +173,9 @@
                     version: changes.version,
                     more: false,
                 };
-                self.put_whole(batch, &fingerprint)
+                self.replace_all(batch, &fingerprint)
             }
-            false => self.put_all(changes.rows, &fingerprint),
+            false => self.upsert_all(changes.rows, &fingerprint),
         };
         let same = self.digest == changes.digest;
         if same {
@@ -207,8 +207,8 @@
         &self,
         version: u64,
     ) -> TableChanges {
-        let whole = version < self.floor || version == 0;
-        let rows = self.rows.values().map(|kept| &kept.row);
+        let whole = version < self.compacted_version || version == 0;
+        let rows = self.rows.values().map(|entry| &entry.row);
         let rows = rows.filter(|row| match whole {
             true => row.value.is_some(),
             false => row.version > version,
@@ -225,30 +225,30 @@
     fn confirm(
         &mut self,
         version: u64,
-        asked: Instant,
+        requested_at: Instant,
     ) {
         self.version = self.version.max(version);
-        self.as_of = self.as_of.max(Some(asked));
+        self.as_of = self.as_of.max(Some(requested_at));
     }
 
     /// Replaces older rows; returns those whose meaning changed.
-    fn put_all(
+    fn upsert_all(
         &mut self,
         rows: Vec<Row>,
         fingerprint: &impl Fn(&Row) -> u64,
     ) -> Vec<Row> {
         let mut changed = Vec::new();
         for row in rows {
-            if self.put(&row, fingerprint) {
+            if self.upsert(&row, fingerprint) {
                 changed.push(row);
             }
         }
-        self.forget_gone();
+        self.evict_tombstones();
         changed
     }
 
     /// Replaces an older row; returns true if its meaning changed.
-    fn put(
+    fn upsert(
         &mut self,
         row: &Row,
         fingerprint: &impl Fn(&Row) -> u64,
@@ -262,41 +262,44 @@
         if !was_there && !is_there {
             return false;
         }
-        let old_print = old.map_or(0, |old| old.fingerprint);
-        let print = print_of(row, fingerprint);
-        if was_there && is_there && print == old_print {
+        let old_row_digest = old.map_or(0, |old| old.fingerprint);
+        let row_digest = digest_of(row, fingerprint);
+        if was_there && is_there && row_digest == old_row_digest {
             return false;
         }
-        self.digest = self.digest.wrapping_sub(old_print).wrapping_add(print);
-        let kept = KeptRow {
+        self.digest = self
+            .digest
+            .wrapping_sub(old_row_digest)
+            .wrapping_add(row_digest);
+        let entry = ReplicaRow {
             row: row.clone(),
-            fingerprint: print,
+            fingerprint: row_digest,
         };
-        self.rows.insert(row.key.clone(), kept);
+        self.rows.insert(row.key.clone(), entry);
         true
     }
 
     /// Evicts the older half of the tombstones when there are more than the maximum.
-    fn forget_gone(&mut self) {
+    fn evict_tombstones(&mut self) {
         let mut gone: Vec<u64> = self
             .rows
             .values()
-            .filter(|kept| kept.row.value.is_none())
-            .map(|kept| kept.row.version)
+            .filter(|entry| entry.row.value.is_none())
+            .map(|entry| entry.row.version)
             .collect();
-        if gone.len() <= MAX_GONE {
+        if gone.len() <= MAX_TOMBSTONES {
             return;
         }
         gone.sort_unstable();
-        let floor = gone[gone.len() - MAX_GONE / 2];
-        self.floor = self.floor.max(floor);
+        let compacted_version = gone[gone.len() - MAX_TOMBSTONES / 2];
+        self.compacted_version = self.compacted_version.max(compacted_version);
         self.rows
-            .retain(|_, kept| kept.row.value.is_some() || kept.row.version > floor);
+            .retain(|_, entry| entry.row.value.is_some() || entry.row.version > compacted_version);
     }
 }
 
 /// Returns the contribution of a row to the digest; 0 for a tombstone.
-fn print_of(
+fn digest_of(
     row: &Row,
     fingerprint: &impl Fn(&Row) -> u64,
 ) -> u64 {
