--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -116,7 +116,7 @@
         let Some(rows) = rows else {
             return Vec::new();
         };
-        let rows = self.kept(table).copy.apply_whole(rows, asked, print);
+        let rows = self.kept(table).copy.apply_snapshot(rows, asked, print);
         let news = RowNews {
             rows: &rows,
             source: "store",
@@ -189,7 +189,7 @@
         let whole = changes.whole;
         let large = changes.bytes() >= LARGE_COPY;
         let before = kept.confirmation();
-        let (rows, same) = kept.copy.apply_from_host(changes, as_of, print);
+        let (rows, same) = kept.copy.apply_host_changes(changes, as_of, print);
         let mut actions = Vec::new();
         if !same && !whole {
             // A change that was taken back again was missed by one of the two.
--- a/src/process/tables/table_replica.rs
+++ b/src/process/tables/table_replica.rs
@@ -96,7 +96,7 @@
 
     /// Applies a snapshot that was requested from the store at `requested_at`; returns the rows whose meaning
     /// changed.
-    pub fn apply_whole(
+    pub fn apply_snapshot(
         &mut self,
         batch: RowBatch,
         requested_at: Instant,
@@ -157,7 +157,7 @@
 
     /// Applies changes from another host, whose replica matched the store at `as_of`; returns the rows
     /// whose meaning changed and whether the digests now agree. If not, a full snapshot is required.
-    pub fn apply_from_host(
+    pub fn apply_host_changes(
         &mut self,
         changes: TableChanges,
         as_of: Instant,
