--- a/src/process/tables/read_schedule.rs
+++ b/src/process/tables/read_schedule.rs
@@ -1,17 +1,17 @@
 use {crate::clock::Instant, std::time::Duration};
 
 /// After its start, a host waits this long for a replica from another host before it reads the store.
-const FIRST_WAIT: Duration = Duration::from_millis(150);
+const FIRST_READ_DELAY: Duration = Duration::from_millis(150);
 
 /// Added to the delay of the first read for each rank, to spread hosts that start together.
-const FIRST_STEP: Duration = Duration::from_millis(25);
+const FIRST_READ_STAGGER: Duration = Duration::from_millis(25);
 
 /// Ranks above this one delay the first read no further.
-const MOST_FIRST_STEPS: u32 = 12;
+const MAX_STAGGERED_RANK: u32 = 12;
 
 /// Share of the backoff that is added for each rank, to limit the calls of a large site while the
 /// store is unavailable.
-const RETRY_STEP: f64 = 0.25;
+const BACKOFF_SHARE_PER_RANK: f64 = 0.25;
 
 /// Staleness limits and retry backoffs of the reads of one table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -137,7 +137,7 @@
         let doubled = self.failures.saturating_sub(1).min(8);
         let pause = self.timings.retry * 2u32.pow(doubled);
         let pause = pause.min(self.timings.most_retry);
-        let in_turn = pause.mul_f64(1.0 + RETRY_STEP * f64::from(place));
+        let in_turn = pause.mul_f64(1.0 + BACKOFF_SHARE_PER_RANK * f64::from(place));
         in_turn.min(self.timings.longest_retry)
     }
 
@@ -146,7 +146,8 @@
         &self,
         place: u32,
     ) -> Instant {
-        let in_turn = self.started + FIRST_WAIT + FIRST_STEP * place.min(MOST_FIRST_STEPS);
+        let in_turn =
+            self.started + FIRST_READ_DELAY + FIRST_READ_STAGGER * place.min(MAX_STAGGERED_RANK);
         self.no_copy_read.map_or(in_turn, |at| at.min(in_turn))
     }
 
