--- a/src/process/tables/read_schedule.rs
+++ b/src/process/tables/read_schedule.rs
@@ -17,29 +17,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadTimings {
     /// Staleness at which the host of rank 0 reads.
-    pub period: Duration,
+    pub base_limit: Duration,
     /// Added to that staleness for each further rank.
-    pub step: Duration,
+    pub limit_per_rank: Duration,
     /// Staleness at which every host reads.
-    pub most: Duration,
+    pub max_limit: Duration,
     /// Backoff after the first failed read; doubles with each further failure.
-    pub retry: Duration,
+    pub initial_backoff: Duration,
     /// Upper limit of the backoff at rank 0.
-    pub most_retry: Duration,
+    pub max_leader_backoff: Duration,
     /// Upper limit of the backoff at any rank.
-    pub longest_retry: Duration,
+    pub max_backoff: Duration,
 }
 
 impl ReadTimings {
     /// Returns timings that keep staleness below `bound` even if one read fails.
     pub fn within(bound: Duration) -> Self {
         Self {
-            period: bound.mul_f64(0.30),
-            step: bound.mul_f64(0.12),
-            most: bound.mul_f64(0.60),
-            retry: bound.mul_f64(0.10),
-            most_retry: bound.mul_f64(0.50),
-            longest_retry: bound * 2,
+            base_limit: bound.mul_f64(0.30),
+            limit_per_rank: bound.mul_f64(0.12),
+            max_limit: bound.mul_f64(0.60),
+            initial_backoff: bound.mul_f64(0.10),
+            max_leader_backoff: bound.mul_f64(0.50),
+            max_backoff: bound * 2,
         }
     }
 }
@@ -57,7 +57,7 @@
     /// When the last read failed; `None` if it succeeded.
     failed_at: Option<Instant>,
     /// Earliest time of the first read once it is known that no other host has a replica.
-    no_copy_read: Option<Instant>,
+    expedited_read: Option<Instant>,
 }
 
 impl ReadSchedule {
@@ -71,33 +71,33 @@
             reading: false,
             failures: 0,
             failed_at: None,
-            no_copy_read: None,
+            expedited_read: None,
         }
     }
 
     /// Moves the first read forward to `at`, as no other host has a replica. Later calls have no effect.
-    pub fn on_no_copy(
+    pub fn on_no_replica(
         &mut self,
         at: Instant,
     ) {
-        self.no_copy_read.get_or_insert(at);
+        self.expedited_read.get_or_insert(at);
     }
 
     /// Returns true if a read is due and marks it as running until `on_end` is called.
     pub fn start(
         &mut self,
-        age: Option<Duration>,
-        place: usize,
+        staleness: Option<Duration>,
+        rank: usize,
         now: Instant,
     ) -> bool {
-        let place = u32::try_from(place).unwrap_or(u32::MAX);
-        let pauses = |at: Instant| now.saturating_duration_since(at) < self.pause(place);
-        if self.reading || self.failed_at.is_some_and(pauses) {
+        let rank = u32::try_from(rank).unwrap_or(u32::MAX);
+        let backs_off = |at: Instant| now.saturating_duration_since(at) < self.backoff(rank);
+        if self.reading || self.failed_at.is_some_and(backs_off) {
             return false;
         }
-        let due = match age {
-            Some(age) => age >= self.limit(place),
-            None => now >= self.first_read(place),
+        let due = match staleness {
+            Some(staleness) => staleness >= self.staleness_limit(rank),
+            None => now >= self.first_read(rank),
         };
         self.reading = due;
         due
@@ -130,33 +130,34 @@
     }
 
     /// Returns the exponential backoff after the last failed read.
-    fn pause(
+    fn backoff(
         &self,
-        place: u32,
+        rank: u32,
     ) -> Duration {
-        let doubled = self.failures.saturating_sub(1).min(8);
-        let pause = self.timings.retry * 2u32.pow(doubled);
-        let pause = pause.min(self.timings.most_retry);
-        let in_turn = pause.mul_f64(1.0 + BACKOFF_SHARE_PER_RANK * f64::from(place));
-        in_turn.min(self.timings.longest_retry)
+        let doublings = self.failures.saturating_sub(1).min(8);
+        let backoff = self.timings.initial_backoff * 2u32.pow(doublings);
+        let backoff = backoff.min(self.timings.max_leader_backoff);
+        let ranked = backoff.mul_f64(1.0 + BACKOFF_SHARE_PER_RANK * f64::from(rank));
+        ranked.min(self.timings.max_backoff)
     }
 
     /// Returns when the first read is due.
     fn first_read(
         &self,
-        place: u32,
+        rank: u32,
     ) -> Instant {
-        let in_turn =
-            self.started + FIRST_READ_DELAY + FIRST_READ_STAGGER * place.min(MAX_STAGGERED_RANK);
-        self.no_copy_read.map_or(in_turn, |at| at.min(in_turn))
+        let ranked =
+            self.started + FIRST_READ_DELAY + FIRST_READ_STAGGER * rank.min(MAX_STAGGERED_RANK);
+        self.expedited_read.map_or(ranked, |at| at.min(ranked))
     }
 
     /// Returns the staleness at which a host of this rank reads.
-    fn limit(
+    fn staleness_limit(
         &self,
-        place: u32,
+        rank: u32,
     ) -> Duration {
-        let limit = self.timings.period + self.timings.step.saturating_mul(place);
-        limit.min(self.timings.most.max(self.timings.period))
+        let staleness_limit =
+            self.timings.base_limit + self.timings.limit_per_rank.saturating_mul(rank);
+        staleness_limit.min(self.timings.max_limit.max(self.timings.base_limit))
     }
 }
