--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -79,8 +79,8 @@
         let mut seeds = self.settings.seed_peers().filter(|peer| *peer != me);
         if seeds.all(|seed| self.empty_seeds.contains(&seed)) {
             let at = now + rand::rng().random_range(Duration::ZERO..FIRST_READ_SPREAD);
-            self.declared.schedule.on_no_copy(at);
-            self.listed.schedule.on_no_copy(at);
+            self.declared.schedule.on_no_replica(at);
+            self.listed.schedule.on_no_replica(at);
         }
     }
 
