--- a/tests/table_replica.rs
+++ b/tests/table_replica.rs
@@ -74,7 +74,7 @@
     assert!(replica.apply_whole(stale, later, fingerprint).is_empty());
     assert_eq!(values(&replica)["a"], "x");
     // A stale reply does not count as a confirmation.
-    assert_eq!(replica.age(later), Some(ms(500)));
+    assert_eq!(replica.staleness(later), Some(ms(500)));
 }
 
 #[test]
@@ -123,11 +123,11 @@
     };
     let later = now + ms(300);
     assert_eq!(replica.compare(version, digest, later), expected);
-    let age = match expected {
+    let staleness = match expected {
         Comparison::Same => Duration::ZERO,
         _ => ms(300),
     };
-    assert_eq!(replica.age(later), Some(age));
+    assert_eq!(replica.staleness(later), Some(staleness));
 }
 
 /// Replicas must converge to the store after random writes, reads and pulls, also when a value changes
@@ -174,7 +174,7 @@
             .collect();
         for replica in &replicas {
             assert_eq!(values(replica), expected, "seed {seed}");
-            assert_eq!(replica.age(now), Some(Duration::ZERO), "seed {seed}");
+            assert_eq!(replica.staleness(now), Some(Duration::ZERO), "seed {seed}");
         }
     }
 }
@@ -213,7 +213,7 @@
     if host == from || !replicas[from].is_known() {
         return;
     }
-    let as_of = now - replicas[from].age(now).unwrap();
+    let as_of = now - replicas[from].staleness(now).unwrap();
     let (version, digest) = (replicas[from].version(), replicas[from].digest());
     if replicas[host].compare(version, digest, as_of) != Comparison::Newer {
         return;
@@ -236,8 +236,9 @@
 fn the_first_host_reads_and_the_others_wait_their_turn() {
     let timings = ReadTimings::within(ms(2_000));
     let now = Instant::now();
-    let reads =
-        |age: u64, place: usize| ReadSchedule::new(timings, now).start(Some(ms(age)), place, now);
+    let reads = |staleness: u64, rank: usize| {
+        ReadSchedule::new(timings, now).start(Some(ms(staleness)), rank, now)
+    };
     assert!(!reads(500, 0) && reads(600, 0));
     assert!(!reads(800, 1) && reads(840, 1));
     assert!(!reads(1_190, 90) && reads(1_200, 90));
@@ -273,9 +274,9 @@
 #[test]
 fn hosts_that_start_at_once_read_one_after_the_other() {
     let now = Instant::now();
-    let reads_after = |place: usize, passed: Duration| {
+    let reads_after = |rank: usize, passed: Duration| {
         let timings = ReadTimings::within(ms(2_000));
-        ReadSchedule::new(timings, now).start(None, place, now + passed)
+        ReadSchedule::new(timings, now).start(None, rank, now + passed)
     };
     assert!(
         !reads_after(0, ms(100)),
@@ -293,9 +294,9 @@
     let timings = ReadTimings::within(ms(2_000));
     let mut schedule = ReadSchedule::new(timings, now);
     assert!(!schedule.start(None, 9, now + ms(30)));
-    schedule.on_no_copy(now + ms(40));
+    schedule.on_no_replica(now + ms(40));
     // A later call does not delay the read.
-    schedule.on_no_copy(now + ms(5_000));
+    schedule.on_no_replica(now + ms(5_000));
     assert!(!schedule.start(None, 9, now + ms(30)));
     assert!(schedule.start(None, 9, now + ms(40)));
     assert!(!schedule.start(None, 9, now + ms(50)), "one read at a time");
@@ -319,8 +320,8 @@
     while passed < outage {
         passed += step;
         let now = begin + passed;
-        for (place, schedule) in hosts.iter_mut().enumerate() {
-            if schedule.start(Some(passed), place, now) {
+        for (rank, schedule) in hosts.iter_mut().enumerate() {
+            if schedule.start(Some(passed), rank, now) {
                 schedule.on_end(false, now + ms(4));
                 calls += 1;
                 longest_gap = longest_gap.max(now - last_call);
