--- a/src/process/tables/table_replica.rs
+++ b/src/process/tables/table_replica.rs
@@ -38,7 +38,7 @@
     /// Sum of the digests of all rows; equal for equivalent replicas.
     digest: u64,
     /// When the replica was last known to match the store; `None` before the first read.
-    as_of: Option<Instant>,
+    confirmed_at: Option<Instant>,
     /// Deletions up to this version may be missing from the tombstones.
     compacted_version: u64,
 }
@@ -56,20 +56,21 @@
 
     /// Returns true once the table has been read.
     pub fn is_known(&self) -> bool {
-        self.as_of.is_some()
+        self.confirmed_at.is_some()
     }
 
     /// Returns when the replica was last known to match the store; `None` before the first read.
-    pub fn right_at(&self) -> Option<Instant> {
-        self.as_of
+    pub fn confirmed_at(&self) -> Option<Instant> {
+        self.confirmed_at
     }
 
     /// Returns the time since the replica was known to match the store; `None` before the first read.
-    pub fn age(
+    pub fn staleness(
         &self,
         now: Instant,
     ) -> Option<Duration> {
-        self.as_of.map(|at| now.saturating_duration_since(at))
+        self.confirmed_at
+            .map(|at| now.saturating_duration_since(at))
     }
 
     /// Returns the rows that have a value.
@@ -155,12 +156,12 @@
         self.upsert_all(rows, fingerprint)
     }
 
-    /// Applies changes from another host, whose replica matched the store at `as_of`; returns the rows
+    /// Applies changes from another host, whose replica matched the store at `confirmed_at`; returns the rows
     /// whose meaning changed and whether the digests now agree. If not, a full snapshot is required.
     pub fn apply_host_changes(
         &mut self,
         changes: TableChanges,
-        as_of: Instant,
+        confirmed_at: Instant,
         fingerprint: impl Fn(&Row) -> u64,
     ) -> (Vec<Row>, bool) {
         if changes.version < self.version {
@@ -179,21 +180,21 @@
         };
         let same = self.digest == changes.digest;
         if same {
-            self.confirm(changes.version, as_of);
+            self.confirm(changes.version, confirmed_at);
         }
         (changed, same)
     }
 
-    /// Compares with another host's replica, which matched the store at `as_of`. If the digests agree,
+    /// Compares with another host's replica, which matched the store at `confirmed_at`. If the digests agree,
     /// this replica matched the store then as well.
     pub fn compare(
         &mut self,
         version: u64,
         digest: u64,
-        as_of: Instant,
+        confirmed_at: Instant,
     ) -> Comparison {
         if self.is_known() && digest == self.digest {
-            self.confirm(version, as_of);
+            self.confirm(version, confirmed_at);
             return Comparison::Same;
         }
         match version > self.version || !self.is_known() {
@@ -228,7 +229,7 @@
         requested_at: Instant,
     ) {
         self.version = self.version.max(version);
-        self.as_of = self.as_of.max(Some(requested_at));
+        self.confirmed_at = self.confirmed_at.max(Some(requested_at));
     }
 
     /// Replaces older rows; returns those whose meaning changed.
--- a/tests/table_replica.rs
+++ b/tests/table_replica.rs
@@ -213,9 +213,9 @@
     if host == from || !replicas[from].is_known() {
         return;
     }
-    let as_of = now - replicas[from].staleness(now).unwrap();
+    let confirmed_at = now - replicas[from].staleness(now).unwrap();
     let (version, digest) = (replicas[from].version(), replicas[from].digest());
-    if replicas[host].compare(version, digest, as_of) != Comparison::Newer {
+    if replicas[host].compare(version, digest, confirmed_at) != Comparison::Newer {
         return;
     }
     let since = match replicas[host].is_known() {
@@ -224,10 +224,10 @@
     };
     let changes = replicas[from].changes_since(since);
     let whole = changes.whole;
-    let (_, same) = replicas[host].apply_from_host(changes, as_of, fingerprint);
+    let (_, same) = replicas[host].apply_from_host(changes, confirmed_at, fingerprint);
     if !same && !whole {
         let changes = replicas[from].changes_since(0);
-        let (_, same) = replicas[host].apply_from_host(changes, as_of, fingerprint);
+        let (_, same) = replicas[host].apply_from_host(changes, confirmed_at, fingerprint);
         assert!(same, "digests differ after a full snapshot");
     }
 }
