--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -61,8 +61,9 @@
             (TableName::Declared, &self.declared),
             (TableName::Targets, &self.listed),
         ] {
-            let age = kept.copy.age(now);
-            let seconds = age.map_or(f64::INFINITY, |age: Duration| age.as_secs_f64());
+            let staleness = kept.copy.staleness(now);
+            let seconds =
+                staleness.map_or(f64::INFINITY, |staleness: Duration| staleness.as_secs_f64());
             let labels = CopyLabels {
                 table: table.word(),
             };
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -60,8 +60,8 @@
         let mut actions = Vec::new();
         for table in [TableName::Declared, TableName::Targets] {
             let kept = self.kept(table);
-            let age = kept.copy.age(now);
-            if kept.schedule.start(age, place, now) {
+            let staleness = kept.copy.staleness(now);
+            if kept.schedule.start(staleness, place, now) {
                 actions.push(match kept.copy.is_known() {
                     true => ControlAction::ReadChanges {
                         table,
@@ -150,10 +150,10 @@
         ];
         let mut actions = Vec::new();
         for (table, state) in told {
-            let age = state
+            let staleness = state
                 .age_ms
-                .map(|age| Duration::from_millis(u64::from(age)));
-            let Some(as_of) = age.and_then(|age| told_at.checked_sub(age)) else {
+                .map(|staleness| Duration::from_millis(u64::from(staleness)));
+            let Some(as_of) = staleness.and_then(|staleness| told_at.checked_sub(staleness)) else {
                 continue;
             };
             let kept = self.kept(table);
@@ -225,7 +225,7 @@
             TableName::Declared => &self.declared.copy,
             TableName::Targets => &self.listed.copy,
         };
-        (copy.changes_since(since), copy.age(now))
+        (copy.changes_since(since), copy.staleness(now))
     }
 
     /// A read of a table from the store ended.
@@ -240,8 +240,8 @@
         kept.schedule.on_end(succeeded, now);
         let age_ms = kept
             .copy
-            .age(now)
-            .map_or(-1.0, |age| age.as_secs_f64() * 1000.0);
+            .staleness(now)
+            .map_or(-1.0, |staleness| staleness.as_secs_f64() * 1000.0);
         if !succeeded && failures == 0 {
             note!(
                 Event::TableUnreachable,
@@ -372,7 +372,7 @@
             adapter = adapter,
             version = version,
             before = before,
-            before_age_ms = before_age.map_or(-1.0, |age| age.as_secs_f64() * 1000.0),
+            before_age_ms = before_age.map_or(-1.0, |staleness| staleness.as_secs_f64() * 1000.0),
             source = news.source
         );
         for desk in self.desks.values_mut() {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -389,8 +389,8 @@
             version: copy.version(),
             digest: copy.digest(),
             age_ms: copy
-                .age(now)
-                .map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX)),
+                .staleness(now)
+                .map(|staleness| u32::try_from(staleness.as_millis()).unwrap_or(u32::MAX)),
         };
         Freshness {
             declared: state(&self.declared.copy),
