--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -68,7 +68,7 @@
 
 impl KeptTable {
     pub fn confirmation(&self) -> TableConfirmation {
-        let right_at = self.copy.right_at();
+        let right_at = self.copy.confirmed_at();
         let failed_at = self.schedule.failed_at();
         TableConfirmation {
             right_at,
