--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -186,12 +186,12 @@
         let Some((changes, as_of)) = changes else {
             return Vec::new();
         };
-        let whole = changes.whole;
+        let is_full = changes.is_full;
         let large = changes.bytes() >= LARGE_COPY;
         let before = kept.confirmation();
         let (rows, same) = kept.copy.apply_host_changes(changes, as_of, print);
         let mut actions = Vec::new();
-        if !same && !whole {
+        if !same && !is_full {
             // A change that was taken back again was missed by one of the two.
             kept.pulling = Some(from);
             actions.push(ControlAction::PullChanges {
--- a/src/process/host/copy_server.rs
+++ b/src/process/host/copy_server.rs
@@ -89,6 +89,6 @@
     }
     content.update(&changes.version.to_le_bytes());
     content.update(&changes.digest.to_le_bytes());
-    content.update(&[u8::from(changes.whole)]);
+    content.update(&[u8::from(changes.is_full)]);
     content.digest()
 }
--- a/src/process/tables/table_changes.rs
+++ b/src/process/tables/table_changes.rs
@@ -12,7 +12,7 @@
     /// Digest of the sender's replica.
     pub digest: u64,
     /// `rows` is the full table; rows missing from it are deleted.
-    pub whole: bool,
+    pub is_full: bool,
 }
 
 impl TableChanges {
@@ -28,7 +28,7 @@
             rows: changes.rows.iter().map(RowBody::from).collect(),
             version: changes.version,
             digest: changes.digest,
-            whole: changes.whole,
+            is_full: changes.is_full,
         }
     }
 }
@@ -39,7 +39,7 @@
             rows: body.rows.into_iter().map(Row::from).collect(),
             version: body.version,
             digest: body.digest,
-            whole: body.whole,
+            is_full: body.is_full,
         }
     }
 }
--- a/src/process/tables/table_replica.rs
+++ b/src/process/tables/table_replica.rs
@@ -167,7 +167,7 @@
         if changes.version < self.version {
             return (Vec::new(), true);
         }
-        let changed = match changes.whole {
+        let changed = match changes.is_full {
             true => {
                 let batch = RowBatch {
                     rows: changes.rows,
@@ -208,9 +208,9 @@
         &self,
         version: u64,
     ) -> TableChanges {
-        let whole = version < self.compacted_version || version == 0;
+        let is_full = version < self.compacted_version || version == 0;
         let rows = self.rows.values().map(|entry| &entry.row);
-        let rows = rows.filter(|row| match whole {
+        let rows = rows.filter(|row| match is_full {
             true => row.value.is_some(),
             false => row.version > version,
         });
@@ -218,7 +218,7 @@
             rows: rows.cloned().collect(),
             version: self.version,
             digest: self.digest,
-            whole,
+            is_full,
         }
     }
 
--- a/tests/table_replica.rs
+++ b/tests/table_replica.rs
@@ -101,7 +101,7 @@
     assert_eq!(changed, [row("a", 5, None)]);
     assert_eq!(values(&replica).len(), 1);
     let told = replica.changes_since(4);
-    assert!(told.whole || told.rows.contains(&row("a", 5, None)));
+    assert!(told.is_full || told.rows.contains(&row("a", 5, None)));
 }
 
 #[rstest]
@@ -223,9 +223,9 @@
         false => 0,
     };
     let changes = replicas[from].changes_since(since);
-    let whole = changes.whole;
+    let is_full = changes.is_full;
     let (_, same) = replicas[host].apply_from_host(changes, confirmed_at, fingerprint);
-    if !same && !whole {
+    if !same && !is_full {
         let changes = replicas[from].changes_since(0);
         let (_, same) = replicas[host].apply_from_host(changes, confirmed_at, fingerprint);
         assert!(same, "digests differ after a full snapshot");
--- a/tests/table_transfer.rs
+++ b/tests/table_transfer.rs
@@ -22,7 +22,7 @@
         rows,
         version: 9,
         digest: 7,
-        whole: false,
+        is_full: false,
     }
 }
 
