--- a/src/process/tables/table_changes.rs
+++ b/src/process/tables/table_changes.rs
@@ -28,7 +28,7 @@
             rows: changes.rows.iter().map(RowBody::from).collect(),
             version: changes.version,
             digest: changes.digest,
-            is_full: changes.is_full,
+            whole: changes.is_full,
         }
     }
 }
@@ -39,7 +39,7 @@
             rows: body.rows.into_iter().map(Row::from).collect(),
             version: body.version,
             digest: body.digest,
-            is_full: body.is_full,
+            is_full: body.whole,
         }
     }
 }
