--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -61,7 +61,7 @@
         for table in [TableName::Declared, TableName::Targets] {
             let kept = self.kept(table);
             let staleness = kept.copy.staleness(now);
-            if kept.schedule.start(staleness, place, now) {
+            if kept.schedule.start_if_due(staleness, place, now) {
                 actions.push(match kept.copy.is_known() {
                     true => ControlAction::ReadChanges {
                         table,
--- a/src/process/tables/read_schedule.rs
+++ b/src/process/tables/read_schedule.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns true if a read is due and marks it as running until `on_end` is called.
-    pub fn start(
+    pub fn start_if_due(
         &mut self,
         staleness: Option<Duration>,
         rank: usize,
--- a/tests/table_replica.rs
+++ b/tests/table_replica.rs
@@ -237,7 +237,7 @@
     let timings = ReadTimings::within(ms(2_000));
     let now = Instant::now();
     let reads = |staleness: u64, rank: usize| {
-        ReadSchedule::new(timings, now).start(Some(ms(staleness)), rank, now)
+        ReadSchedule::new(timings, now).start_if_due(Some(ms(staleness)), rank, now)
     };
     assert!(!reads(500, 0) && reads(600, 0));
     assert!(!reads(800, 1) && reads(840, 1));
@@ -252,10 +252,10 @@
     let mut now = begin;
     let mut reads = 0;
     while now < begin + ms(20_000) {
-        if schedule.start(Some(ms(5_000)), 0, now) {
+        if schedule.start_if_due(Some(ms(5_000)), 0, now) {
             reads += 1;
             assert!(
-                !schedule.start(Some(ms(5_000)), 0, now),
+                !schedule.start_if_due(Some(ms(5_000)), 0, now),
                 "one read at a time"
             );
             schedule.on_end(false, now);
@@ -266,9 +266,9 @@
     assert!((19..30).contains(&reads), "{reads}");
     assert!(schedule.failures() >= 19);
     now += ms(1_000);
-    assert!(schedule.start(None, 0, now));
+    assert!(schedule.start_if_due(None, 0, now));
     schedule.on_end(true, now);
-    assert!(schedule.start(None, 0, now));
+    assert!(schedule.start_if_due(None, 0, now));
 }
 
 #[test]
@@ -276,7 +276,7 @@
     let now = Instant::now();
     let reads_after = |rank: usize, passed: Duration| {
         let timings = ReadTimings::within(ms(2_000));
-        ReadSchedule::new(timings, now).start(None, rank, now + passed)
+        ReadSchedule::new(timings, now).start_if_due(None, rank, now + passed)
     };
     assert!(
         !reads_after(0, ms(100)),
@@ -293,13 +293,16 @@
     let now = Instant::now();
     let timings = ReadTimings::within(ms(2_000));
     let mut schedule = ReadSchedule::new(timings, now);
-    assert!(!schedule.start(None, 9, now + ms(30)));
+    assert!(!schedule.start_if_due(None, 9, now + ms(30)));
     schedule.on_no_replica(now + ms(40));
     // A later call does not delay the read.
     schedule.on_no_replica(now + ms(5_000));
-    assert!(!schedule.start(None, 9, now + ms(30)));
-    assert!(schedule.start(None, 9, now + ms(40)));
-    assert!(!schedule.start(None, 9, now + ms(50)), "one read at a time");
+    assert!(!schedule.start_if_due(None, 9, now + ms(30)));
+    assert!(schedule.start_if_due(None, 9, now + ms(40)));
+    assert!(
+        !schedule.start_if_due(None, 9, now + ms(50)),
+        "one read at a time"
+    );
 }
 
 /// 195 hosts with a staleness bound of 4 s must not flood a store that is unavailable for 8 s; each read
@@ -321,7 +324,7 @@
         passed += step;
         let now = begin + passed;
         for (rank, schedule) in hosts.iter_mut().enumerate() {
-            if schedule.start(Some(passed), rank, now) {
+            if schedule.start_if_due(Some(passed), rank, now) {
                 schedule.on_end(false, now + ms(4));
                 calls += 1;
                 longest_gap = longest_gap.max(now - last_call);
