--- a/tests/table_replica.rs
+++ b/tests/table_replica.rs
@@ -63,7 +63,7 @@
 fn a_copy_never_goes_back() {
     let now = Instant::now();
     let mut replica = TableReplica::default();
-    replica.apply_whole(batch(10, vec![row("a", 10, Some("x"))]), now, fingerprint);
+    replica.apply_snapshot(batch(10, vec![row("a", 10, Some("x"))]), now, fingerprint);
     let later = now + ms(500);
     let stale = batch(9, vec![row("a", 9, Some("old"))]);
     assert!(
@@ -71,7 +71,7 @@
             .apply_changes(stale.clone(), later, fingerprint)
             .is_empty()
     );
-    assert!(replica.apply_whole(stale, later, fingerprint).is_empty());
+    assert!(replica.apply_snapshot(stale, later, fingerprint).is_empty());
     assert_eq!(values(&replica)["a"], "x");
     // A stale reply does not count as a confirmation.
     assert_eq!(replica.staleness(later), Some(ms(500)));
@@ -81,7 +81,7 @@
 fn what_does_not_matter_is_no_change() {
     let now = Instant::now();
     let mut replica = TableReplica::default();
-    replica.apply_whole(batch(1, vec![row("a", 1, Some("x,1"))]), now, fingerprint);
+    replica.apply_snapshot(batch(1, vec![row("a", 1, Some("x,1"))]), now, fingerprint);
     let digest = replica.digest();
     let changed = replica.apply_changes(batch(2, vec![row("a", 2, Some("x,2"))]), now, fingerprint);
     assert!(changed.is_empty());
@@ -96,8 +96,8 @@
     let now = Instant::now();
     let mut replica = TableReplica::default();
     let both = vec![row("a", 1, Some("x")), row("b", 2, Some("y"))];
-    replica.apply_whole(batch(2, both), now, fingerprint);
-    let changed = replica.apply_whole(batch(5, vec![row("b", 2, Some("y"))]), now, fingerprint);
+    replica.apply_snapshot(batch(2, both), now, fingerprint);
+    let changed = replica.apply_snapshot(batch(5, vec![row("b", 2, Some("y"))]), now, fingerprint);
     assert_eq!(changed, [row("a", 5, None)]);
     assert_eq!(values(&replica).len(), 1);
     let told = replica.changes_since(4);
@@ -116,7 +116,7 @@
 ) {
     let now = Instant::now();
     let mut replica = TableReplica::default();
-    replica.apply_whole(batch(5, vec![row("a", 1, Some("x"))]), now, fingerprint);
+    replica.apply_snapshot(batch(5, vec![row("a", 1, Some("x"))]), now, fingerprint);
     let digest = match same {
         true => replica.digest(),
         false => replica.digest() + 1,
@@ -200,7 +200,7 @@
         return;
     }
     let there = rows(0).into_iter().filter(|row| row.value.is_some());
-    replica.apply_whole(batch(version, there.collect()), now, fingerprint);
+    replica.apply_snapshot(batch(version, there.collect()), now, fingerprint);
 }
 
 /// Pulls the changes that `host` lacks, as the control thread does.
@@ -224,10 +224,10 @@
     };
     let changes = replicas[from].changes_since(since);
     let is_full = changes.is_full;
-    let (_, same) = replicas[host].apply_from_host(changes, confirmed_at, fingerprint);
+    let (_, same) = replicas[host].apply_host_changes(changes, confirmed_at, fingerprint);
     if !same && !is_full {
         let changes = replicas[from].changes_since(0);
-        let (_, same) = replicas[host].apply_from_host(changes, confirmed_at, fingerprint);
+        let (_, same) = replicas[host].apply_host_changes(changes, confirmed_at, fingerprint);
         assert!(same, "digests differ after a full snapshot");
     }
 }
