--- a/src/process/tables/table_replica.rs
+++ b/src/process/tables/table_replica.rs
@@ -178,11 +178,11 @@
             }
             false => self.upsert_all(changes.rows, &fingerprint),
         };
-        let same = self.digest == changes.digest;
-        if same {
+        let digests_match = self.digest == changes.digest;
+        if digests_match {
             self.confirm(changes.version, confirmed_at);
         }
-        (changed, same)
+        (changed, digests_match)
     }
 
     /// Compares with another host's replica, which matched the store at `confirmed_at`. If the digests agree,
@@ -258,14 +258,14 @@
         if old.is_some_and(|old| old.row.version >= row.version) {
             return false;
         }
-        let was_there = old.is_some_and(|old| old.row.value.is_some());
-        let is_there = row.value.is_some();
-        if !was_there && !is_there {
+        let had_value = old.is_some_and(|old| old.row.value.is_some());
+        let has_value = row.value.is_some();
+        if !had_value && !has_value {
             return false;
         }
         let old_row_digest = old.map_or(0, |old| old.fingerprint);
         let row_digest = digest_of(row, fingerprint);
-        if was_there && is_there && row_digest == old_row_digest {
+        if had_value && has_value && row_digest == old_row_digest {
             return false;
         }
         self.digest = self
