--- a/src/process/tables/table_replica.rs
+++ b/src/process/tables/table_replica.rs
@@ -129,10 +129,10 @@
         fingerprint: &impl Fn(&Row) -> u64,
     ) -> Vec<Row> {
         let version = batch.version;
-        let gone = |old: &&Row| !batch.rows.iter().any(|row| row.key == old.key);
+        let is_missing = |old: &&Row| !batch.rows.iter().any(|row| row.key == old.key);
         let missing: Vec<Row> = self
             .rows()
-            .filter(gone)
+            .filter(is_missing)
             .map(|old| Row {
                 key: old.key.clone(),
                 version,
@@ -282,17 +282,17 @@
 
     /// Evicts the older half of the tombstones when there are more than the maximum.
     fn evict_tombstones(&mut self) {
-        let mut gone: Vec<u64> = self
+        let mut tombstone_versions: Vec<u64> = self
             .rows
             .values()
             .filter(|entry| entry.row.value.is_none())
             .map(|entry| entry.row.version)
             .collect();
-        if gone.len() <= MAX_TOMBSTONES {
+        if tombstone_versions.len() <= MAX_TOMBSTONES {
             return;
         }
-        gone.sort_unstable();
-        let compacted_version = gone[gone.len() - MAX_TOMBSTONES / 2];
+        tombstone_versions.sort_unstable();
+        let compacted_version = tombstone_versions[tombstone_versions.len() - MAX_TOMBSTONES / 2];
         self.compacted_version = self.compacted_version.max(compacted_version);
         self.rows
             .retain(|_, entry| entry.row.value.is_some() || entry.row.version > compacted_version);
