--- a/tests/table_transfer.rs
+++ b/tests/table_transfer.rs
@@ -52,24 +52,24 @@
 #[rstest]
 #[case::small(10)]
 #[case::large(5_000)]
-fn a_page_brings_back_what_was_put_in(#[case] routes_there: usize) {
-    let told = changes(vec![
-        row("config", Some(routes(routes_there))),
+fn a_page_brings_back_what_was_put_in(#[case] route_count: usize) {
+    let sent = changes(vec![
+        row("config", Some(routes(route_count))),
         row("gone", None),
     ]);
-    let page = CopyPage::new(&ChangesBody::from(&told));
-    assert_eq!(read(&page.to_bytes(AGE)), (told, AGE));
+    let page = CopyPage::new(&ChangesBody::from(&sent));
+    assert_eq!(read(&page.to_bytes(AGE)), (sent, AGE));
 }
 
 #[test]
 fn a_large_table_shrinks_to_a_tenth() {
-    let told = changes(vec![row("config", Some(routes(5_000)))]);
-    let page = CopyPage::new(&ChangesBody::from(&told)).to_bytes(AGE);
+    let sent = changes(vec![row("config", Some(routes(5_000)))]);
+    let page = CopyPage::new(&ChangesBody::from(&sent)).to_bytes(AGE);
     assert!(
-        page.len() * 10 < told.bytes(),
+        page.len() * 10 < sent.bytes(),
         "{} of {}",
         page.len(),
-        told.bytes()
+        sent.bytes()
     );
 }
 
@@ -84,8 +84,8 @@
 
 #[test]
 fn a_page_that_is_cut_short_is_not_taken() {
-    let told = changes(vec![row("config", Some(routes(5_000)))]);
-    let page = CopyPage::new(&ChangesBody::from(&told)).to_bytes(AGE);
+    let sent = changes(vec![row("config", Some(routes(5_000)))]);
+    let page = CopyPage::new(&ChangesBody::from(&sent)).to_bytes(AGE);
     for end in [1, page.len() / 2, page.len() - 3] {
         assert!(CopyPage::read(&page[..end]).is_err(), "{end} bytes");
     }
@@ -110,19 +110,19 @@
     #[test]
     fn no_more_is_admitted_than_the_link_carries(
         link_mbps in 1.0f64..1_000.0,
-        asks in vec((0u64..50, 16_000usize..200_000), 1..200),
+        requests in vec((0u64..50, 16_000usize..200_000), 1..200),
     ) {
         let start = Instant::now();
         let mut allowance = SendAllowance::new(Some(link_mbps));
         let (mut now, mut sent) = (start, 0);
-        for (pause_ms, bytes) in asks {
+        for (pause_ms, bytes) in requests {
             now += Duration::from_millis(pause_ms);
             if allowance.admit(bytes, now) {
                 sent += bytes;
             }
             let time = now.duration_since(start) + Duration::from_millis(150);
-            let most = link_mbps * 125_000.0 * 0.5 * time.as_secs_f64() + 200_000.0;
-            prop_assert!(sent as f64 <= most, "{sent} of {most}");
+            let max_bytes = link_mbps * 125_000.0 * 0.5 * time.as_secs_f64() + 200_000.0;
+            prop_assert!(sent as f64 <= max_bytes, "{sent} of {max_bytes}");
         }
         prop_assert!(sent > 0, "the first request is always admitted");
     }
