--- a/tests/table_copy.rs
+++ b/tests/table_copy.rs
@@ -100,8 +100,8 @@
     let changed = replica.apply_snapshot(batch(5, vec![row("b", 2, Some("y"))]), now, fingerprint);
     assert_eq!(changed, [row("a", 5, None)]);
     assert_eq!(values(&replica).len(), 1);
-    let told = replica.changes_since(4);
-    assert!(told.is_full || told.rows.contains(&row("a", 5, None)));
+    let changes = replica.changes_since(4);
+    assert!(changes.is_full || changes.rows.contains(&row("a", 5, None)));
 }
 
 #[rstest]
@@ -199,8 +199,8 @@
         replica.apply_changes(batch(version, rows(replica.version())), now, fingerprint);
         return;
     }
-    let there = rows(0).into_iter().filter(|row| row.value.is_some());
-    replica.apply_snapshot(batch(version, there.collect()), now, fingerprint);
+    let live = rows(0).into_iter().filter(|row| row.value.is_some());
+    replica.apply_snapshot(batch(version, live.collect()), now, fingerprint);
 }
 
 /// Pulls the changes that `host` lacks, as the control thread does.
