--- a/src/process/ownership/assignment.rs
+++ b/src/process/ownership/assignment.rs
@@ -1,11 +1,11 @@
-//! Which host should own each target: rendezvous hashing with bounded load, without messages.
+//! Assignment of targets to hosts by rendezvous hashing with bounded load.
 
 use {
     std::collections::{BTreeMap, HashMap},
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Rank of `candidate` for `item`; the highest is preferred.
+/// Returns the rank of `candidate` for `item`; the highest is preferred.
 pub fn rank(
     item: &str,
     candidate: &str,
@@ -13,9 +13,9 @@
     xxh3_64_with_seed(candidate.as_bytes(), xxh3_64_with_seed(item.as_bytes(), 0))
 }
 
-/// Assigns every target to one host, none more than its even share rounded up.
+/// Assigns every target to one host; no host gets more than an even share, rounded up.
 ///
-/// Hosts with the same view reach the same result.
+/// The result is deterministic, so hosts with the same view agree without messages.
 pub fn assign<'a>(
     targets: impl ExactSizeIterator<Item = &'a str>,
     hosts: &[&'a str],
--- a/src/process/ownership/mod.rs
+++ b/src/process/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Who owns which target: session leases, ownership rows, and who should own what.
+//! Ownership of targets by hosts: session leases, ownership rows and the assignment of targets.
 
 mod assignment;
 mod owner_row;
--- a/src/process/ownership/owner_row.rs
+++ b/src/process/ownership/owner_row.rs
@@ -1,17 +1,17 @@
 use serde::{Deserialize, Serialize};
 
-/// Rows that say who owns a target.
+/// Key prefix of the rows that name the owner of a target.
 pub const OWNER_PREFIX: &str = "owner/";
 
-/// Rows that say which process runs on a host, renewed while it lives.
+/// Key prefix of the rows that name the process of a host; it renews the row while it runs.
 pub const SESSION_PREFIX: &str = "session/";
 
-/// Key of a target's ownership row.
+/// Returns the key of a target's ownership row.
 pub fn owner_key(target: &str) -> String {
     format!("{OWNER_PREFIX}{target}")
 }
 
-/// Key of a host's session row.
+/// Returns the key of a host's session row.
 pub fn session_key(host: &str) -> String {
     format!("{SESSION_PREFIX}{host}")
 }
@@ -28,6 +28,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRow {
     pub session: u64,
-    /// True once the process has stopped by plan and gives no more orders.
+    /// True once the process has shut down cleanly and sends no more orders to engines.
     pub ended: bool,
 }
--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -8,10 +8,10 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// An owner that sees a better assignment waits this long before it hands over.
+/// Delay before a target is handed over to the host it is assigned to.
 const HANDOVER_CALM: Duration = Duration::from_millis(600);
 
-/// Targets handed over in one step, so that a joining host causes no storm.
+/// Maximum number of handovers per decision, to limit the load when a host joins.
 const HANDOVERS_AT_ONCE: usize = 4;
 
 /// A target that this process owns.
@@ -19,52 +19,54 @@
 pub struct HeldTarget {
     /// The version of the ownership row.
     pub fence: u64,
-    /// Term of the lease that it was gained in.
+    /// Lease term in which the target was acquired.
     pub term: u64,
     pub since: Instant,
 }
 
-/// A row as last seen.
+/// The latest known state of an ownership row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct SeenRow {
     version: u64,
     row: OwnerRow,
 }
 
-/// What ownership wants done at the table.
+/// An operation on the table that `Ownership` requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnershipAction {
-    /// Commit the target's row to this process if it still has the version seen.
+    /// Writes this process as owner if the row still has version `seen`.
     Take { target: String, seen: u64 },
-    /// Commit the target's row to another host.
+    /// Writes another host as owner if the row still has version `seen`.
     HandOver {
         target: String,
         seen: u64,
         to: String,
         session: u64,
     },
-    /// Read the session row of a host whose end must be awaited.
+    /// Reads the session row of a host whose session must end before its targets are taken over.
     WatchSession { host: String },
 }
 
-/// Decides which targets this process takes, keeps and hands over.
+/// Decides which targets this process takes over, keeps and hands over.
 pub struct Ownership {
     me: String,
     session: u64,
-    /// Lease, margin and order time: how long a lapsed owner could still act.
+    /// Time after which a session that is not renewed counts as expired: lease length and margin.
     wait: Duration,
     rows: BTreeMap<String, SeenRow>,
     held: BTreeMap<String, HeldTarget>,
-    /// Transactions under way, by target.
+    /// Start of the transaction in flight, by target.
     pending: BTreeMap<String, Instant>,
     watch: SessionWatch,
-    /// Who should own each target, and the revision and hosts that it was computed for.
+    /// The host that each target is assigned to.
     assigned: BTreeMap<String, String>,
+    /// Configuration revision and hosts that the assignment was computed for.
     assigned_for: (u64, Vec<String>),
+    /// Since when an owned target has been assigned to another host.
     better_since: BTreeMap<String, Instant>,
 }
 
-/// A transaction whose outcome was never learnt is tried again after this time.
+/// Time after which a transaction with an unknown outcome may be repeated.
 const PENDING_LIMIT: Duration = Duration::from_secs(3);
 
 impl Ownership {
@@ -87,12 +89,12 @@
         }
     }
 
-    /// Targets that this process owns.
+    /// Returns the targets that this process owns.
     pub fn held(&self) -> &BTreeMap<String, HeldTarget> {
         &self.held
     }
 
-    /// The owner that the table last named, with the fence.
+    /// Returns the last known owner of a target and its fence.
     pub fn owner(
         &self,
         target: &str,
@@ -102,14 +104,14 @@
             .map(|seen| (seen.row.host.as_str(), seen.version))
     }
 
-    /// Every row as last seen, with its version.
+    /// Returns the target, version and value of every known row.
     pub fn rows(&self) -> impl Iterator<Item = (&String, u64, &OwnerRow)> {
         self.rows
             .iter()
             .map(|(target, seen)| (target, seen.version, &seen.row))
     }
 
-    /// A row was read or written; returns the target when this process gained or lost it.
+    /// Records a row that was read or written; returns whether this process gained or lost the target.
     pub fn on_row(
         &mut self,
         target: &str,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// A row was deleted, or the target left the configuration.
+    /// Removes a row that was deleted from the table.
     pub fn forget(
         &mut self,
         target: &str,
@@ -150,7 +152,7 @@
         self.held.remove(target).map(|_| OwnerChange::Lost)
     }
 
-    /// The target refused this process's fence: someone else owns it.
+    /// Gives up a target that rejected this process's fence, as another host owns it.
     pub fn on_fenced_off(
         &mut self,
         target: &str,
@@ -158,7 +160,7 @@
         self.held.remove(target).map(|_| OwnerChange::Lost)
     }
 
-    /// A transaction came to nothing.
+    /// Clears the transaction in flight after it failed.
     pub fn on_failed(
         &mut self,
         target: &str,
@@ -166,7 +168,7 @@
         self.pending.remove(target);
     }
 
-    /// A watched session row was read.
+    /// Records a read of a watched session row.
     pub fn on_session_read(
         &mut self,
         host: &str,
@@ -178,7 +180,7 @@
         self.watch.on_read(host, version, row, asked, now);
     }
 
-    /// What should be done now.
+    /// Returns the operations that are due.
     pub fn decide(
         &mut self,
         config: &SiteConfig,
@@ -201,7 +203,7 @@
                     let fence = held.fence;
                     self.hand_over(target, fence, host, membership, now)
                 }
-                // What an old term of the lease gave may be another host's by now.
+                // The lease lapsed since the target was acquired: another host may own it now.
                 Some(held) if held.term != term && !checks_fences(config, target) => {
                     let seen = held.fence;
                     Some(OwnershipAction::Take {
@@ -231,7 +233,7 @@
         actions
     }
 
-    /// Computes who should own what, only when the hosts or the targets have changed.
+    /// Recomputes the assignment if the hosts or the configuration have changed.
     fn assign_anew(
         &mut self,
         config: &SiteConfig,
@@ -249,6 +251,7 @@
         self.assigned_for = (config.revision, hosts);
     }
 
+    /// Takes a target over once its previous owner can no longer act on it.
     fn take(
         &mut self,
         target: &str,
@@ -263,7 +266,7 @@
         let Some(seen) = self.rows.get(target) else {
             return Some(take(0));
         };
-        // A row of this host's earlier process: that process is gone.
+        // The row names an earlier process of this host, which has exited.
         if seen.row.host == self.me {
             return Some(take(seen.version));
         }
@@ -282,6 +285,7 @@
         Some(OwnershipAction::WatchSession { host })
     }
 
+    /// Hands a target over to a live host once the delay has elapsed, or at once during shutdown.
     fn hand_over(
         &mut self,
         target: &str,
@@ -319,7 +323,7 @@
         .is_some_and(|spec| spec.checks_fences)
 }
 
-/// What a row changed for this process.
+/// The effect of a row on this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerChange {
     Gained,
--- a/src/process/ownership/session_lease.rs
+++ b/src/process/ownership/session_lease.rs
@@ -9,22 +9,22 @@
     },
 };
 
-/// This process's own lease, readable from every thread at the last moment before an order.
+/// The lease of this process, shared by all threads that check it before they send an order.
 ///
-/// It counts from the start of the renewal that succeeded, on the monotonic clock, which goes on
-/// while the process is paused.
+/// It runs from the time at which the last successful renewal was sent, by the monotonic clock, which
+/// keeps running while the process is paused.
 #[derive(Debug, Clone)]
 pub struct SessionLease {
     start: Instant,
     length: Duration,
-    /// Microseconds after `start` at which the lease ends.
+    /// End of the lease in microseconds after `start`.
     until_us: Arc<AtomicU64>,
-    /// Grows whenever the lease is held again after it had lapsed.
+    /// Incremented when the lease is renewed after it had lapsed.
     term: Arc<AtomicU64>,
 }
 
 impl SessionLease {
-    /// A lease that has not begun.
+    /// Returns a lease that is not valid until its first renewal.
     pub fn new(length: Duration) -> Self {
         Self {
             start: Instant::now(),
@@ -34,29 +34,29 @@
         }
     }
 
-    /// Notes a renewal that was sent at `sent` and confirmed at `confirmed`.
+    /// Records a renewal that was sent at `sent` and confirmed at `confirmed`.
     ///
-    /// One that is confirmed after the lease had lapsed begins a new term: in between another
-    /// host may have taken what was held, so what the old term gave is void.
+    /// A renewal confirmed after the lease had lapsed starts a new term, as another host may have
+    /// taken over targets in between.
     pub fn renewed(
         &self,
         sent: Instant,
         confirmed: Instant,
     ) {
         if self.micros(confirmed) >= self.until_us.load(Ordering::Acquire) {
-            // Before the new end is seen, so that nobody takes the old term for the new one.
+            // Incremented before the end is extended, so that no reader sees the old term as valid.
             self.term.fetch_add(1, Ordering::AcqRel);
         }
         let until = self.micros(sent + self.length);
         self.until_us.fetch_max(until, Ordering::AcqRel);
     }
 
-    /// The term that the lease is in, or was in last; the first is 1.
+    /// Returns the current or, after a lapse, the last term; the first is 1.
     pub fn term(&self) -> u64 {
         self.term.load(Ordering::Acquire)
     }
 
-    /// True while the lease holds and is in the term `term`.
+    /// Returns true if the lease is valid and in term `term`.
     pub fn holds_in(
         &self,
         term: u64,
@@ -65,7 +65,7 @@
         self.holds(now) && self.term() == term
     }
 
-    /// True while the lease holds.
+    /// Returns true if the lease has not lapsed.
     pub fn holds(
         &self,
         now: Instant,
--- a/src/process/ownership/session_watch.rs
+++ b/src/process/ownership/session_watch.rs
@@ -4,31 +4,32 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Watches the session rows of hosts believed dead, to see them lapse.
+/// Tracks the session rows of hosts believed dead, to detect that their leases have lapsed.
 ///
-/// A session has lapsed when a read shows the version that was there a lease and a margin before,
-/// by this process's own clock: no clocks of two hosts are compared.
+/// A session has lapsed when its row keeps one version for the lease length and a margin. Only the
+/// local clock is used, so clock skew between hosts has no effect.
 #[derive(Debug, Default)]
 pub struct SessionWatch {
     seen: BTreeMap<String, Seen>,
 }
 
+/// The latest version of a session row.
 #[derive(Debug)]
 struct Seen {
     version: u64,
     row: Option<SessionRow>,
     first: Instant,
-    /// When the last read that found the version was sent.
+    /// When the last read that returned this version was sent.
     confirmed: Instant,
 }
 
 impl SessionWatch {
-    /// Hosts that are watched.
+    /// Returns the watched hosts.
     pub fn hosts(&self) -> impl Iterator<Item = &String> {
         self.seen.keys()
     }
 
-    /// Starts to watch a host; nothing is known of its row yet.
+    /// Starts watching a host; does nothing if it is watched already.
     pub fn watch(
         &mut self,
         host: &str,
@@ -42,7 +43,7 @@
         });
     }
 
-    /// Watches only the hosts for which `wanted` holds.
+    /// Stops watching the hosts for which `wanted` returns false.
     pub fn keep(
         &mut self,
         wanted: impl Fn(&str) -> bool,
@@ -50,7 +51,7 @@
         self.seen.retain(|host, _| wanted(host));
     }
 
-    /// A read of a watched row that was sent at `asked`; version 0 is an absent row.
+    /// Records a read of a watched row that was sent at `asked`; version 0 is an absent row.
     pub fn on_read(
         &mut self,
         host: &str,
@@ -73,7 +74,7 @@
         seen.confirmed = seen.confirmed.max(asked);
     }
 
-    /// True when the session can give no more orders.
+    /// Returns true if the session has ended or its lease has lapsed.
     pub fn is_over(
         &self,
         host: &str,
