--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -9,10 +9,10 @@
 };
 
 /// Delay before a target is handed over to the host it is assigned to.
-const HANDOVER_CALM: Duration = Duration::from_millis(600);
+const HANDOVER_DELAY: Duration = Duration::from_millis(600);
 
 /// Maximum number of handovers per decision, to limit the load when a host joins.
-const HANDOVERS_AT_ONCE: usize = 4;
+const MAX_HANDOVERS_PER_DECISION: usize = 4;
 
 /// A target that this process owns.
 #[derive(Debug, Clone, PartialEq)]
@@ -26,7 +26,7 @@
 
 /// The latest known state of an ownership row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct SeenRow {
+struct KnownRow {
     version: u64,
     row: OwnerRow,
 }
@@ -49,11 +49,11 @@
 
 /// Decides which targets this process takes over, keeps and hands over.
 pub struct Ownership {
-    me: String,
+    local_host: String,
     session: u64,
     /// Time after which a session that is not renewed counts as expired: lease length and margin.
-    wait: Duration,
-    rows: BTreeMap<String, SeenRow>,
+    lapse_wait: Duration,
+    rows: BTreeMap<String, KnownRow>,
     held: BTreeMap<String, HeldTarget>,
     /// Start of the transaction in flight, by target.
     pending: BTreeMap<String, Instant>,
@@ -63,29 +63,29 @@
     /// Configuration revision and hosts that the assignment was computed for.
     assigned_for: (u64, Vec<String>),
     /// Since when an owned target has been assigned to another host.
-    better_since: BTreeMap<String, Instant>,
+    misplaced_since: BTreeMap<String, Instant>,
 }
 
 /// Time after which a transaction with an unknown outcome may be repeated.
-const PENDING_LIMIT: Duration = Duration::from_secs(3);
+const PENDING_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Ownership {
     pub fn new(
-        me: &str,
+        local_host: &str,
         session: u64,
-        wait: Duration,
+        lapse_wait: Duration,
     ) -> Self {
         Self {
-            me: me.to_string(),
+            local_host: local_host.to_string(),
             session,
-            wait,
+            lapse_wait,
             rows: BTreeMap::new(),
             held: BTreeMap::new(),
             pending: BTreeMap::new(),
             watch: SessionWatch::default(),
             assigned: BTreeMap::new(),
             assigned_for: (0, Vec::new()),
-            better_since: BTreeMap::new(),
+            misplaced_since: BTreeMap::new(),
         }
     }
 
@@ -125,9 +125,9 @@
             return None;
         }
         self.pending.remove(target);
-        let ours = row.host == self.me && row.session == self.session;
+        let ours = row.host == self.local_host && row.session == self.session;
         self.rows
-            .insert(target.to_string(), SeenRow { version, row });
+            .insert(target.to_string(), KnownRow { version, row });
         match (ours, self.held.remove(target)) {
             (true, _) => {
                 let held = HeldTarget {
@@ -174,10 +174,10 @@
         host: &str,
         version: u64,
         row: Option<super::SessionRow>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) {
-        self.watch.on_read(host, version, row, asked, now);
+        self.watch.on_read(host, version, row, requested_at, now);
     }
 
     /// Returns the operations that are due.
@@ -189,8 +189,8 @@
         now: Instant,
     ) -> Vec<OwnershipAction> {
         self.pending
-            .retain(|_, since| now.saturating_duration_since(*since) < PENDING_LIMIT);
-        self.assign_anew(config, membership);
+            .retain(|_, since| now.saturating_duration_since(*since) < PENDING_TIMEOUT);
+        self.update_assignment(config, membership);
         let assigned = std::mem::take(&mut self.assigned);
         let mut actions = Vec::new();
         let mut handovers = 0;
@@ -199,7 +199,9 @@
                 continue;
             }
             let action = match self.held.get(target) {
-                Some(held) if *host != self.me && handovers < HANDOVERS_AT_ONCE => {
+                Some(held)
+                    if *host != self.local_host && handovers < MAX_HANDOVERS_PER_DECISION =>
+                {
                     let fence = held.fence;
                     self.hand_over(target, fence, host, membership, now)
                 }
@@ -212,10 +214,10 @@
                     })
                 }
                 Some(_) => {
-                    self.better_since.remove(target);
+                    self.misplaced_since.remove(target);
                     None
                 }
-                None if *host == self.me => self.take(target, config, membership, now),
+                None if *host == self.local_host => self.take(target, config, membership, now),
                 None => None,
             };
             if let Some(action) = action {
@@ -234,7 +236,7 @@
     }
 
     /// Recomputes the assignment if the hosts or the configuration have changed.
-    fn assign_anew(
+    fn update_assignment(
         &mut self,
         config: &SiteConfig,
         membership: &Membership,
@@ -245,8 +247,11 @@
             return;
         }
         let targets = config.targets.keys().map(String::as_str);
-        let owned = |(target, host): (&str, &str)| (target.to_string(), host.to_string());
-        self.assigned = assign(targets, &hosts).into_iter().map(owned).collect();
+        let to_owned_pair = |(target, host): (&str, &str)| (target.to_string(), host.to_string());
+        self.assigned = assign(targets, &hosts)
+            .into_iter()
+            .map(to_owned_pair)
+            .collect();
         let hosts = hosts.into_iter().map(str::to_string).collect();
         self.assigned_for = (config.revision, hosts);
     }
@@ -267,17 +272,17 @@
             return Some(take(0));
         };
         // The row names an earlier process of this host, which has exited.
-        if seen.row.host == self.me {
+        if seen.row.host == self.local_host {
             return Some(take(seen.version));
         }
         if !membership.is_gone(&seen.row.host) {
             return None;
         }
-        let checks = checks_fences(config, target);
-        let over = self
+        let fences_checked = checks_fences(config, target);
+        let session_over = self
             .watch
-            .is_over(&seen.row.host, seen.row.session, self.wait);
-        if over || checks && membership.is_surely_dead(&seen.row.host) {
+            .is_over(&seen.row.host, seen.row.session, self.lapse_wait);
+        if session_over || fences_checked && membership.is_surely_dead(&seen.row.host) {
             return Some(take(seen.version));
         }
         let host = seen.row.host.clone();
@@ -298,12 +303,15 @@
         if member.liveness != Liveness::Alive {
             return None;
         }
-        let since = *self.better_since.entry(target.to_string()).or_insert(now);
-        let calm = now.saturating_duration_since(since) >= HANDOVER_CALM;
-        if !calm && !membership.is_leaving() {
+        let since = *self
+            .misplaced_since
+            .entry(target.to_string())
+            .or_insert(now);
+        let delay_elapsed = now.saturating_duration_since(since) >= HANDOVER_DELAY;
+        if !delay_elapsed && !membership.is_leaving() {
             return None;
         }
-        self.better_since.remove(target);
+        self.misplaced_since.remove(target);
         Some(OwnershipAction::HandOver {
             target: target.to_string(),
             seen: fence,
