--- a/src/process/ownership/mod.rs
+++ b/src/process/ownership/mod.rs
@@ -9,7 +9,7 @@
 pub use {
     assignment::{assign, rank},
     owner_row::{OWNER_PREFIX, OwnerRow, SESSION_PREFIX, SessionRow, owner_key, session_key},
-    ownership::{HeldTarget, OwnerChange, Ownership, OwnershipAction},
+    ownership::{OwnedTarget, OwnerChange, Ownership, OwnershipAction},
     session_lease::SessionLease,
     session_watch::SessionWatch,
 };
--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -16,7 +16,7 @@
 
 /// A target that this process owns.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HeldTarget {
+pub struct OwnedTarget {
     /// The version of the ownership row.
     pub fence: u64,
     /// Lease term in which the target was acquired.
@@ -54,7 +54,7 @@
     /// Time after which a session that is not renewed counts as expired: lease length and margin.
     lapse_wait: Duration,
     rows: BTreeMap<String, KnownRow>,
-    held: BTreeMap<String, HeldTarget>,
+    held: BTreeMap<String, OwnedTarget>,
     /// Start of the transaction in flight, by target.
     pending: BTreeMap<String, Instant>,
     watch: SessionWatch,
@@ -90,7 +90,7 @@
     }
 
     /// Returns the targets that this process owns.
-    pub fn held(&self) -> &BTreeMap<String, HeldTarget> {
+    pub fn held(&self) -> &BTreeMap<String, OwnedTarget> {
         &self.held
     }
 
@@ -130,7 +130,7 @@
             .insert(target.to_string(), KnownRow { version, row });
         match (ours, self.held.remove(target)) {
             (true, _) => {
-                let held = HeldTarget {
+                let held = OwnedTarget {
                     fence: version,
                     term,
                     since: now,
