--- a/src/process/control/control.rs
+++ b/src/process/control/control.rs
@@ -157,7 +157,7 @@
                 term,
             } => self.on_owner_row(&target, version, row, term, now),
             Input::OwnerFailed { target } => {
-                self.ownership.on_failed(&target);
+                self.ownership.on_transaction_failed(&target);
                 Vec::new()
             }
             Input::Config(config) => self.on_config(config),
@@ -294,7 +294,7 @@
                 actions.extend(named(target, state.set_spec(spec.clone())));
             }
         }
-        let held: Vec<String> = self.ownership.held().keys().cloned().collect();
+        let held: Vec<String> = self.ownership.owned().keys().cloned().collect();
         let now = Instant::now();
         for target in held {
             actions.extend(self.open_target(&target, now));
--- a/src/process/control/control_ownership.rs
+++ b/src/process/control/control_ownership.rs
@@ -80,7 +80,7 @@
             return Vec::new();
         };
         if row.deleted {
-            return match self.ownership.forget(target) {
+            return match self.ownership.on_row_deleted(target) {
                 Some(change) => self.on_owner_change(target, change, now),
                 None => Vec::new(),
             };
@@ -149,7 +149,7 @@
         target: &str,
         now: Instant,
     ) -> Vec<Action> {
-        let held = self.ownership.held().get(target);
+        let held = self.ownership.owned().get(target);
         let spec = self.config.targets.get(target);
         let (Some(held), Some(spec)) = (held, spec) else {
             return Vec::new();
--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -54,7 +54,7 @@
     /// Time after which a session that is not renewed counts as expired: lease length and margin.
     lapse_wait: Duration,
     rows: BTreeMap<String, KnownRow>,
-    held: BTreeMap<String, OwnedTarget>,
+    owned: BTreeMap<String, OwnedTarget>,
     /// Start of the transaction in flight, by target.
     pending: BTreeMap<String, Instant>,
     watch: SessionWatch,
@@ -80,7 +80,7 @@
             session,
             lapse_wait,
             rows: BTreeMap::new(),
-            held: BTreeMap::new(),
+            owned: BTreeMap::new(),
             pending: BTreeMap::new(),
             watch: SessionWatch::default(),
             assigned: BTreeMap::new(),
@@ -90,8 +90,8 @@
     }
 
     /// Returns the targets that this process owns.
-    pub fn held(&self) -> &BTreeMap<String, OwnedTarget> {
-        &self.held
+    pub fn owned(&self) -> &BTreeMap<String, OwnedTarget> {
+        &self.owned
     }
 
     /// Returns the last known owner of a target and its fence.
@@ -128,14 +128,14 @@
         let ours = row.host == self.local_host && row.session == self.session;
         self.rows
             .insert(target.to_string(), KnownRow { version, row });
-        match (ours, self.held.remove(target)) {
+        match (ours, self.owned.remove(target)) {
             (true, _) => {
-                let held = OwnedTarget {
+                let owned = OwnedTarget {
                     fence: version,
                     term,
                     since: now,
                 };
-                self.held.insert(target.to_string(), held);
+                self.owned.insert(target.to_string(), owned);
                 Some(OwnerChange::Gained)
             }
             (false, Some(_)) => Some(OwnerChange::Lost),
@@ -144,12 +144,12 @@
     }
 
     /// Removes a row that was deleted from the table.
-    pub fn forget(
+    pub fn on_row_deleted(
         &mut self,
         target: &str,
     ) -> Option<OwnerChange> {
         self.rows.remove(target);
-        self.held.remove(target).map(|_| OwnerChange::Lost)
+        self.owned.remove(target).map(|_| OwnerChange::Lost)
     }
 
     /// Gives up a target that rejected this process's fence, as another host owns it.
@@ -157,11 +157,11 @@
         &mut self,
         target: &str,
     ) -> Option<OwnerChange> {
-        self.held.remove(target).map(|_| OwnerChange::Lost)
+        self.owned.remove(target).map(|_| OwnerChange::Lost)
     }
 
     /// Clears the transaction in flight after it failed.
-    pub fn on_failed(
+    pub fn on_transaction_failed(
         &mut self,
         target: &str,
     ) {
@@ -198,16 +198,16 @@
             if self.pending.contains_key(target) {
                 continue;
             }
-            let action = match self.held.get(target) {
-                Some(held)
+            let action = match self.owned.get(target) {
+                Some(owned)
                     if *host != self.local_host && handovers < MAX_HANDOVERS_PER_DECISION =>
                 {
-                    let fence = held.fence;
+                    let fence = owned.fence;
                     self.hand_over(target, fence, host, membership, now)
                 }
                 // The lease lapsed since the target was acquired: another host may own it now.
-                Some(held) if held.term != term && !checks_fences(config, target) => {
-                    let seen = held.fence;
+                Some(owned) if owned.term != term && !checks_fences(config, target) => {
+                    let seen = owned.fence;
                     Some(OwnershipAction::Take {
                         target: target.to_string(),
                         seen,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -622,14 +622,14 @@
         Some(OwnerChange::Gained)
     );
     assert_eq!(ownership.on_row("t", 4, row("b", 10), 1, now), None);
-    assert_eq!(ownership.held()["t"].fence, 5);
+    assert_eq!(ownership.owned()["t"].fence, 5);
     assert_eq!(
         ownership.on_row("t", 6, row("b", 10), 1, now),
         Some(OwnerChange::Lost)
     );
     // An earlier process of this host is another owner.
     assert_eq!(ownership.on_row("t", 7, row("a", 9), 1, now), None);
-    assert!(ownership.held().is_empty());
+    assert!(ownership.owned().is_empty());
 }
 
 #[test]
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -616,7 +616,7 @@
         };
         let found = self.row.as_ref().map_or(0, |(version, _)| *version);
         if found != seen && self.broken != LeaseBreak::NoCondition {
-            return self.ownership[host].on_failed("t");
+            return self.ownership[host].on_transaction_failed("t");
         }
         self.version += 1;
         self.row = Some((self.version, row.clone()));
@@ -649,7 +649,7 @@
         &mut self,
         host: usize,
     ) -> Result<(), TestCaseError> {
-        let Some(held) = self.ownership[host].held().get("t").cloned() else {
+        let Some(held) = self.ownership[host].owned().get("t").cloned() else {
             return Ok(());
         };
         let may = match self.broken {
