--- a/src/process/ownership/session_watch.rs
+++ b/src/process/ownership/session_watch.rs
@@ -10,23 +10,23 @@
 /// local clock is used, so clock skew between hosts has no effect.
 #[derive(Debug, Default)]
 pub struct SessionWatch {
-    seen: BTreeMap<String, Seen>,
+    watched: BTreeMap<String, WatchedSession>,
 }
 
 /// The latest version of a session row.
 #[derive(Debug)]
-struct Seen {
+struct WatchedSession {
     version: u64,
     row: Option<SessionRow>,
-    first: Instant,
+    unchanged_since: Instant,
     /// When the last read that returned this version was sent.
-    confirmed: Instant,
+    last_read_at: Instant,
 }
 
 impl SessionWatch {
     /// Returns the watched hosts.
     pub fn hosts(&self) -> impl Iterator<Item = &String> {
-        self.seen.keys()
+        self.watched.keys()
     }
 
     /// Starts watching a host; does nothing if it is watched already.
@@ -35,43 +35,45 @@
         host: &str,
         now: Instant,
     ) {
-        self.seen.entry(host.to_string()).or_insert(Seen {
-            version: u64::MAX,
-            row: None,
-            first: now,
-            confirmed: now,
-        });
+        self.watched
+            .entry(host.to_string())
+            .or_insert(WatchedSession {
+                version: u64::MAX,
+                row: None,
+                unchanged_since: now,
+                last_read_at: now,
+            });
     }
 
-    /// Stops watching the hosts for which `wanted` returns false.
+    /// Stops watching the hosts for which `is_watched` returns false.
     pub fn keep(
         &mut self,
-        wanted: impl Fn(&str) -> bool,
+        is_watched: impl Fn(&str) -> bool,
     ) {
-        self.seen.retain(|host, _| wanted(host));
+        self.watched.retain(|host, _| is_watched(host));
     }
 
-    /// Records a read of a watched row that was sent at `asked`; version 0 is an absent row.
+    /// Records a read of a watched row that was sent at `requested_at`; version 0 is an absent row.
     pub fn on_read(
         &mut self,
         host: &str,
         version: u64,
         row: Option<SessionRow>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) {
-        let Some(seen) = self.seen.get_mut(host) else {
+        let Some(watched) = self.watched.get_mut(host) else {
             return;
         };
-        if seen.version != version {
-            *seen = Seen {
+        if watched.version != version {
+            *watched = WatchedSession {
                 version,
                 row,
-                first: now,
-                confirmed: now,
+                unchanged_since: now,
+                last_read_at: now,
             };
         }
-        seen.confirmed = seen.confirmed.max(asked);
+        watched.last_read_at = watched.last_read_at.max(requested_at);
     }
 
     /// Returns true if the session has ended or its lease has lapsed.
@@ -79,18 +81,22 @@
         &self,
         host: &str,
         session: u64,
-        wait: Duration,
+        lapse_wait: Duration,
     ) -> bool {
-        let Some(seen) = self.seen.get(host) else {
+        let Some(watched) = self.watched.get(host) else {
             return false;
         };
-        if seen.version == u64::MAX {
+        if watched.version == u64::MAX {
             return false;
         }
-        let ended = seen
+        let ended = watched
             .row
             .as_ref()
             .is_some_and(|row| row.session == session && row.ended);
-        ended || seen.confirmed.saturating_duration_since(seen.first) >= wait
+        ended
+            || watched
+                .last_read_at
+                .saturating_duration_since(watched.unchanged_since)
+                >= lapse_wait
     }
 }
