--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -231,7 +231,7 @@
             }
         }
         self.assigned = assigned;
-        self.watch.keep(|host| membership.is_gone(host));
+        self.watch.retain(|host| membership.is_gone(host));
         actions
     }
 
@@ -281,7 +281,7 @@
         let fences_checked = checks_fences(config, target);
         let session_over = self
             .watch
-            .is_over(&seen.row.host, seen.row.session, self.lapse_wait);
+            .has_ended(&seen.row.host, seen.row.session, self.lapse_wait);
         if session_over || fences_checked && membership.is_surely_dead(&seen.row.host) {
             return Some(take(seen.version));
         }
--- a/src/process/ownership/session_watch.rs
+++ b/src/process/ownership/session_watch.rs
@@ -46,7 +46,7 @@
     }
 
     /// Stops watching the hosts for which `is_watched` returns false.
-    pub fn keep(
+    pub fn retain(
         &mut self,
         is_watched: impl Fn(&str) -> bool,
     ) {
@@ -77,7 +77,7 @@
     }
 
     /// Returns true if the session has ended or its lease has lapsed.
-    pub fn is_over(
+    pub fn has_ended(
         &self,
         host: &str,
         session: u64,
