--- a/src/process/ownership/session_lease.rs
+++ b/src/process/ownership/session_lease.rs
@@ -18,7 +18,7 @@
     start: Instant,
     length: Duration,
     /// End of the lease in microseconds after `start`.
-    until_us: Arc<AtomicU64>,
+    expires_at_us: Arc<AtomicU64>,
     /// Incremented when the lease is renewed after it had lapsed.
     term: Arc<AtomicU64>,
 }
@@ -29,7 +29,7 @@
         Self {
             start: Instant::now(),
             length,
-            until_us: Arc::default(),
+            expires_at_us: Arc::default(),
             term: Arc::default(),
         }
     }
@@ -43,12 +43,12 @@
         sent: Instant,
         confirmed: Instant,
     ) {
-        if self.micros(confirmed) >= self.until_us.load(Ordering::Acquire) {
+        if self.micros(confirmed) >= self.expires_at_us.load(Ordering::Acquire) {
             // Incremented before the end is extended, so that no reader sees the old term as valid.
             self.term.fetch_add(1, Ordering::AcqRel);
         }
-        let until = self.micros(sent + self.length);
-        self.until_us.fetch_max(until, Ordering::AcqRel);
+        let expires_at = self.micros(sent + self.length);
+        self.expires_at_us.fetch_max(expires_at, Ordering::AcqRel);
     }
 
     /// Returns the current or, after a lapse, the last term; the first is 1.
@@ -70,7 +70,7 @@
         &self,
         now: Instant,
     ) -> bool {
-        self.micros(now) < self.until_us.load(Ordering::Acquire)
+        self.micros(now) < self.expires_at_us.load(Ordering::Acquire)
     }
 
     fn micros(
