--- a/src/process/ownership/assignment.rs
+++ b/src/process/ownership/assignment.rs
@@ -24,16 +24,20 @@
     if hosts.is_empty() {
         return assigned;
     }
-    let share = targets.len().div_ceil(hosts.len());
-    let mut taken: HashMap<&str, usize> = HashMap::new();
+    let max_targets = targets.len().div_ceil(hosts.len());
+    let mut assigned_counts: HashMap<&str, usize> = HashMap::new();
     for target in targets {
-        let has_room = |host: &&&str| taken.get(**host).is_none_or(|taken| *taken < share);
+        let has_capacity = |host: &&&str| {
+            assigned_counts
+                .get(**host)
+                .is_none_or(|assigned_counts| *assigned_counts < max_targets)
+        };
         let best = hosts
             .iter()
-            .filter(has_room)
+            .filter(has_capacity)
             .max_by_key(|host| rank(target, host));
         if let Some(best) = best {
-            *taken.entry(best).or_insert(0) += 1;
+            *assigned_counts.entry(best).or_insert(0) += 1;
             assigned.insert(target, *best);
         }
     }
