--- a/src/process/holding/holding.rs
+++ b/src/process/holding/holding.rs
@@ -203,7 +203,7 @@
         now: Instant,
     ) -> Option<HeldEngine> {
         let held = self.held.get(target)?;
-        self.lease.holds_in(held.term, now).then_some(*held)
+        self.lease.is_valid_in(held.term, now).then_some(*held)
     }
 
     /// What should be done now.
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -299,7 +299,7 @@
             let expect = expect_line(&formats, &target);
             let call = formats.order_call(&order);
             // The last moment before the order leaves.
-            if !lease.holds_in(term, Instant::now() + LEASE_MARGIN) {
+            if !lease.is_valid_in(term, Instant::now() + LEASE_MARGIN) {
                 let _ = events.send(ControlEvent::OrderWithheld { target });
                 return;
             }
--- a/src/process/node/action_runner.rs
+++ b/src/process/node/action_runner.rs
@@ -367,7 +367,7 @@
             order: order.clone(),
         };
         // Looked at last: a process that was paused may have a successor by now.
-        if !spec.checks_fences && !self.lease.holds_in(term, Instant::now()) {
+        if !spec.checks_fences && !self.lease.is_valid_in(term, Instant::now()) {
             return Err(TargetError::NotReached("the lease has lapsed".into()));
         }
         self.client.order(spec.address, &request, limit).await
--- a/src/process/ownership/session_lease.rs
+++ b/src/process/ownership/session_lease.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns true if the lease is valid and in term `term`.
-    pub fn holds_in(
+    pub fn is_valid_in(
         &self,
         term: u64,
         now: Instant,
--- a/src/request/owner_service.rs
+++ b/src/request/owner_service.rs
@@ -360,7 +360,7 @@
         term: u64,
     ) -> bool {
         let context = &self.context;
-        context.lease.holds_in(term, Instant::now()) || context.view.load().table_out_for_all
+        context.lease.is_valid_in(term, Instant::now()) || context.view.load().table_out_for_all
     }
 
     fn spec(
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -651,13 +651,13 @@
     let lease = SessionLease::new(ms(1_000));
     let sent = Instant::now() + ms(1);
     lease.renewed(sent, sent + ms(10));
-    assert!(lease.holds_in(1, sent + ms(500)));
+    assert!(lease.is_valid_in(1, sent + ms(500)));
     lease.renewed(sent + ms(900), sent + ms(950));
-    assert!(lease.holds_in(1, sent + ms(1_500)));
+    assert!(lease.is_valid_in(1, sent + ms(1_500)));
     // Sent in time and confirmed too late: another may have taken what was held.
     lease.renewed(sent + ms(1_800), sent + ms(1_901));
     let later = sent + ms(2_000);
-    assert!(lease.holds(later) && !lease.holds_in(1, later) && lease.holds_in(2, later));
+    assert!(lease.holds(later) && !lease.is_valid_in(1, later) && lease.is_valid_in(2, later));
 }
 
 #[test]
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -655,7 +655,7 @@
         let may = match self.broken {
             LeaseBreak::NoLookAtLease => true,
             LeaseBreak::NoTerms => self.holds(host),
-            _ => self.lease[host].holds_in(held.term, self.now),
+            _ => self.lease[host].is_valid_in(held.term, self.now),
         };
         if !may {
             return Ok(());
