--- a/src/process/control/control.rs
+++ b/src/process/control/control.rs
@@ -214,7 +214,7 @@
     ) -> bool {
         let mut members = self.membership.members().values();
         let all_heard = members.all(|member| member.liveness < Liveness::Suspect);
-        self.lease.holds(now) || all_heard
+        self.lease.is_valid(now) || all_heard
     }
 
     pub(super) fn on_tick(
@@ -241,7 +241,7 @@
         &mut self,
         now: Instant,
     ) {
-        let holds = self.lease.holds(now);
+        let holds = self.lease.is_valid(now);
         if self.lease_held && !holds {
             self.log.note(Event::SessionLapsed, &[]);
         }
--- a/src/process/control/control_ownership.rs
+++ b/src/process/control/control_ownership.rs
@@ -30,7 +30,7 @@
         let settle = self.settings.membership.probe * SETTLE_PROBES;
         let settled = now.saturating_duration_since(self.started) >= settle;
         let known = self.hosts_read && self.table_read && self.table_reachable();
-        if !settled || !known || !self.lease.holds(now) {
+        if !settled || !known || !self.lease.is_valid(now) {
             return Vec::new();
         }
         let term = self.lease.term();
--- a/src/process/control/control_view.rs
+++ b/src/process/control/control_view.rs
@@ -65,7 +65,7 @@
             incarnation: self.membership.incarnation(),
             config_revision: self.config.revision,
             table_reachable: self.table_reachable(),
-            lease_valid: self.lease.holds(now),
+            lease_valid: self.lease.is_valid(now),
             load_scheduler: scheduler,
             targets: self.targets.iter().map(target_status).collect(),
         }
--- a/src/process/holding/holding.rs
+++ b/src/process/holding/holding.rs
@@ -190,7 +190,7 @@
         now: Instant,
     ) -> impl Iterator<Item = (&String, &HeldEngine)> {
         let term = self.lease.term();
-        let holds = self.lease.holds(now);
+        let holds = self.lease.is_valid(now);
         self.held
             .iter()
             .filter(move |(_, held)| holds && held.term == term)
@@ -232,7 +232,7 @@
             return actions;
         }
         actions.extend(self.renew(wanted, now));
-        if !self.lease.holds(now) {
+        if !self.lease.is_valid(now) {
             return actions;
         }
         if self.read_term != self.lease.term() {
@@ -280,7 +280,7 @@
             Some(version) => {
                 self.row_version = Some(version);
                 self.renewed_version = version;
-                self.lease.renewed(sent, now);
+                self.lease.record_renewal(sent, now);
                 self.next_renewal = sent + self.timings.renew;
             }
             // If the row was written all the same, the next try finds it and expects that.
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -76,7 +76,7 @@
         &self,
         now: Instant,
     ) {
-        let holds = self.holding.lease().holds(now);
+        let holds = self.holding.lease().is_valid(now);
         metrics().lease_held.set(i64::from(holds));
         metrics().engines_held.set(self.desks.len() as i64);
         let adapters: usize = self.desks.values().map(|desk| desk.places().len()).sum();
--- a/src/process/node/action_runner.rs
+++ b/src/process/node/action_runner.rs
@@ -160,7 +160,7 @@
         row: OwnerRow,
     ) {
         let term = self.lease.term();
-        if !self.lease.holds(Instant::now()) {
+        if !self.lease.is_valid(Instant::now()) {
             return self.owner_failed(target);
         }
         let key = owner_key(target);
--- a/src/process/node/session_keeper.rs
+++ b/src/process/node/session_keeper.rs
@@ -52,7 +52,7 @@
             let sent = Instant::now();
             let pause = match self.renew(false) {
                 Ok(()) => {
-                    self.lease.renewed(sent, Instant::now());
+                    self.lease.record_renewal(sent, Instant::now());
                     self.settings.renew
                 }
                 Err(_) => FAILED_PAUSE.mul_f64(rand::rng().random_range(0.5..1.5)),
--- a/src/process/ownership/session_lease.rs
+++ b/src/process/ownership/session_lease.rs
@@ -38,7 +38,7 @@
     ///
     /// A renewal confirmed after the lease had lapsed starts a new term, as another host may have
     /// taken over targets in between.
-    pub fn renewed(
+    pub fn record_renewal(
         &self,
         sent: Instant,
         confirmed: Instant,
@@ -62,11 +62,11 @@
         term: u64,
         now: Instant,
     ) -> bool {
-        self.holds(now) && self.term() == term
+        self.is_valid(now) && self.term() == term
     }
 
     /// Returns true if the lease has not lapsed.
-    pub fn holds(
+    pub fn is_valid(
         &self,
         now: Instant,
     ) -> bool {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -636,12 +636,12 @@
 fn a_lease_counts_from_when_its_renewal_was_sent() {
     let lease = SessionLease::new(ms(1_000));
     let sent = Instant::now() + ms(1);
-    assert!(!lease.holds(sent));
-    lease.renewed(sent, sent);
-    assert!(lease.holds(sent + ms(999)) && !lease.holds(sent + ms(1_000)));
-    lease.renewed(sent - ms(500), sent + ms(400));
+    assert!(!lease.is_valid(sent));
+    lease.record_renewal(sent, sent);
+    assert!(lease.is_valid(sent + ms(999)) && !lease.is_valid(sent + ms(1_000)));
+    lease.record_renewal(sent - ms(500), sent + ms(400));
     assert!(
-        lease.holds(sent + ms(999)),
+        lease.is_valid(sent + ms(999)),
         "an older renewal takes nothing away"
     );
 }
@@ -650,14 +650,14 @@
 fn a_lease_held_again_after_a_lapse_is_another_term() {
     let lease = SessionLease::new(ms(1_000));
     let sent = Instant::now() + ms(1);
-    lease.renewed(sent, sent + ms(10));
+    lease.record_renewal(sent, sent + ms(10));
     assert!(lease.is_valid_in(1, sent + ms(500)));
-    lease.renewed(sent + ms(900), sent + ms(950));
+    lease.record_renewal(sent + ms(900), sent + ms(950));
     assert!(lease.is_valid_in(1, sent + ms(1_500)));
     // Sent in time and confirmed too late: another may have taken what was held.
-    lease.renewed(sent + ms(1_800), sent + ms(1_901));
+    lease.record_renewal(sent + ms(1_800), sent + ms(1_901));
     let later = sent + ms(2_000);
-    assert!(lease.holds(later) && !lease.is_valid_in(1, later) && lease.is_valid_in(2, later));
+    assert!(lease.is_valid(later) && !lease.is_valid_in(1, later) && lease.is_valid_in(2, later));
 }
 
 #[test]
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -538,7 +538,7 @@
             LeaseStep::Renew(host) => {
                 self.version += 1;
                 self.sessions[*host].0 = self.version;
-                self.lease[*host].renewed(self.now, self.now);
+                self.lease[*host].record_renewal(self.now, self.now);
             }
             LeaseStep::Look(host) => self.look(*host),
             LeaseStep::Decide(host) => {
@@ -589,7 +589,7 @@
         &self,
         host: usize,
     ) -> bool {
-        self.lease[host].holds(self.now)
+        self.lease[host].is_valid(self.now)
     }
 
     fn commit(
