--- a/src/process/node/action_runner.rs
+++ b/src/process/node/action_runner.rs
@@ -133,21 +133,24 @@
     ) {
         let runner = self.clone();
         self.jobs.run(move || match action {
-            OwnershipAction::Take { target, seen } => {
+            OwnershipAction::Take {
+                target,
+                expected_version,
+            } => {
                 let row = OwnerRow {
                     host: runner.me.clone(),
                     session: runner.session,
                 };
-                runner.commit_owner(&target, seen, row);
+                runner.commit_owner(&target, expected_version, row);
             }
             OwnershipAction::HandOver {
                 target,
-                seen,
+                expected_version,
                 to,
                 session,
             } => {
                 let row = OwnerRow { host: to, session };
-                runner.commit_owner(&target, seen, row);
+                runner.commit_owner(&target, expected_version, row);
             }
             OwnershipAction::WatchSession { host } => runner.read_session(host),
         });
@@ -156,7 +159,7 @@
     fn commit_owner(
         &self,
         target: &str,
-        seen: u64,
+        expected_version: u64,
         row: OwnerRow,
     ) {
         let term = self.lease.term();
@@ -166,7 +169,7 @@
         let key = owner_key(target);
         let value = serde_json::to_string(&row).expect("owners serialize");
         let committed = self.table.transact(&Transaction {
-            conditions: vec![Condition::new(&key, seen)],
+            conditions: vec![Condition::new(&key, expected_version)],
             writes: vec![Write::put(&key, value)],
         });
         match committed {
--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -34,12 +34,15 @@
 /// An operation on the table that `Ownership` requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnershipAction {
-    /// Writes this process as owner if the row still has version `seen`.
-    Take { target: String, seen: u64 },
-    /// Writes another host as owner if the row still has version `seen`.
+    /// Writes this process as owner if the row still has version `expected_version`.
+    Take {
+        target: String,
+        expected_version: u64,
+    },
+    /// Writes another host as owner if the row still has version `expected_version`.
     HandOver {
         target: String,
-        seen: u64,
+        expected_version: u64,
         to: String,
         session: u64,
     },
@@ -101,14 +104,14 @@
     ) -> Option<(&str, u64)> {
         self.rows
             .get(target)
-            .map(|seen| (seen.row.host.as_str(), seen.version))
+            .map(|expected_version| (expected_version.row.host.as_str(), expected_version.version))
     }
 
     /// Returns the target, version and value of every known row.
     pub fn rows(&self) -> impl Iterator<Item = (&String, u64, &OwnerRow)> {
-        self.rows
-            .iter()
-            .map(|(target, seen)| (target, seen.version, &seen.row))
+        self.rows.iter().map(|(target, expected_version)| {
+            (target, expected_version.version, &expected_version.row)
+        })
     }
 
     /// Records a row that was read or written; returns whether this process gained or lost the target.
@@ -120,7 +123,10 @@
         term: u64,
         now: Instant,
     ) -> Option<OwnerChange> {
-        let old = self.rows.get(target).map_or(0, |seen| seen.version);
+        let old = self
+            .rows
+            .get(target)
+            .map_or(0, |expected_version| expected_version.version);
         if version <= old {
             return None;
         }
@@ -207,10 +213,10 @@
                 }
                 // The lease lapsed since the target was acquired: another host may own it now.
                 Some(owned) if owned.term != term && !checks_fences(config, target) => {
-                    let seen = owned.fence;
+                    let expected_version = owned.fence;
                     Some(OwnershipAction::Take {
                         target: target.to_string(),
-                        seen,
+                        expected_version,
                     })
                 }
                 Some(_) => {
@@ -264,28 +270,30 @@
         membership: &Membership,
         now: Instant,
     ) -> Option<OwnershipAction> {
-        let take = |seen| OwnershipAction::Take {
+        let take = |expected_version| OwnershipAction::Take {
             target: target.to_string(),
-            seen,
+            expected_version,
         };
-        let Some(seen) = self.rows.get(target) else {
+        let Some(expected_version) = self.rows.get(target) else {
             return Some(take(0));
         };
         // The row names an earlier process of this host, which has exited.
-        if seen.row.host == self.local_host {
-            return Some(take(seen.version));
+        if expected_version.row.host == self.local_host {
+            return Some(take(expected_version.version));
         }
-        if !membership.is_gone(&seen.row.host) {
+        if !membership.is_gone(&expected_version.row.host) {
             return None;
         }
         let fences_checked = checks_fences(config, target);
-        let session_over = self
-            .watch
-            .has_ended(&seen.row.host, seen.row.session, self.lapse_wait);
-        if session_over || fences_checked && membership.is_surely_dead(&seen.row.host) {
-            return Some(take(seen.version));
+        let session_over = self.watch.has_ended(
+            &expected_version.row.host,
+            expected_version.row.session,
+            self.lapse_wait,
+        );
+        if session_over || fences_checked && membership.is_surely_dead(&expected_version.row.host) {
+            return Some(take(expected_version.version));
         }
-        let host = seen.row.host.clone();
+        let host = expected_version.row.host.clone();
         self.watch.watch(&host, now);
         Some(OwnershipAction::WatchSession { host })
     }
@@ -314,7 +322,7 @@
         self.misplaced_since.remove(target);
         Some(OwnershipAction::HandOver {
             target: target.to_string(),
-            seen: fence,
+            expected_version: fence,
             to: to.to_string(),
             session: member.session,
         })
