--- a/src/process/ownership/assignment.rs
+++ b/src/process/ownership/assignment.rs
@@ -30,7 +30,7 @@
         let has_capacity = |host: &&&str| {
             assigned_counts
                 .get(**host)
-                .is_none_or(|assigned_counts| *assigned_counts < max_targets)
+                .is_none_or(|count| *count < max_targets)
         };
         let best = hosts
             .iter()
--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -104,14 +104,14 @@
     ) -> Option<(&str, u64)> {
         self.rows
             .get(target)
-            .map(|expected_version| (expected_version.row.host.as_str(), expected_version.version))
+            .map(|known| (known.row.host.as_str(), known.version))
     }
 
     /// Returns the target, version and value of every known row.
     pub fn rows(&self) -> impl Iterator<Item = (&String, u64, &OwnerRow)> {
-        self.rows.iter().map(|(target, expected_version)| {
-            (target, expected_version.version, &expected_version.row)
-        })
+        self.rows
+            .iter()
+            .map(|(target, known)| (target, known.version, &known.row))
     }
 
     /// Records a row that was read or written; returns whether this process gained or lost the target.
@@ -123,10 +123,7 @@
         term: u64,
         now: Instant,
     ) -> Option<OwnerChange> {
-        let old = self
-            .rows
-            .get(target)
-            .map_or(0, |expected_version| expected_version.version);
+        let old = self.rows.get(target).map_or(0, |known| known.version);
         if version <= old {
             return None;
         }
@@ -274,26 +271,24 @@
             target: target.to_string(),
             expected_version,
         };
-        let Some(expected_version) = self.rows.get(target) else {
+        let Some(known) = self.rows.get(target) else {
             return Some(take(0));
         };
         // The row names an earlier process of this host, which has exited.
-        if expected_version.row.host == self.local_host {
-            return Some(take(expected_version.version));
+        if known.row.host == self.local_host {
+            return Some(take(known.version));
         }
-        if !membership.is_gone(&expected_version.row.host) {
+        if !membership.is_gone(&known.row.host) {
             return None;
         }
         let fences_checked = checks_fences(config, target);
-        let session_over = self.watch.has_ended(
-            &expected_version.row.host,
-            expected_version.row.session,
-            self.lapse_wait,
-        );
-        if session_over || fences_checked && membership.is_surely_dead(&expected_version.row.host) {
-            return Some(take(expected_version.version));
+        let session_over =
+            self.watch
+                .has_ended(&known.row.host, known.row.session, self.lapse_wait);
+        if session_over || fences_checked && membership.is_surely_dead(&known.row.host) {
+            return Some(take(known.version));
         }
-        let host = expected_version.row.host.clone();
+        let host = known.row.host.clone();
         self.watch.watch(&host, now);
         Some(OwnershipAction::WatchSession { host })
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -597,12 +597,14 @@
         host: usize,
         action: OwnershipAction,
     ) {
-        let (seen, row) = match action {
-            OwnershipAction::Take { seen, .. } => {
+        let (expected_version, row) = match action {
+            OwnershipAction::Take {
+                expected_version, ..
+            } => {
                 let session = host as u64 + 1;
                 let name = NAMES[host].to_string();
                 (
-                    seen,
+                    expected_version,
                     OwnerRow {
                         host: name,
                         session,
@@ -610,12 +612,15 @@
                 )
             }
             OwnershipAction::HandOver {
-                seen, to, session, ..
-            } => (seen, OwnerRow { host: to, session }),
+                expected_version,
+                to,
+                session,
+                ..
+            } => (expected_version, OwnerRow { host: to, session }),
             OwnershipAction::WatchSession { .. } => return,
         };
         let found = self.row.as_ref().map_or(0, |(version, _)| *version);
-        if found != seen && self.broken != LeaseBreak::NoCondition {
+        if found != expected_version && self.broken != LeaseBreak::NoCondition {
             return self.ownership[host].on_transaction_failed("t");
         }
         self.version += 1;
