--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -8,31 +8,29 @@
     std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// Hosts asked to ping one that does not answer, before it is suspected.
+/// Maximum number of hosts asked to ping an unresponsive host before it is suspected.
 const HELPERS: usize = 2;
 
-/// Rumors in one message, at the most.
 const RUMORS_PER_MESSAGE: usize = 4;
 
-/// Tellings of a rumor, as a multiple of the logarithm of the number of hosts.
+/// Transmissions of a rumor, as a multiple of the base-2 logarithm of the number of hosts.
 const TELLINGS_FACTOR: u32 = 3;
 
-/// Times between pings and until silence counts.
+/// Intervals and timeouts of failure detection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostTimings {
-    /// Each host is pinged about once in this time, as long as `least_pause` allows.
+    /// Interval in which each host is pinged about once, subject to `least_pause`.
     pub round: Duration,
-    /// Shortest time between two pings.
     pub least_pause: Duration,
-    /// Wait for the answer to a ping.
+    /// Wait for a direct answer, before other hosts are asked to ping.
     pub answer: Duration,
-    /// Wait for the helpers.
+    /// Further wait for the indirect pings, before the host is suspected.
     pub helpers: Duration,
-    /// Time that a suspect has to refute.
+    /// Time after which a suspect that has not refuted is declared dead.
     pub refute: Duration,
-    /// A host that was named and never heard is pinged again and again for so long.
+    /// Time for which a host that was never heard is pinged again before it can be declared dead.
     pub first_answer: Duration,
-    /// A host that was dead for so long is forgotten.
+    /// Time after which a dead host is removed.
     pub forget: Duration,
 }
 
@@ -50,14 +48,20 @@
     }
 }
 
-/// What the table wants sent.
+/// A message that the caller must send for the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HostAction {
-    Ping { peer: SocketAddr },
-    PingRequest { via: SocketAddr, peer: SocketAddr },
+    Ping {
+        peer: SocketAddr,
+    },
+    /// Ask `via` to ping `peer`.
+    PingRequest {
+        via: SocketAddr,
+        peer: SocketAddr,
+    },
 }
 
-/// A change of what is believed of a host.
+/// A change in the table's view of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HostEvent {
     StateChanged {
@@ -65,18 +69,18 @@
         name: String,
         state: HostState,
     },
-    /// Others believed this host gone.
+    /// This host refuted a rumor that it is suspect or dead.
     Refuted { incarnation: u32 },
 }
 
-/// A ping without an answer so far.
+/// A ping that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Unanswered {
     since: Instant,
     helpers_asked: bool,
 }
 
-/// The hosts of the site as this one sees them, by pings and rumors in the manner of SWIM.
+/// Membership and state of the hosts of the site, maintained with SWIM-style pings and rumors.
 pub struct HostTable {
     me: HostIdentity,
     incarnation: u32,
@@ -86,12 +90,12 @@
     round: Vec<SocketAddr>,
     next_ping: Option<Instant>,
     unanswered: BTreeMap<SocketAddr, Unanswered>,
-    /// News to be told, by host, with how often it was told.
+    /// Hosts whose rumors are to be sent, with the number of times each was sent.
     news: BTreeMap<SocketAddr, u32>,
     events: Vec<HostEvent>,
-    /// When a host last became known, or this one started.
+    /// When a host was last added; initially the start of this host.
     last_new: Instant,
-    /// Grows when other engines may have a holder that answers.
+    /// Incremented when the set of reachable hosts or the engines they control may have changed.
     holds_epoch: u64,
     rng: StdRng,
     size: SiteSize,
@@ -129,7 +133,7 @@
         self.leaving
     }
 
-    /// The other hosts.
+    /// Returns the other hosts.
     pub fn hosts(&self) -> impl Iterator<Item = &KnownHost> {
         self.hosts.values()
     }
@@ -141,17 +145,17 @@
         self.hosts.get(&peer)
     }
 
-    /// As long as this is the same, the same hosts answer and hold the same engines.
+    /// Returns a counter that stays the same while the same hosts are reachable and control the same engines.
     pub fn holds_epoch(&self) -> u64 {
         self.holds_epoch
     }
 
-    /// Hosts that answer, this one included.
+    /// Returns the number of reachable hosts, including this one.
     pub fn up_count(&self) -> usize {
         1 + self.hosts().filter(|host| host.state.is_up()).count()
     }
 
-    /// These hosts are thought to be there from the start.
+    /// Adds hosts to the long-term count before they are heard.
     pub fn expect(
         &mut self,
         peers: impl Iterator<Item = SocketAddr>,
@@ -160,15 +164,15 @@
         self.size.expect(peers.filter(|peer| *peer != me));
     }
 
-    /// The largest number of hosts that this one, or one that it hears, has counted over a long time; this
-    /// one included, and those that don't answer.
+    /// Returns the largest long-term host count of this host and the hosts that it hears, including this host
+    /// and unreachable ones.
     pub fn known_count(&self) -> usize {
         let told = self.hosts().map(|host| host.counted).max();
         let told = told.map_or(0, |count| count as usize);
         self.size.counted().max(told)
     }
 
-    /// True once no host has become known for so long.
+    /// Returns true if no host has been added for at least `time`.
     pub fn is_settled(
         &self,
         time: Duration,
@@ -177,7 +181,7 @@
         now.saturating_duration_since(self.last_new) >= time
     }
 
-    /// Hosts that take new roles, this one included unless it leaves.
+    /// Returns the hosts that accept new roles, including this one unless it is leaving.
     pub fn eligible(&self) -> Vec<SocketAddr> {
         let mut peers: Vec<SocketAddr> = self
             .hosts()
@@ -191,8 +195,8 @@
         peers
     }
 
-    /// This host's place among those that take new roles, in an order that all agree on: fast links
-    /// first, since who comes first reads what is large for all others.
+    /// Returns this host's rank among the hosts that accept new roles, by descending link bandwidth, then by
+    /// address. All hosts agree on the order; the first reads large tables on behalf of the others.
     pub fn place_by_link(&self) -> usize {
         let rank = |host: &HostIdentity| (Reverse(host.link_mbps), host.peer);
         let mine = rank(&self.me);
@@ -202,7 +206,7 @@
             .count()
     }
 
-    /// Some hosts that answer, drawn by chance.
+    /// Returns up to `count` reachable hosts, chosen at random.
     pub fn pick_up(
         &mut self,
         count: usize,
@@ -214,7 +218,7 @@
         peers
     }
 
-    /// This host, as it is told of to others.
+    /// Returns the rumor that this host sends about itself.
     pub fn my_rumor(
         &self,
         holds: Vec<String>,
@@ -241,12 +245,12 @@
         }
     }
 
-    /// Changes since the last call.
+    /// Returns the changes since the last call.
     pub fn take_events(&mut self) -> Vec<HostEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Rumors for one message.
+    /// Returns the rumors for one message, those sent least often first.
     pub fn take_rumors(&mut self) -> Vec<HostRumor> {
         let hosts = self.hosts.len() + 1;
         let limit = TELLINGS_FACTOR * (usize::BITS - hosts.leading_zeros());
@@ -270,13 +274,13 @@
         rumors
     }
 
-    /// This host begins its planned stop.
+    /// Marks this host as leaving, for a planned stop.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.incarnation += 1;
     }
 
-    /// Passes time: whom to ping now, and who has been silent for too long.
+    /// Updates the states of unresponsive hosts and returns the pings that are due.
     pub fn on_tick(
         &mut self,
         now: Instant,
@@ -294,7 +298,7 @@
         actions
     }
 
-    /// A host was named by the store; it is pinged if it was not known.
+    /// Adds a host that was learned of indirectly and returns a ping to it, unless it is known already.
     pub fn on_named(
         &mut self,
         rumor: &HostRumor,
@@ -310,7 +314,7 @@
         vec![self.ping(peer, now)]
     }
 
-    /// A host told of itself.
+    /// Records a message received directly from a host.
     pub fn on_heard(
         &mut self,
         rumor: &HostRumor,
@@ -363,7 +367,7 @@
         self.set(peer, state, now);
     }
 
-    /// A third host has heard from a host that did not answer this one.
+    /// Records that a host answered an indirect ping.
     pub fn on_vouched(
         &mut self,
         peer: SocketAddr,
@@ -371,7 +375,7 @@
         self.unanswered.remove(&peer);
     }
 
-    /// News of a host from another one.
+    /// Applies a rumor that another host sent, and returns the pings that it calls for.
     pub fn on_rumor(
         &mut self,
         rumor: &HostRumor,
@@ -390,7 +394,7 @@
             return self.on_named(rumor, now);
         };
         if known.identity.process != rumor.process {
-            // Either news of a process that has ended, or of one not heard of yet: ask it.
+            // The process has either ended or is not known yet; a ping finds out which.
             let asks = state.is_up() && known.state != HostState::Alive;
             return match asks {
                 true => vec![self.ping(peer, now)],
@@ -444,7 +448,7 @@
         HostAction::Ping { peer }
     }
 
-    /// Asks helpers about hosts that did not answer, and suspects those that still do not.
+    /// Requests indirect pings of hosts that missed a ping, and suspects those that missed these too.
     fn follow_up(
         &mut self,
         now: Instant,
@@ -479,7 +483,7 @@
         actions
     }
 
-    /// True for a host that has not been heard since it was named, and may still be starting.
+    /// Returns true for a host that was never heard and may still be starting.
     fn is_awaited(
         &self,
         peer: SocketAddr,
@@ -503,6 +507,7 @@
         }
     }
 
+    /// Declares overdue suspects dead and removes hosts that have been dead long enough.
     fn bury(
         &mut self,
         now: Instant,
@@ -525,7 +530,7 @@
             .retain(|_, host| host.state != HostState::Dead || silent(host) < forget);
     }
 
-    /// Each host comes once a round, in an order that changes.
+    /// Returns the next host to ping; each host is pinged once per round, in random order.
     fn next_in_round(&mut self) -> Option<SocketAddr> {
         loop {
             if self.round.is_empty() {
--- a/src/process/hosts/known_host.rs
+++ b/src/process/hosts/known_host.rs
@@ -6,39 +6,39 @@
     std::net::SocketAddr,
 };
 
-/// What does not change while a host's process runs.
+/// Properties of a host that are fixed while its process runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostIdentity {
-    /// Where its datagrams go; names the host.
+    /// Address for datagrams between hosts; identifies the host.
     pub peer: SocketAddr,
     pub name: String,
     pub hall: String,
-    /// Where callers reach it.
+    /// Address that serves callers.
     pub front: SocketAddr,
-    /// Drawn by chance at each start.
+    /// Random id, drawn at each process start.
     pub process: u64,
-    /// What its link carries, in Mbit/s; 0 if that is not known.
+    /// Link bandwidth in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
 }
 
-/// What is believed of a host; later ones outweigh earlier ones of the same incarnation.
+/// State of a host in this host's view; within one incarnation, a greater state overrides a lesser one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HostState {
     Alive,
-    /// It serves on, and takes nothing new.
+    /// Finishes its current work and accepts no new roles.
     Leaving,
-    /// It did not answer, and may still refute.
+    /// Missed a ping, and may still refute the suspicion.
     Suspect,
     Dead,
 }
 
 impl HostState {
-    /// True for a host that answers.
+    /// Returns true if the host is considered reachable.
     pub fn is_up(self) -> bool {
         self < Self::Suspect
     }
 
-    /// The state in logs and figures.
+    /// Returns the name used in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -67,32 +67,33 @@
     }
 }
 
-/// Another host, as this one sees it.
+/// Latest known state of another host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownHost {
     pub identity: HostIdentity,
     pub incarnation: u32,
     pub state: HostState,
-    /// When `state` last changed.
+    /// Time of the last change of `state`.
     pub since: Instant,
-    /// When a message of its own last arrived.
+    /// Arrival of the last message from the host itself; `None` if it is known from others only.
     pub heard: Option<Instant>,
-    /// Engines that it gives orders to.
+    /// Names of the engines that the host controls.
     pub holds: Vec<String>,
-    /// Version of its lease's row, and when this host first knew of that version.
+    /// Version of the host's lease row.
     pub lease_version: u64,
+    /// When this host first learned of `lease_version`.
     pub lease_known_since: Instant,
-    /// It takes requests.
+    /// The host accepts requests.
     pub ready: bool,
-    /// Hosts that it has itself counted over a long time.
+    /// Long-term host count of that host; 0 unless received from the host itself.
     pub counted: u32,
 }
 
 impl KnownHost {
-    /// The host as it is told of to others.
+    /// Returns the rumor to gossip about the host.
     ///
-    /// Nothing bad is told of a host that this one has only heard others name: it may have started
-    /// a moment later, and whoever has heard it knows better.
+    /// A host that was never heard directly is gossiped as alive: it may still be starting, and hosts that
+    /// have heard it know its state better.
     pub fn to_rumor(&self) -> HostRumor {
         let state = match self.heard {
             Some(_) => self.state,
@@ -110,12 +111,12 @@
             lease_version: self.lease_version,
             ready: self.ready,
             link_mbps: self.identity.link_mbps,
-            // Told of itself only: a count that others passed on would never end.
+            // Sent only by the host itself: a count relayed by others would never expire.
             counted: 0,
         }
     }
 
-    /// A host that was told of for the first time.
+    /// Creates the entry of a host that was first learned of from a rumor.
     pub fn from_rumor(
         rumor: &HostRumor,
         now: Instant,
@@ -130,7 +131,7 @@
                 link_mbps: rumor.link_mbps,
             },
             incarnation: rumor.incarnation,
-            // Not believed before it was heard of itself.
+            // Not considered reachable until it is heard directly.
             state: HostState::Suspect,
             since: now,
             heard: None,
--- a/src/process/hosts/mod.rs
+++ b/src/process/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! The other hosts: who is there, who answers callers, and who gives orders to which engine.
+//! SWIM-style tracking of the other hosts: liveness, readiness, held engines, site size and clock bounds.
 
 mod host_table;
 mod known_host;
--- a/src/process/hosts/peer_clocks.rs
+++ b/src/process/hosts/peer_clocks.rs
@@ -3,29 +3,30 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// What an exchange told of another process's clock counts for one to two such times: long enough that
-/// each pair of hosts of a large site makes one (302 hosts ping one another every 30 s), short enough for
-/// clocks that run apart by 100 parts in a million to drift by 12 ms at the most.
+/// Window over which exchanges are aggregated; an exchange is used for one to two windows. Each pair of
+/// hosts of a large site exchanges pings at least once per window (every 30 s among 302 hosts), and clocks
+/// that differ by 100 ppm drift by at most 12 ms in two windows.
 const WINDOW: Duration = Duration::from_secs(60);
 
-/// An answer to a ping of this host, by the clocks of both sides.
+/// An answered ping of this host, with the times read from the clocks of both sides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PingExchange {
     pub peer: SocketAddr,
     /// The process that answered.
     pub process: u64,
-    /// When the ping left this host.
+    /// When this host sent the ping.
     pub pinged: Instant,
-    /// When the answer left the other one, as time since the start of its process.
+    /// When the other host sent the answer, as time since its process started.
     pub answered: Duration,
 }
 
-/// When another process started, by this host's clock, at the earliest.
+/// Earliest possible start time of another process, on this host's clock.
 #[derive(Debug, Clone, Copy)]
 struct PeerClock {
     process: u64,
-    /// From the exchanges of the window that runs, and of the one before.
+    /// Tightest bound from the exchanges of the current window.
     latest: Instant,
+    /// Tightest bound from the previous window.
     before: Option<Instant>,
     window_from: Instant,
 }
@@ -44,19 +45,19 @@
     }
 }
 
-/// Tells when messages of other hosts left them, at the earliest.
+/// Computes the earliest time at which a message from another host can have been sent.
 ///
-/// A message may be on its way for long, as it waits behind large copies on a full link. What it says of ages
-/// holds for when it left, so a host must not take it as of when it arrived. An answer can't have left before
-/// the ping that it answers; that bounds the other side's clock, by which later messages say when they left.
-/// Only steady clocks of processes are used, and no time of day.
+/// A message may be queued for a long time behind bulk transfers on a saturated link, and the ages that it
+/// reports are relative to its send time, not to its arrival. An answer can't be sent before its ping; this
+/// bounds the offset of the sender's clock, which later messages carry as their send time. Only monotonic
+/// process clocks are used, never the time of day.
 #[derive(Debug, Default)]
 pub struct PeerClocks {
     peers: BTreeMap<SocketAddr, PeerClock>,
 }
 
 impl PeerClocks {
-    /// A ping of this host was answered.
+    /// Records an answered ping of this host.
     pub fn on_exchange(
         &mut self,
         exchange: &PingExchange,
@@ -87,9 +88,10 @@
         };
     }
 
-    /// A message left its sender at this time or later; `None` if no ping to that process was answered lately.
+    /// Returns the earliest time at which a message can have been sent, or `None` if that process has not
+    /// answered a ping recently.
     ///
-    /// `sent` is the time since the start of its process.
+    /// `sent` is the send time as time since the start of the sender's process.
     pub fn left_after(
         &self,
         peer: SocketAddr,
--- a/src/process/hosts/site_size.rs
+++ b/src/process/hosts/site_size.rs
@@ -7,25 +7,26 @@
     },
 };
 
-/// A host that was not heard for so long is no longer counted. Regions lose each other for an hour; a host
-/// beyond such a cut still repeats requests, by its share of an allowance that is divided among all.
+/// Time for which a host is counted after its last message. It outlasts a network partition between regions:
+/// a host behind one still spends its share of allowances that are divided among all hosts.
 const KNOWN_TIME: Duration = Duration::from_secs(2 * 3600);
 
-/// The same for a host that has told that it leaves: its process ends within some seconds, and what it spent
-/// counts for a window after that.
+/// Time for which a leaving host is counted. Its process ends within seconds, and the allowance it spent
+/// stays charged for a window after that.
 const LEFT_TIME: Duration = Duration::from_secs(60);
 
-/// How many hosts a site has, counted over a long time by one host.
+/// Long-term count of the hosts of a site, as seen by one host.
 #[derive(Debug, Default)]
 pub struct SiteSize {
-    /// Other hosts that were heard, and until when they are counted.
+    /// Other hosts that were heard, with the time until which each is counted.
     heard: BTreeMap<SocketAddr, Instant>,
-    /// Hosts that are counted from the start.
+    /// Hosts that are counted before they are heard.
     expected: BTreeSet<SocketAddr>,
     counted: usize,
 }
 
 impl SiteSize {
+    /// Adds hosts to count before they are heard.
     pub fn expect(
         &mut self,
         peers: impl Iterator<Item = SocketAddr>,
@@ -50,7 +51,7 @@
         self.heard.insert(peer, now + LEFT_TIME);
     }
 
-    /// Counts anew; `known` are the other hosts that are believed to be there or were so lately.
+    /// Updates the count; `known` holds the other hosts that are in the host table.
     pub fn count<'a>(
         &mut self,
         known: impl Iterator<Item = &'a SocketAddr>,
@@ -64,7 +65,7 @@
         self.counted = 1 + self.heard.len() + unheard.len();
     }
 
-    /// Hosts at the last count, this one included.
+    /// Returns the number of hosts at the last count, including this one.
     pub fn counted(&self) -> usize {
         self.counted
     }
--- a/tests/host_table.rs
+++ b/tests/host_table.rs
@@ -1,4 +1,4 @@
-//! Who the hosts are, while many of them start at the same moment.
+//! Failure detection and gossip of the host table, in particular for hosts that are still starting.
 
 use {
     coveproxy::{
@@ -47,7 +47,7 @@
     }
 }
 
-/// Pings of a host, and the time at which it is believed dead, within a span from the start.
+/// Ticks the table for `span`; returns the number of pings to host 2 and when it was declared dead.
 fn watch(
     table: &mut HostTable,
     start: Instant,
@@ -67,7 +67,7 @@
     (pings, None)
 }
 
-/// The first reader reads a large table for all others, which a slow link would hold up.
+/// Guards against a host with a slow link being chosen to read a large table on behalf of the others.
 #[test]
 fn hosts_with_faster_links_read_first() {
     let now = Instant::now();
@@ -79,7 +79,7 @@
         };
         hosts.on_heard(&rumor, now);
     }
-    // Behind the fast one; before those with the same link and a later address, or none known.
+    // Ranks after the faster link, but before equal links with greater addresses and unknown links.
     assert_eq!(hosts.place_by_link(), 1);
     hosts.on_heard(&rumor(2, RumorState::Leaving), now);
     assert_eq!(hosts.place_by_link(), 0);
@@ -94,7 +94,10 @@
     assert!(pings >= 4, "{pings} pings");
     assert_eq!(dead, None);
     let (_, dead) = watch(&mut table, start + ms(1_400), ms(600));
-    assert!(dead.is_some(), "it is not waited for without an end");
+    assert!(
+        dead.is_some(),
+        "a host that was never heard is not declared dead"
+    );
 }
 
 #[test]
--- a/tests/peer_clocks.rs
+++ b/tests/peer_clocks.rs
@@ -1,4 +1,4 @@
-//! When messages of other hosts left them, by what answered pings tell of their clocks.
+//! Lower bounds on the send time of peer messages, derived from answered pings.
 
 use {
     coveproxy::{
@@ -19,7 +19,7 @@
     "10.0.0.2:7000".parse().unwrap()
 }
 
-/// A ping that left at `pinged`, and whose answer left `there` later; the other process started at `start`.
+/// A ping sent at `pinged` and answered `there` later by a process that started at `start`.
 fn exchange(
     process: u64,
     start: Instant,
@@ -34,8 +34,8 @@
     }
 }
 
-/// A message that left 5 s after the start is never taken to have left later, however long the way of
-/// each ping was; the fastest ping tells most.
+/// The bound never exceeds the actual send time (5 s after the start), and the fastest ping gives the
+/// tightest bound.
 #[rstest]
 #[case::one_fast_ping(&[1], 1)]
 #[case::slow_pings(&[400, 600], 400)]
@@ -56,7 +56,7 @@
     assert_eq!(left, Some(start + ms(5_000) - ms(early)));
 }
 
-/// What was known of a process says nothing of its successor, and nothing once it is old.
+/// The bound of one process does not apply to its successor, and it expires.
 #[rstest]
 #[case::before_any_answer(None, PROCESS, 10, false)]
 #[case::the_same_process(Some(1), PROCESS, 10, true)]
@@ -79,8 +79,8 @@
     assert_eq!(left.is_some(), is_known);
 }
 
-/// A clock that runs fast by 100 parts in a million: after an hour a message seems to have left 12 ms
-/// later than it did at the most, though the first exchange would say 360 ms.
+/// The peer's clock runs fast by 100 ppm: after an hour the error must stay within 12 ms, where the first
+/// exchange alone would be off by 360 ms.
 #[test]
 fn clocks_that_run_apart_do_not_add_up() {
     let start = Instant::now();
