--- a/src/process/membership/member.rs
+++ b/src/process/membership/member.rs
@@ -1,34 +1,35 @@
 use {crate::clock::Instant, crate::connection::platform::ListedHost};
 
-/// What is believed of a host.
+/// State of a host in this host's view; within one incarnation, a greater state overrides a lesser one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
     Alive,
-    /// Alive, but asked to take no new work.
+    /// Alive, but accepts no new work.
     Leaving,
-    /// Did not answer; it may still refute.
+    /// Missed its probes, and may still refute the suspicion.
     Suspect,
     Dead,
 }
 
 impl Liveness {
-    /// True for a host that requests may be forwarded to.
+    /// Returns true if requests may be forwarded to the host.
     pub fn answers(self) -> bool {
         self != Self::Dead
     }
 }
 
-/// Another host, as this one sees it.
+/// Latest known state of another host.
 #[derive(Debug, Clone)]
 pub struct Member {
     pub listed: ListedHost,
     pub liveness: Liveness,
     pub incarnation: u64,
-    /// The process that runs there; 0 when never heard of.
+    /// Id of the process that runs on the host; 0 if the host was never heard.
     pub session: u64,
-    /// When `liveness` last changed.
+    /// Time of the last change of `liveness`.
     pub since: Instant,
-    /// What it last said of itself.
+    /// Whether the host could reach the shared table, as of its last heartbeat.
     pub table_reachable: bool,
+    /// Configuration revision of the host, as of its last heartbeat.
     pub config_revision: u64,
 }
--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -9,40 +9,40 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Hosts asked to probe on this one's behalf before a host is suspected.
+/// Maximum number of hosts asked to probe an unresponsive host before it is suspected.
 const HELPERS: usize = 3;
 
-/// What membership wants done.
+/// A step that the caller must carry out for `Membership`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Send a heartbeat and report the answer or its lack.
+    /// Send a heartbeat and report the answer or the failure.
     Probe { host: String },
     /// Ask `via` to probe `host`.
     ProbeVia { via: String, host: String },
 }
 
-/// A change of what is believed of a host.
+/// A change of a host's liveness.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipNews {
     pub host: String,
     pub liveness: Liveness,
 }
 
-/// What a host says of itself.
+/// State of a host, as sent by the host itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     pub host: String,
     pub incarnation: u64,
-    /// Names the process that runs on the host.
+    /// Id of the process that runs on the host.
     pub session: u64,
     pub leaving: bool,
     pub table_reachable: bool,
     pub config_revision: u64,
 }
 
-/// The hosts of the site as this one sees them, by probes and rumors in the manner of SWIM.
+/// Membership and liveness of the hosts of the site, maintained with SWIM-style probes and rumors.
 ///
-/// Each period one other host is probed, so that the cost does not grow with the site.
+/// One other host is probed in each period, so that the cost does not grow with the site.
 pub struct Membership {
     me: String,
     incarnation: u64,
@@ -50,10 +50,10 @@
     settings: MembershipSettings,
     members: BTreeMap<String, Member>,
     round: Vec<String>,
-    /// Hosts that were listed since the last tick, to be probed at once.
+    /// Hosts that were listed since the last tick, probed at the next one.
     fresh: Vec<String>,
     next_probe: Option<Instant>,
-    /// Helpers whose answers about a host are still out.
+    /// Number of outstanding indirect probes, by probed host.
     asked: BTreeMap<String, usize>,
     rumors: RumorQueue,
     rng: StdRng,
@@ -90,12 +90,12 @@
         self.leaving
     }
 
-    /// The other hosts.
+    /// Returns the other hosts by name.
     pub fn members(&self) -> &BTreeMap<String, Member> {
         &self.members
     }
 
-    /// Hosts that take new roles, this one included unless it leaves.
+    /// Returns the hosts that accept new roles, including this one unless it is leaving.
     pub fn eligible(&self) -> Vec<&str> {
         let mut hosts: Vec<&str> = self
             .members
@@ -110,7 +110,7 @@
         hosts
     }
 
-    /// True when a host is believed dead or is not on the list.
+    /// Returns true if a host is dead or no longer listed.
     pub fn is_gone(
         &self,
         host: &str,
@@ -122,9 +122,9 @@
                 .is_none_or(|member| member.liveness == Liveness::Dead)
     }
 
-    /// True when a host on the list is believed dead by this one and most hosts answer it.
+    /// Returns true if a listed host is dead and this host reaches a majority of the listed hosts.
     ///
-    /// Of two parted sides at most one can say so; the other must see leases lapse.
+    /// In a network partition this holds on at most one side; the other side must wait for leases to expire.
     pub fn is_surely_dead(
         &self,
         host: &str,
@@ -138,30 +138,30 @@
         majority && self.members.contains_key(host) && self.is_gone(host)
     }
 
-    /// True when some other host that answers can reach the table.
+    /// Returns true if another reachable host can reach the shared table.
     pub fn another_reaches_table(&self) -> bool {
         self.members
             .values()
             .any(|member| member.liveness < Liveness::Suspect && member.table_reachable)
     }
 
-    /// True when other hosts are listed and none of them answers.
+    /// Returns true if other hosts are listed and none of them is reachable.
     pub fn is_alone(&self) -> bool {
         let mut members = self.members.values();
         !self.members.is_empty() && members.all(|member| member.liveness >= Liveness::Suspect)
     }
 
-    /// Changes of belief since the last call.
+    /// Returns the liveness changes since the last call.
     pub fn take_news(&mut self) -> Vec<MembershipNews> {
         std::mem::take(&mut self.news)
     }
 
-    /// Rumors for one outgoing heartbeat.
+    /// Returns the rumors for one outgoing heartbeat.
     pub fn take_rumors(&mut self) -> Vec<Rumor> {
         self.rumors.take(self.members.len() + 1)
     }
 
-    /// The platform's list: hosts it no longer names are forgotten.
+    /// Applies the platform's host list: adds new hosts and removes those no longer listed.
     pub fn on_host_list(
         &mut self,
         hosts: Vec<ListedHost>,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Passes time: starts the next probe and buries suspects that did not refute.
+    /// Declares overdue suspects dead and returns the probes that are due.
     pub fn on_tick(
         &mut self,
         now: Instant,
@@ -195,7 +195,7 @@
         hosts.into_iter().map(probe).collect()
     }
 
-    /// A heartbeat arrived, as a probe or as the answer to one.
+    /// Records a heartbeat, received as a probe or as the answer to one.
     pub fn on_heartbeat(
         &mut self,
         heard: &Heartbeat,
@@ -219,7 +219,7 @@
         self.set(&heard.host, liveness, now);
     }
 
-    /// Nothing was heard from `host` in time; others are asked before it is suspected.
+    /// Handles a failed probe: returns indirect probes to send, or suspects `host` if there is no helper.
     pub fn on_probe_failed(
         &mut self,
         host: &str,
@@ -245,7 +245,7 @@
         helpers.into_iter().map(ask).collect()
     }
 
-    /// A helper could not reach `host` either; its success arrives as a heartbeat.
+    /// Handles a failed indirect probe; `host` is suspected once all of them have failed.
     pub fn on_helper_failed(
         &mut self,
         host: &str,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// A helper reached `host`.
+    /// Handles a successful indirect probe of `host`.
     pub fn on_helper_reached(
         &mut self,
         host: &str,
@@ -269,7 +269,7 @@
         self.asked.remove(host);
     }
 
-    /// News from another host; true when this host itself had to be defended.
+    /// Applies a rumor from another host; returns true if this host refuted it.
     pub fn on_rumor(
         &mut self,
         rumor: &Rumor,
@@ -290,7 +290,7 @@
         false
     }
 
-    /// This host begins its planned stop.
+    /// Marks this host as leaving, for a planned stop.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.incarnation += 1;
@@ -329,7 +329,7 @@
         let name = host.name.clone();
         let member = Member {
             listed: host,
-            // Not believed alive before it was heard of, so that nothing is routed to it yet.
+            // Not considered alive until it is heard, so that nothing is routed to it yet.
             liveness: Liveness::Suspect,
             incarnation: 0,
             session: 0,
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Each host comes once a round, in an order that changes.
+    /// Returns the next host to probe; each host is probed once per round, in random order.
     fn next_in_round(&mut self) -> Option<String> {
         loop {
             if self.round.is_empty() {
@@ -415,7 +415,7 @@
 
 fn takes_roles(member: &Member) -> bool {
     let answers = matches!(member.liveness, Liveness::Alive | Liveness::Suspect);
-    // A host never heard of holds no role yet, whatever the list says.
+    // A host that was never heard gets no role, whatever the list says.
     let heard = member.incarnation > 0;
     answers && heard && member.listed.state == HostState::Live
 }
--- a/src/process/membership/mod.rs
+++ b/src/process/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which hosts are there: probes, rumors, suspicion, and the platform's host list.
+//! SWIM-style membership of the site's hosts, from probes, rumors and the platform's host list.
 
 mod member;
 mod membership;
--- a/src/process/membership/rumor_queue.rs
+++ b/src/process/membership/rumor_queue.rs
@@ -1,6 +1,6 @@
 use {super::Liveness, std::collections::BTreeMap};
 
-/// News of one host that is passed on with heartbeats.
+/// State of one host, gossiped with heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rumor {
     pub host: String,
@@ -8,20 +8,20 @@
     pub liveness: Liveness,
 }
 
-/// Rumors carried by one heartbeat, at the most.
+/// Maximum number of rumors in one heartbeat.
 const PER_MESSAGE: usize = 12;
 
-/// Tellings of a rumor, as a multiple of the logarithm of the number of hosts.
+/// Transmissions of a rumor, as a multiple of the base-2 logarithm of the number of hosts.
 const TELLINGS_FACTOR: u32 = 3;
 
-/// Rumors waiting to be passed on, the least told first.
+/// Rumors to be sent, with the number of times each was sent; those sent least often go first.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
     told: BTreeMap<String, (u32, Rumor)>,
 }
 
 impl RumorQueue {
-    /// Queues news of a host in place of older news of it.
+    /// Queues a rumor, replacing an older one about the same host.
     pub fn push(
         &mut self,
         rumor: Rumor,
@@ -29,7 +29,7 @@
         self.told.insert(rumor.host.clone(), (0, rumor));
     }
 
-    /// Takes the rumors for one heartbeat among `hosts` hosts.
+    /// Returns the rumors for one heartbeat in a site of `hosts` hosts.
     pub fn take(
         &mut self,
         hosts: usize,
