--- a/src/process/host/drawn_takers.rs
+++ b/src/process/host/drawn_takers.rs
@@ -38,7 +38,7 @@
         hosts: &HostTable,
     ) -> Arc<[SocketAddr]> {
         let from = DrawnFrom {
-            epoch: hosts.holds_epoch(),
+            epoch: hosts.holders_epoch(),
             is_leaving: hosts.is_leaving(),
             engines,
         };
--- a/src/process/host/open_engines.rs
+++ b/src/process/host/open_engines.rs
@@ -33,7 +33,7 @@
         engines: &Engines,
         hosts: &HostTable,
     ) -> Engines {
-        let epoch = hosts.holds_epoch();
+        let epoch = hosts.holders_epoch();
         let is_same = |seen: &Seen| seen.epoch == epoch && Arc::ptr_eq(&seen.engines, engines);
         if !self.of.as_ref().is_some_and(is_same) {
             self.open = Arc::new(unclaimed(engines, hosts));
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -96,7 +96,7 @@
     /// When a host was last added; initially the start of this host.
     last_new: Instant,
     /// Incremented when the set of reachable hosts or the engines they control may have changed.
-    holds_epoch: u64,
+    holders_epoch: u64,
     rng: StdRng,
     size: SiteSize,
 }
@@ -118,7 +118,7 @@
             news: BTreeMap::new(),
             events: Vec::new(),
             last_new: now,
-            holds_epoch: 0,
+            holders_epoch: 0,
             rng: StdRng::seed_from_u64(me.process),
             size: SiteSize::default(),
             me,
@@ -146,8 +146,8 @@
     }
 
     /// Returns a counter that stays the same while the same hosts are reachable and control the same engines.
-    pub fn holds_epoch(&self) -> u64 {
-        self.holds_epoch
+    pub fn holders_epoch(&self) -> u64 {
+        self.holders_epoch
     }
 
     /// Returns the number of reachable hosts, including this one.
@@ -310,7 +310,7 @@
         }
         self.hosts.insert(peer, KnownHost::from_rumor(rumor, now));
         self.last_new = now;
-        self.holds_epoch += 1;
+        self.holders_epoch += 1;
         vec![self.ping(peer, now)]
     }
 
@@ -327,7 +327,7 @@
         self.unanswered.remove(&peer);
         if !self.hosts.contains_key(&peer) {
             self.last_new = now;
-            self.holds_epoch += 1;
+            self.holders_epoch += 1;
         }
         let known = self
             .hosts
@@ -357,7 +357,7 @@
             known.lease_known_since = now;
         }
         let holds_changed = held != rumor.holds;
-        self.holds_epoch += u64::from(holds_changed);
+        self.holders_epoch += u64::from(holds_changed);
         let changed = restarted || known.ready != rumor.ready || holds_changed;
         known.ready = rumor.ready;
         let state = HostState::from_wire(rumor.state());
@@ -408,7 +408,7 @@
         }
         known.incarnation = rumor.incarnation;
         if newer {
-            self.holds_epoch += u64::from(known.holds != rumor.holds);
+            self.holders_epoch += u64::from(known.holds != rumor.holds);
             known.holds.clone_from(&rumor.holds);
             known.ready = rumor.ready;
         }
@@ -568,7 +568,7 @@
         }
         known.state = state;
         known.since = now;
-        self.holds_epoch += 1;
+        self.holders_epoch += 1;
         if state == HostState::Leaving {
             self.size.on_leaving(peer, now);
         }
