--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -56,7 +56,7 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let place = self.hosts.place_by_link();
+        let place = self.hosts.link_rank();
         let mut actions = Vec::new();
         for table in [TableName::Declared, TableName::Targets] {
             let kept = self.kept(table);
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -197,7 +197,7 @@
 
     /// Returns this host's rank among the hosts that accept new roles, by descending link bandwidth, then by
     /// address. All hosts agree on the order; the first reads large tables on behalf of the others.
-    pub fn place_by_link(&self) -> usize {
+    pub fn link_rank(&self) -> usize {
         let rank = |host: &HostIdentity| (Reverse(host.link_mbps), host.peer);
         let mine = rank(&self.me);
         self.hosts()
