--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -146,7 +146,7 @@
             }
             Message::PingRequest(request) => self.on_ping_request(from, &request, now),
             Message::Vouch(vouch) => {
-                self.hosts.on_vouched(vouch.peer.into());
+                self.hosts.on_indirect_answer(vouch.peer.into());
                 Vec::new()
             }
             Message::Want(want) => self.on_want(from, &want, now),
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -368,7 +368,7 @@
     }
 
     /// Records that a host answered an indirect ping.
-    pub fn on_vouched(
+    pub fn on_indirect_answer(
         &mut self,
         peer: SocketAddr,
     ) {
