--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -90,7 +90,7 @@
         now: Instant,
     ) -> Vec<HostRumor> {
         let known = self.hosts.hosts().map(KnownHost::to_rumor);
-        known.chain([self.my_rumor(now)]).collect()
+        known.chain([self.local_rumor(now)]).collect()
     }
 
     fn ping_seeds(
@@ -323,7 +323,7 @@
         actions.extend(self.on_poison_digest(from, ping.freshness.poison, now));
         if !ping.one_way {
             let ack = Ack {
-                sender: self.my_rumor(now),
+                sender: self.local_rumor(now),
                 freshness: self.freshness(now),
                 rumors: self.hosts.take_rumors(),
                 echo: Some(PingEcho {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -368,12 +368,12 @@
     }
 
     /// This host, as it is told of to others.
-    pub(super) fn my_rumor(
+    pub(super) fn local_rumor(
         &self,
         now: Instant,
     ) -> HostRumor {
         let holds = self.holding.held(now).map(|(target, _)| target.clone());
-        self.hosts.my_rumor(
+        self.hosts.local_rumor(
             holds.collect(),
             self.holding.lease_version(),
             self.is_ready(),
@@ -416,7 +416,7 @@
         now: Instant,
     ) -> Ping {
         Ping {
-            sender: self.my_rumor(now),
+            sender: self.local_rumor(now),
             freshness: self.freshness(now),
             rumors: self.hosts.take_rumors(),
             one_way,
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -219,7 +219,7 @@
     }
 
     /// Returns the rumor that this host sends about itself.
-    pub fn my_rumor(
+    pub fn local_rumor(
         &self,
         holds: Vec<String>,
         lease_version: u64,
