--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -139,7 +139,9 @@
     ) -> Vec<ControlAction> {
         let from = sender.peer.into();
         let told = Duration::from_micros(freshness.told_us);
-        let left = self.clocks.left_after(from, sender.process, told, now);
+        let left = self
+            .clocks
+            .earliest_send_time(from, sender.process, told, now);
         let assumed = arrived_after.checked_sub(MESSAGE_TIME);
         let Some(told_at) = left.map(|left| left.min(arrived_after)).or(assumed) else {
             return Vec::new();
--- a/src/process/hosts/peer_clocks.rs
+++ b/src/process/hosts/peer_clocks.rs
@@ -92,7 +92,7 @@
     /// answered a ping recently.
     ///
     /// `sent` is the send time as time since the start of the sender's process.
-    pub fn left_after(
+    pub fn earliest_send_time(
         &self,
         peer: SocketAddr,
         process: u64,
--- a/tests/peer_clocks.rs
+++ b/tests/peer_clocks.rs
@@ -52,7 +52,7 @@
         clocks.on_exchange(&exchange(PROCESS, start, pinged, ms(*way)), now);
     }
     let now = start + ms(6_000);
-    let left = clocks.left_after(peer(), PROCESS, ms(5_000), now);
+    let left = clocks.earliest_send_time(peer(), PROCESS, ms(5_000), now);
     assert_eq!(left, Some(start + ms(5_000) - ms(early)));
 }
 
@@ -75,7 +75,7 @@
         clocks.on_exchange(&exchange(PROCESS, start, pinged, ms(way)), pinged);
     }
     let now = start + Duration::from_secs(asked_s);
-    let left = clocks.left_after(peer(), process, ms(5_000), now);
+    let left = clocks.earliest_send_time(peer(), process, ms(5_000), now);
     assert_eq!(left.is_some(), is_known);
 }
 
@@ -98,7 +98,7 @@
     }
     let passed = Duration::from_secs(3_600);
     let now = start + passed;
-    let left = clocks.left_after(peer(), PROCESS, shown(passed), now);
+    let left = clocks.earliest_send_time(peer(), PROCESS, shown(passed), now);
     let late = left.unwrap().saturating_duration_since(now);
     assert!(late <= ms(12), "{late:?}");
 }
