--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -268,7 +268,7 @@
         ask: LoanAsk,
     ) -> Option<ControlAction> {
         if self.lenders.is_empty() {
-            self.lenders = self.hosts.pick_up(usize::MAX);
+            self.lenders = self.hosts.pick_reachable(usize::MAX);
         }
         let to = self.lenders.pop()?;
         let message = Message::LoanAsk(ask);
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -163,7 +163,7 @@
         });
         let told: Vec<ToldPoison> = told.collect();
         let mut actions = Vec::new();
-        for to in self.hosts.pick_up(usize::MAX) {
+        for to in self.hosts.pick_reachable(usize::MAX) {
             let news = told.chunks(PAGE).map(news_of);
             actions.extend(news.map(|message| ControlAction::Send { to, message }));
         }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -210,7 +210,7 @@
         actions.extend(self.take_rows(table, &news, now));
         if large && same {
             // Whoever was turned away by a busy host gets it here.
-            let some = self.hosts.pick_up(TOLD_OF_LARGE_COPY);
+            let some = self.hosts.pick_reachable(TOLD_OF_LARGE_COPY);
             actions.extend(self.tell(some, now));
         }
         actions
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -207,7 +207,7 @@
     }
 
     /// Returns up to `count` reachable hosts, chosen at random.
-    pub fn pick_up(
+    pub fn pick_reachable(
         &mut self,
         count: usize,
     ) -> Vec<SocketAddr> {
@@ -548,7 +548,7 @@
         &mut self,
         peer: SocketAddr,
     ) -> Vec<SocketAddr> {
-        let mut helpers = self.pick_up(HELPERS + 1);
+        let mut helpers = self.pick_reachable(HELPERS + 1);
         helpers.retain(|helper| *helper != peer);
         helpers.truncate(HELPERS);
         helpers
