--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -122,7 +122,7 @@
                 lease_version: row.version,
                 ..Default::default()
             };
-            let wanted = self.hosts.on_named(&rumor, now);
+            let wanted = self.hosts.on_discovered(&rumor, now);
             actions.extend(self.host_actions(wanted, now));
         }
         self.changed = true;
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -299,7 +299,7 @@
     }
 
     /// Adds a host that was learned of indirectly and returns a ping to it, unless it is known already.
-    pub fn on_named(
+    pub fn on_discovered(
         &mut self,
         rumor: &HostRumor,
         now: Instant,
@@ -391,7 +391,7 @@
             if state == HostState::Dead {
                 return Vec::new();
             }
-            return self.on_named(rumor, now);
+            return self.on_discovered(rumor, now);
         };
         if known.identity.process != rumor.process {
             // The process has either ended or is not known yet; a ping finds out which.
--- a/tests/host_table.rs
+++ b/tests/host_table.rs
@@ -89,7 +89,7 @@
 fn a_host_that_was_only_named_gets_time_to_start() {
     let start = Instant::now();
     let mut table = table(start);
-    table.on_named(&rumor(2, RumorState::Alive), start);
+    table.on_discovered(&rumor(2, RumorState::Alive), start);
     let (pings, dead) = watch(&mut table, start, ms(1_400));
     assert!(pings >= 4, "{pings} pings");
     assert_eq!(dead, None);
@@ -104,7 +104,7 @@
 fn nothing_bad_is_told_of_a_host_that_was_only_named() {
     let start = Instant::now();
     let mut table = table(start);
-    table.on_named(&rumor(2, RumorState::Alive), start);
+    table.on_discovered(&rumor(2, RumorState::Alive), start);
     watch(&mut table, start, ms(3_000));
     assert_eq!(table.get(address(2)).unwrap().state, HostState::Dead);
     assert_eq!(
