--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -11,10 +11,10 @@
 /// Maximum number of hosts asked to ping an unresponsive host before it is suspected.
 const HELPERS: usize = 2;
 
-const RUMORS_PER_MESSAGE: usize = 4;
+const MAX_RUMORS_PER_MESSAGE: usize = 4;
 
 /// Transmissions of a rumor, as a multiple of the base-2 logarithm of the number of hosts.
-const TELLINGS_FACTOR: u32 = 3;
+const RETRANSMIT_FACTOR: u32 = 3;
 
 /// Intervals and timeouts of failure detection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -253,14 +253,14 @@
     /// Returns the rumors for one message, those sent least often first.
     pub fn take_rumors(&mut self) -> Vec<HostRumor> {
         let hosts = self.hosts.len() + 1;
-        let limit = TELLINGS_FACTOR * (usize::BITS - hosts.leading_zeros());
+        let limit = RETRANSMIT_FACTOR * (usize::BITS - hosts.leading_zeros());
         let mut least: Vec<(u32, SocketAddr)> = self
             .news
             .iter()
             .map(|(peer, told)| (*told, *peer))
             .collect();
         least.sort_unstable();
-        least.truncate(RUMORS_PER_MESSAGE);
+        least.truncate(MAX_RUMORS_PER_MESSAGE);
         let mut rumors = Vec::new();
         for (told, peer) in least {
             if let Some(host) = self.hosts.get(&peer) {
--- a/src/process/membership/rumor_queue.rs
+++ b/src/process/membership/rumor_queue.rs
@@ -9,10 +9,10 @@
 }
 
 /// Maximum number of rumors in one heartbeat.
-const PER_MESSAGE: usize = 12;
+const MAX_RUMORS_PER_MESSAGE: usize = 12;
 
 /// Transmissions of a rumor, as a multiple of the base-2 logarithm of the number of hosts.
-const TELLINGS_FACTOR: u32 = 3;
+const RETRANSMIT_FACTOR: u32 = 3;
 
 /// Rumors to be sent, with the number of times each was sent; those sent least often go first.
 #[derive(Debug, Default)]
@@ -34,14 +34,14 @@
         &mut self,
         hosts: usize,
     ) -> Vec<Rumor> {
-        let limit = TELLINGS_FACTOR * (usize::BITS - hosts.leading_zeros()).max(1);
+        let limit = RETRANSMIT_FACTOR * (usize::BITS - hosts.leading_zeros()).max(1);
         let mut least: Vec<(u32, String)> = self
             .told
             .iter()
             .map(|(host, (told, _))| (*told, host.clone()))
             .collect();
         least.sort();
-        least.truncate(PER_MESSAGE);
+        least.truncate(MAX_RUMORS_PER_MESSAGE);
         let mut taken = Vec::new();
         for (_, host) in least {
             if let Some((told, rumor)) = self.told.get_mut(&host) {
