--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -9,7 +9,7 @@
 };
 
 /// Maximum number of hosts asked to ping an unresponsive host before it is suspected.
-const HELPERS: usize = 2;
+const MAX_INDIRECT_PINGS: usize = 2;
 
 const MAX_RUMORS_PER_MESSAGE: usize = 4;
 
@@ -75,9 +75,9 @@
 
 /// A ping that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Unanswered {
+struct PendingPing {
     since: Instant,
-    helpers_asked: bool,
+    indirect_pings_sent: bool,
 }
 
 /// Membership and state of the hosts of the site, maintained with SWIM-style pings and rumors.
@@ -89,12 +89,12 @@
     hosts: BTreeMap<SocketAddr, KnownHost>,
     round: Vec<SocketAddr>,
     next_ping: Option<Instant>,
-    unanswered: BTreeMap<SocketAddr, Unanswered>,
+    pending_pings: BTreeMap<SocketAddr, PendingPing>,
     /// Hosts whose rumors are to be sent, with the number of times each was sent.
-    news: BTreeMap<SocketAddr, u32>,
+    pending_rumors: BTreeMap<SocketAddr, u32>,
     events: Vec<HostEvent>,
     /// When a host was last added; initially the start of this host.
-    last_new: Instant,
+    last_added: Instant,
     /// Incremented when the set of reachable hosts or the engines they control may have changed.
     holders_epoch: u64,
     rng: StdRng,
@@ -114,10 +114,10 @@
             hosts: BTreeMap::new(),
             round: Vec::new(),
             next_ping: None,
-            unanswered: BTreeMap::new(),
-            news: BTreeMap::new(),
+            pending_pings: BTreeMap::new(),
+            pending_rumors: BTreeMap::new(),
             events: Vec::new(),
-            last_new: now,
+            last_added: now,
             holders_epoch: 0,
             rng: StdRng::seed_from_u64(me.process),
             size: SiteSize::default(),
@@ -178,7 +178,7 @@
         time: Duration,
         now: Instant,
     ) -> bool {
-        now.saturating_duration_since(self.last_new) >= time
+        now.saturating_duration_since(self.last_added) >= time
     }
 
     /// Returns the hosts that accept new roles, including this one unless it is leaving.
@@ -255,7 +255,7 @@
         let hosts = self.hosts.len() + 1;
         let limit = RETRANSMIT_FACTOR * (usize::BITS - hosts.leading_zeros());
         let mut least: Vec<(u32, SocketAddr)> = self
-            .news
+            .pending_rumors
             .iter()
             .map(|(peer, told)| (*told, *peer))
             .collect();
@@ -267,8 +267,8 @@
                 rumors.push(host.to_rumor());
             }
             match told + 1 >= limit {
-                true => self.news.remove(&peer),
-                false => self.news.insert(peer, told + 1),
+                true => self.pending_rumors.remove(&peer),
+                false => self.pending_rumors.insert(peer, told + 1),
             };
         }
         rumors
@@ -285,8 +285,8 @@
         &mut self,
         now: Instant,
     ) -> Vec<HostAction> {
-        let mut actions = self.follow_up(now);
-        self.bury(now);
+        let mut actions = self.check_pending_pings(now);
+        self.expire_suspects(now);
         self.size.count(self.hosts.keys(), now);
         if self.next_ping.is_none_or(|at| now >= at) {
             let pause = self.timings.round / self.hosts.len().max(1) as u32;
@@ -309,7 +309,7 @@
             return Vec::new();
         }
         self.hosts.insert(peer, KnownHost::from_rumor(rumor, now));
-        self.last_new = now;
+        self.last_added = now;
         self.holders_epoch += 1;
         vec![self.ping(peer, now)]
     }
@@ -324,9 +324,9 @@
         if peer == self.me.peer {
             return;
         }
-        self.unanswered.remove(&peer);
+        self.pending_pings.remove(&peer);
         if !self.hosts.contains_key(&peer) {
-            self.last_new = now;
+            self.last_added = now;
             self.holders_epoch += 1;
         }
         let known = self
@@ -362,9 +362,9 @@
         known.ready = rumor.ready;
         let state = HostState::from_wire(rumor.state());
         if changed {
-            self.news.insert(peer, 0);
+            self.pending_rumors.insert(peer, 0);
         }
-        self.set(peer, state, now);
+        self.set_state(peer, state, now);
     }
 
     /// Records that a host answered an indirect ping.
@@ -372,7 +372,7 @@
         &mut self,
         peer: SocketAddr,
     ) {
-        self.unanswered.remove(&peer);
+        self.pending_pings.remove(&peer);
     }
 
     /// Applies a rumor that another host sent, and returns the pings that it calls for.
@@ -416,7 +416,7 @@
             known.lease_version = rumor.lease_version;
             known.lease_known_since = now;
         }
-        self.set(peer, state, now);
+        self.set_state(peer, state, now);
         Vec::new()
     }
 
@@ -441,38 +441,38 @@
         peer: SocketAddr,
         now: Instant,
     ) -> HostAction {
-        self.unanswered.entry(peer).or_insert(Unanswered {
+        self.pending_pings.entry(peer).or_insert(PendingPing {
             since: now,
-            helpers_asked: false,
+            indirect_pings_sent: false,
         });
         HostAction::Ping { peer }
     }
 
     /// Requests indirect pings of hosts that missed a ping, and suspects those that missed these too.
-    fn follow_up(
+    fn check_pending_pings(
         &mut self,
         now: Instant,
     ) -> Vec<HostAction> {
         let mut actions = Vec::new();
-        let waits: Vec<(SocketAddr, Unanswered)> = self
-            .unanswered
+        let waits: Vec<(SocketAddr, PendingPing)> = self
+            .pending_pings
             .iter()
             .map(|(peer, wait)| (*peer, *wait))
             .collect();
         for (peer, wait) in waits {
             let silent = now.saturating_duration_since(wait.since);
-            if wait.helpers_asked && silent >= self.timings.answer + self.timings.helpers {
-                self.unanswered.remove(&peer);
-                match self.is_awaited(peer, now) {
+            if wait.indirect_pings_sent && silent >= self.timings.answer + self.timings.helpers {
+                self.pending_pings.remove(&peer);
+                match self.is_starting(peer, now) {
                     true => actions.push(self.ping(peer, now)),
                     false => self.suspect(peer, now),
                 }
-            } else if !wait.helpers_asked && silent >= self.timings.answer {
-                let asked = Unanswered {
-                    helpers_asked: true,
+            } else if !wait.indirect_pings_sent && silent >= self.timings.answer {
+                let asked = PendingPing {
+                    indirect_pings_sent: true,
                     ..wait
                 };
-                self.unanswered.insert(peer, asked);
+                self.pending_pings.insert(peer, asked);
                 let helpers = self.pick_helpers(peer);
                 let ask = |via| HostAction::PingRequest { via, peer };
                 actions.extend(helpers.into_iter().map(ask));
@@ -484,7 +484,7 @@
     }
 
     /// Returns true for a host that was never heard and may still be starting.
-    fn is_awaited(
+    fn is_starting(
         &self,
         peer: SocketAddr,
         now: Instant,
@@ -503,12 +503,12 @@
     ) {
         let known = self.hosts.get(&peer);
         if known.is_some_and(|known| known.state.is_up()) {
-            self.set(peer, HostState::Suspect, now);
+            self.set_state(peer, HostState::Suspect, now);
         }
     }
 
     /// Declares overdue suspects dead and removes hosts that have been dead long enough.
-    fn bury(
+    fn expire_suspects(
         &mut self,
         now: Instant,
     ) {
@@ -523,7 +523,7 @@
             .map(|host| host.identity.peer)
             .collect();
         for peer in overdue {
-            self.set(peer, HostState::Dead, now);
+            self.set_state(peer, HostState::Dead, now);
         }
         let forget = self.timings.forget;
         self.hosts
@@ -548,13 +548,13 @@
         &mut self,
         peer: SocketAddr,
     ) -> Vec<SocketAddr> {
-        let mut helpers = self.pick_reachable(HELPERS + 1);
+        let mut helpers = self.pick_reachable(MAX_INDIRECT_PINGS + 1);
         helpers.retain(|helper| *helper != peer);
-        helpers.truncate(HELPERS);
+        helpers.truncate(MAX_INDIRECT_PINGS);
         helpers
     }
 
-    fn set(
+    fn set_state(
         &mut self,
         peer: SocketAddr,
         state: HostState,
@@ -573,7 +573,7 @@
             self.size.on_leaving(peer, now);
         }
         if known.heard.is_some() {
-            self.news.insert(peer, 0);
+            self.pending_rumors.insert(peer, 0);
         }
         self.events.push(HostEvent::StateChanged {
             peer,
