--- a/src/process/hosts/site_size.rs
+++ b/src/process/hosts/site_size.rs
@@ -9,17 +9,17 @@
 
 /// Time for which a host is counted after its last message. It outlasts a network partition between regions:
 /// a host behind one still spends its share of allowances that are divided among all hosts.
-const KNOWN_TIME: Duration = Duration::from_secs(2 * 3600);
+const HEARD_RETENTION: Duration = Duration::from_secs(2 * 3600);
 
 /// Time for which a leaving host is counted. Its process ends within seconds, and the allowance it spent
 /// stays charged for a window after that.
-const LEFT_TIME: Duration = Duration::from_secs(60);
+const LEAVING_RETENTION: Duration = Duration::from_secs(60);
 
 /// Long-term count of the hosts of a site, as seen by one host.
 #[derive(Debug, Default)]
 pub struct SiteSize {
     /// Other hosts that were heard, with the time until which each is counted.
-    heard: BTreeMap<SocketAddr, Instant>,
+    counted_until: BTreeMap<SocketAddr, Instant>,
     /// Hosts that are counted before they are heard.
     expected: BTreeSet<SocketAddr>,
     counted: usize,
@@ -40,7 +40,7 @@
         peer: SocketAddr,
         now: Instant,
     ) {
-        self.heard.insert(peer, now + KNOWN_TIME);
+        self.counted_until.insert(peer, now + HEARD_RETENTION);
     }
 
     pub fn on_leaving(
@@ -48,7 +48,7 @@
         peer: SocketAddr,
         now: Instant,
     ) {
-        self.heard.insert(peer, now + LEFT_TIME);
+        self.counted_until.insert(peer, now + LEAVING_RETENTION);
     }
 
     /// Updates the count; `known` holds the other hosts that are in the host table.
@@ -57,12 +57,12 @@
         known: impl Iterator<Item = &'a SocketAddr>,
         now: Instant,
     ) {
-        self.heard.retain(|_, until| now < *until);
+        self.counted_until.retain(|_, until| now < *until);
         let known = known.copied().chain(self.expected.iter().copied());
         let unheard: BTreeSet<SocketAddr> = known
-            .filter(|peer| !self.heard.contains_key(peer))
+            .filter(|peer| !self.counted_until.contains_key(peer))
             .collect();
-        self.counted = 1 + self.heard.len() + unheard.len();
+        self.counted = 1 + self.counted_until.len() + unheard.len();
     }
 
     /// Returns the number of hosts at the last count, including this one.
