--- a/src/process/hosts/peer_clocks.rs
+++ b/src/process/hosts/peer_clocks.rs
@@ -6,7 +6,7 @@
 /// Window over which exchanges are aggregated; an exchange is used for one to two windows. Each pair of
 /// hosts of a large site exchanges pings at least once per window (every 30 s among 302 hosts), and clocks
 /// that differ by 100 ppm drift by at most 12 ms in two windows.
-const WINDOW: Duration = Duration::from_secs(60);
+const EXCHANGE_WINDOW: Duration = Duration::from_secs(60);
 
 /// An answered ping of this host, with the times read from the clocks of both sides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,23 +25,25 @@
 struct PeerClock {
     process: u64,
     /// Tightest bound from the exchanges of the current window.
-    latest: Instant,
+    current_bound: Instant,
     /// Tightest bound from the previous window.
-    before: Option<Instant>,
-    window_from: Instant,
+    previous_bound: Option<Instant>,
+    window_start: Instant,
 }
 
 impl PeerClock {
-    fn started(&self) -> Instant {
-        self.before
-            .map_or(self.latest, |before| before.max(self.latest))
+    fn earliest_start(&self) -> Instant {
+        self.previous_bound
+            .map_or(self.current_bound, |previous_bound| {
+                previous_bound.max(self.current_bound)
+            })
     }
 
     fn is_recent(
         &self,
         now: Instant,
     ) -> bool {
-        now.saturating_duration_since(self.window_from) < WINDOW * 2
+        now.saturating_duration_since(self.window_start) < EXCHANGE_WINDOW * 2
     }
 }
 
@@ -64,26 +66,26 @@
         now: Instant,
     ) {
         self.peers.retain(|_, clock| clock.is_recent(now));
-        let Some(started) = exchange.pinged.checked_sub(exchange.answered) else {
+        let Some(earliest_start) = exchange.pinged.checked_sub(exchange.answered) else {
             return;
         };
         let new = PeerClock {
             process: exchange.process,
-            latest: started,
-            before: None,
-            window_from: now,
+            current_bound: earliest_start,
+            previous_bound: None,
+            window_start: now,
         };
         let clock = self.peers.entry(exchange.peer).or_insert(new);
         if clock.process != exchange.process {
             *clock = new;
             return;
         }
-        if now.saturating_duration_since(clock.window_from) < WINDOW {
-            clock.latest = clock.latest.max(started);
+        if now.saturating_duration_since(clock.window_start) < EXCHANGE_WINDOW {
+            clock.current_bound = clock.current_bound.max(earliest_start);
             return;
         }
         *clock = PeerClock {
-            before: Some(clock.latest),
+            previous_bound: Some(clock.current_bound),
             ..new
         };
     }
@@ -101,6 +103,6 @@
     ) -> Option<Instant> {
         let clock = self.peers.get(&peer)?;
         let holds = clock.process == process && clock.is_recent(now);
-        holds.then(|| clock.started() + sent)
+        holds.then(|| clock.earliest_start() + sent)
     }
 }
