--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -19,31 +19,31 @@
 /// Intervals and timeouts of failure detection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostTimings {
-    /// Interval in which each host is pinged about once, subject to `least_pause`.
-    pub round: Duration,
-    pub least_pause: Duration,
+    /// Interval in which each host is pinged about once, subject to `min_ping_interval`.
+    pub round_interval: Duration,
+    pub min_ping_interval: Duration,
     /// Wait for a direct answer, before other hosts are asked to ping.
-    pub answer: Duration,
+    pub ping_timeout: Duration,
     /// Further wait for the indirect pings, before the host is suspected.
-    pub helpers: Duration,
+    pub indirect_ping_timeout: Duration,
     /// Time after which a suspect that has not refuted is declared dead.
-    pub refute: Duration,
+    pub suspicion_timeout: Duration,
     /// Time for which a host that was never heard is pinged again before it can be declared dead.
-    pub first_answer: Duration,
+    pub startup_timeout: Duration,
     /// Time after which a dead host is removed.
-    pub forget: Duration,
+    pub dead_retention: Duration,
 }
 
 impl Default for HostTimings {
     fn default() -> Self {
         Self {
-            round: Duration::from_millis(900),
-            least_pause: Duration::from_millis(100),
-            answer: Duration::from_millis(150),
-            helpers: Duration::from_millis(200),
-            refute: Duration::from_millis(400),
-            first_answer: Duration::from_millis(1500),
-            forget: Duration::from_secs(60),
+            round_interval: Duration::from_millis(900),
+            min_ping_interval: Duration::from_millis(100),
+            ping_timeout: Duration::from_millis(150),
+            indirect_ping_timeout: Duration::from_millis(200),
+            suspicion_timeout: Duration::from_millis(400),
+            startup_timeout: Duration::from_millis(1500),
+            dead_retention: Duration::from_secs(60),
         }
     }
 }
@@ -289,8 +289,8 @@
         self.expire_suspects(now);
         self.size.count(self.hosts.keys(), now);
         if self.next_ping.is_none_or(|at| now >= at) {
-            let pause = self.timings.round / self.hosts.len().max(1) as u32;
-            self.next_ping = Some(now + pause.max(self.timings.least_pause));
+            let pause = self.timings.round_interval / self.hosts.len().max(1) as u32;
+            self.next_ping = Some(now + pause.max(self.timings.min_ping_interval));
             if let Some(peer) = self.next_in_round() {
                 actions.push(self.ping(peer, now));
             }
@@ -461,13 +461,15 @@
             .collect();
         for (peer, wait) in waits {
             let silent = now.saturating_duration_since(wait.since);
-            if wait.indirect_pings_sent && silent >= self.timings.answer + self.timings.helpers {
+            if wait.indirect_pings_sent
+                && silent >= self.timings.ping_timeout + self.timings.indirect_ping_timeout
+            {
                 self.pending_pings.remove(&peer);
                 match self.is_starting(peer, now) {
                     true => actions.push(self.ping(peer, now)),
                     false => self.suspect(peer, now),
                 }
-            } else if !wait.indirect_pings_sent && silent >= self.timings.answer {
+            } else if !wait.indirect_pings_sent && silent >= self.timings.ping_timeout {
                 let asked = PendingPing {
                     indirect_pings_sent: true,
                     ..wait
@@ -491,7 +493,7 @@
     ) -> bool {
         let awaited = |host: &KnownHost| {
             let named = now.saturating_duration_since(host.since);
-            host.heard.is_none() && named < self.timings.first_answer
+            host.heard.is_none() && named < self.timings.startup_timeout
         };
         self.hosts.get(&peer).is_some_and(awaited)
     }
@@ -517,15 +519,15 @@
             .hosts()
             .filter(|host| host.state == HostState::Suspect)
             .filter(|host| match host.heard {
-                Some(_) => silent(host) >= self.timings.refute,
-                None => silent(host) >= self.timings.first_answer,
+                Some(_) => silent(host) >= self.timings.suspicion_timeout,
+                None => silent(host) >= self.timings.startup_timeout,
             })
             .map(|host| host.identity.peer)
             .collect();
         for peer in overdue {
             self.set_state(peer, HostState::Dead, now);
         }
-        let forget = self.timings.forget;
+        let forget = self.timings.dead_retention;
         self.hosts
             .retain(|_, host| host.state != HostState::Dead || silent(host) < forget);
     }
