--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -18,7 +18,7 @@
         process::{
             engines::{EngineDesk, LateOrders, SharedByDesks, ToldLoads},
             holding::{Holding, HoldingTimings, HostRow},
-            hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
+            hosts::{FailureDetectionTimings, HostIdentity, HostState, HostTable, PeerClocks},
             ownership::SessionLease,
             settings::NodeSettings,
             tables::{ReadSchedule, ReadTimings, TableCopy},
@@ -160,7 +160,7 @@
             front: identity.front,
             process,
         };
-        let mut hosts = HostTable::new(identity, HostTimings::default(), now);
+        let mut hosts = HostTable::new(identity, FailureDetectionTimings::default(), now);
         hosts.expect(settings.seed_peers());
         let lease = &settings.lease;
         let timings = HoldingTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -18,7 +18,7 @@
 
 /// Intervals and timeouts of failure detection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HostTimings {
+pub struct FailureDetectionTimings {
     /// Interval in which each host is pinged about once, subject to `min_ping_interval`.
     pub round_interval: Duration,
     pub min_ping_interval: Duration,
@@ -34,7 +34,7 @@
     pub dead_retention: Duration,
 }
 
-impl Default for HostTimings {
+impl Default for FailureDetectionTimings {
     fn default() -> Self {
         Self {
             round_interval: Duration::from_millis(900),
@@ -85,7 +85,7 @@
     me: HostIdentity,
     incarnation: u32,
     leaving: bool,
-    timings: HostTimings,
+    timings: FailureDetectionTimings,
     hosts: BTreeMap<SocketAddr, KnownHost>,
     round: Vec<SocketAddr>,
     next_ping: Option<Instant>,
@@ -104,7 +104,7 @@
 impl HostTable {
     pub fn new(
         me: HostIdentity,
-        timings: HostTimings,
+        timings: FailureDetectionTimings,
         now: Instant,
     ) -> Self {
         Self {
--- a/src/process/hosts/mod.rs
+++ b/src/process/hosts/mod.rs
@@ -6,7 +6,7 @@
 mod site_size;
 
 pub use {
-    host_table::{HostAction, HostEvent, HostTable, HostTimings},
+    host_table::{FailureDetectionTimings, HostAction, HostEvent, HostTable},
     known_host::{HostIdentity, HostState, KnownHost},
     peer_clocks::{PeerClocks, PingExchange},
     site_size::SiteSize,
--- a/tests/host_table.rs
+++ b/tests/host_table.rs
@@ -4,7 +4,7 @@
     coveproxy::{
         clock::Instant,
         connection::datagram::{HostRumor, RumorState},
-        process::hosts::{HostAction, HostIdentity, HostState, HostTable, HostTimings},
+        process::hosts::{FailureDetectionTimings, HostAction, HostIdentity, HostState, HostTable},
     },
     std::{net::SocketAddr, time::Duration},
 };
@@ -28,7 +28,7 @@
         process: 1,
         link_mbps: 10,
     };
-    HostTable::new(identity, HostTimings::default(), now)
+    HostTable::new(identity, FailureDetectionTimings::default(), now)
 }
 
 fn rumor(
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -4,7 +4,7 @@
     coveproxy::{
         clock::Instant,
         connection::datagram::{HostRumor, RumorState},
-        process::hosts::{HostIdentity, HostTable, HostTimings},
+        process::hosts::{FailureDetectionTimings, HostIdentity, HostTable},
         request::repeats::{ARRIVAL_LAG, BudgetTerms, LOAN_VALIDITY, Paid, RepeatBudget},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom},
@@ -585,7 +585,7 @@
         process: 1,
         link_mbps: 10,
     };
-    HostTable::new(identity, HostTimings::default(), now)
+    HostTable::new(identity, FailureDetectionTimings::default(), now)
 }
 
 fn rumor(
