--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -353,8 +353,8 @@
         let exchange = PingExchange {
             peer: from,
             process: ack.sender.process,
-            pinged: self.started + Duration::from_micros(echo.told_us),
-            answered: Duration::from_micros(ack.freshness.told_us),
+            ping_sent_at: self.started + Duration::from_micros(echo.told_us),
+            answer_sent_after: Duration::from_micros(ack.freshness.told_us),
         };
         self.clocks.on_exchange(&exchange, now);
     }
--- a/src/process/hosts/peer_clocks.rs
+++ b/src/process/hosts/peer_clocks.rs
@@ -15,9 +15,9 @@
     /// The process that answered.
     pub process: u64,
     /// When this host sent the ping.
-    pub pinged: Instant,
+    pub ping_sent_at: Instant,
     /// When the other host sent the answer, as time since its process started.
-    pub answered: Duration,
+    pub answer_sent_after: Duration,
 }
 
 /// Earliest possible start time of another process, on this host's clock.
@@ -66,7 +66,10 @@
         now: Instant,
     ) {
         self.peers.retain(|_, clock| clock.is_recent(now));
-        let Some(earliest_start) = exchange.pinged.checked_sub(exchange.answered) else {
+        let Some(earliest_start) = exchange
+            .ping_sent_at
+            .checked_sub(exchange.answer_sent_after)
+        else {
             return;
         };
         let new = PeerClock {
--- a/tests/peer_clocks.rs
+++ b/tests/peer_clocks.rs
@@ -19,18 +19,18 @@
     "10.0.0.2:7000".parse().unwrap()
 }
 
-/// A ping sent at `pinged` and answered `there` later by a process that started at `start`.
+/// A ping sent at `ping_sent_at` and answered `there` later by a process that started at `start`.
 fn exchange(
     process: u64,
     start: Instant,
-    pinged: Instant,
+    ping_sent_at: Instant,
     there: Duration,
 ) -> PingExchange {
     PingExchange {
         peer: peer(),
         process,
-        pinged,
-        answered: pinged + there - start,
+        ping_sent_at,
+        answer_sent_after: ping_sent_at + there - start,
     }
 }
 
@@ -47,9 +47,9 @@
     let start = Instant::now();
     let mut clocks = PeerClocks::default();
     for (at, way) in ways.iter().enumerate() {
-        let pinged = start + ms(1_000 * (at as u64 + 1));
-        let now = pinged + ms(2 * way);
-        clocks.on_exchange(&exchange(PROCESS, start, pinged, ms(*way)), now);
+        let ping_sent_at = start + ms(1_000 * (at as u64 + 1));
+        let now = ping_sent_at + ms(2 * way);
+        clocks.on_exchange(&exchange(PROCESS, start, ping_sent_at, ms(*way)), now);
     }
     let now = start + ms(6_000);
     let left = clocks.earliest_send_time(peer(), PROCESS, ms(5_000), now);
@@ -71,8 +71,11 @@
     let start = Instant::now();
     let mut clocks = PeerClocks::default();
     if let Some(way) = way {
-        let pinged = start + ms(1_000);
-        clocks.on_exchange(&exchange(PROCESS, start, pinged, ms(way)), pinged);
+        let ping_sent_at = start + ms(1_000);
+        clocks.on_exchange(
+            &exchange(PROCESS, start, ping_sent_at, ms(way)),
+            ping_sent_at,
+        );
     }
     let now = start + Duration::from_secs(asked_s);
     let left = clocks.earliest_send_time(peer(), process, ms(5_000), now);
@@ -87,14 +90,14 @@
     let mut clocks = PeerClocks::default();
     let shown = |passed: Duration| passed + passed / 10_000;
     for second in 1..3_600 {
-        let pinged = start + Duration::from_secs(second);
+        let ping_sent_at = start + Duration::from_secs(second);
         let exchange = PingExchange {
             peer: peer(),
             process: PROCESS,
-            pinged,
-            answered: shown(pinged - start + ms(1)),
+            ping_sent_at,
+            answer_sent_after: shown(ping_sent_at - start + ms(1)),
         };
-        clocks.on_exchange(&exchange, pinged);
+        clocks.on_exchange(&exchange, ping_sent_at);
     }
     let passed = Duration::from_secs(3_600);
     let now = start + passed;
