--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -167,9 +167,9 @@
     /// Returns the largest long-term host count of this host and the hosts that it hears, including this host
     /// and unreachable ones.
     pub fn known_count(&self) -> usize {
-        let told = self.hosts().map(|host| host.counted).max();
-        let told = told.map_or(0, |count| count as usize);
-        self.size.counted().max(told)
+        let reported = self.hosts().map(|host| host.counted).max();
+        let reported = reported.map_or(0, |count| count as usize);
+        self.size.counted().max(reported)
     }
 
     /// Returns true if no host has been added for at least `time`.
@@ -254,21 +254,21 @@
     pub fn take_rumors(&mut self) -> Vec<HostRumor> {
         let hosts = self.hosts.len() + 1;
         let limit = RETRANSMIT_FACTOR * (usize::BITS - hosts.leading_zeros());
-        let mut least: Vec<(u32, SocketAddr)> = self
+        let mut least_sent: Vec<(u32, SocketAddr)> = self
             .pending_rumors
             .iter()
-            .map(|(peer, told)| (*told, *peer))
+            .map(|(peer, sends)| (*sends, *peer))
             .collect();
-        least.sort_unstable();
-        least.truncate(MAX_RUMORS_PER_MESSAGE);
+        least_sent.sort_unstable();
+        least_sent.truncate(MAX_RUMORS_PER_MESSAGE);
         let mut rumors = Vec::new();
-        for (told, peer) in least {
+        for (sends, peer) in least_sent {
             if let Some(host) = self.hosts.get(&peer) {
                 rumors.push(host.to_rumor());
             }
-            match told + 1 >= limit {
+            match sends + 1 >= limit {
                 true => self.pending_rumors.remove(&peer),
-                false => self.pending_rumors.insert(peer, told + 1),
+                false => self.pending_rumors.insert(peer, sends + 1),
             };
         }
         rumors
@@ -289,8 +289,8 @@
         self.expire_suspects(now);
         self.size.count(self.hosts.keys(), now);
         if self.next_ping.is_none_or(|at| now >= at) {
-            let pause = self.timings.round_interval / self.hosts.len().max(1) as u32;
-            self.next_ping = Some(now + pause.max(self.timings.min_ping_interval));
+            let interval = self.timings.round_interval / self.hosts.len().max(1) as u32;
+            self.next_ping = Some(now + interval.max(self.timings.min_ping_interval));
             if let Some(peer) = self.next_in_round() {
                 actions.push(self.ping(peer, now));
             }
@@ -395,8 +395,8 @@
         };
         if known.identity.process != rumor.process {
             // The process has either ended or is not known yet; a ping finds out which.
-            let asks = state.is_up() && known.state != HostState::Alive;
-            return match asks {
+            let should_ping = state.is_up() && known.state != HostState::Alive;
+            return match should_ping {
                 true => vec![self.ping(peer, now)],
                 false => Vec::new(),
             };
@@ -454,14 +454,14 @@
         now: Instant,
     ) -> Vec<HostAction> {
         let mut actions = Vec::new();
-        let waits: Vec<(SocketAddr, PendingPing)> = self
+        let pending: Vec<(SocketAddr, PendingPing)> = self
             .pending_pings
             .iter()
-            .map(|(peer, wait)| (*peer, *wait))
+            .map(|(peer, ping)| (*peer, *ping))
             .collect();
-        for (peer, wait) in waits {
-            let silent = now.saturating_duration_since(wait.since);
-            if wait.indirect_pings_sent
+        for (peer, ping) in pending {
+            let silent = now.saturating_duration_since(ping.since);
+            if ping.indirect_pings_sent
                 && silent >= self.timings.ping_timeout + self.timings.indirect_ping_timeout
             {
                 self.pending_pings.remove(&peer);
@@ -469,15 +469,15 @@
                     true => actions.push(self.ping(peer, now)),
                     false => self.suspect(peer, now),
                 }
-            } else if !wait.indirect_pings_sent && silent >= self.timings.ping_timeout {
-                let asked = PendingPing {
+            } else if !ping.indirect_pings_sent && silent >= self.timings.ping_timeout {
+                let sent = PendingPing {
                     indirect_pings_sent: true,
-                    ..wait
+                    ..ping
                 };
-                self.pending_pings.insert(peer, asked);
+                self.pending_pings.insert(peer, sent);
                 let helpers = self.pick_helpers(peer);
-                let ask = |via| HostAction::PingRequest { via, peer };
-                actions.extend(helpers.into_iter().map(ask));
+                let request = |via| HostAction::PingRequest { via, peer };
+                actions.extend(helpers.into_iter().map(request));
                 // The first ping may have been lost.
                 actions.push(HostAction::Ping { peer });
             }
@@ -491,11 +491,11 @@
         peer: SocketAddr,
         now: Instant,
     ) -> bool {
-        let awaited = |host: &KnownHost| {
-            let named = now.saturating_duration_since(host.since);
-            host.heard.is_none() && named < self.timings.startup_timeout
+        let starting = |host: &KnownHost| {
+            let known_for = now.saturating_duration_since(host.since);
+            host.heard.is_none() && known_for < self.timings.startup_timeout
         };
-        self.hosts.get(&peer).is_some_and(awaited)
+        self.hosts.get(&peer).is_some_and(starting)
     }
 
     fn suspect(
@@ -514,22 +514,22 @@
         &mut self,
         now: Instant,
     ) {
-        let silent = |host: &KnownHost| now.saturating_duration_since(host.since);
+        let in_state = |host: &KnownHost| now.saturating_duration_since(host.since);
         let overdue: Vec<SocketAddr> = self
             .hosts()
             .filter(|host| host.state == HostState::Suspect)
             .filter(|host| match host.heard {
-                Some(_) => silent(host) >= self.timings.suspicion_timeout,
-                None => silent(host) >= self.timings.startup_timeout,
+                Some(_) => in_state(host) >= self.timings.suspicion_timeout,
+                None => in_state(host) >= self.timings.startup_timeout,
             })
             .map(|host| host.identity.peer)
             .collect();
         for peer in overdue {
             self.set_state(peer, HostState::Dead, now);
         }
-        let forget = self.timings.dead_retention;
+        let retention = self.timings.dead_retention;
         self.hosts
-            .retain(|_, host| host.state != HostState::Dead || silent(host) < forget);
+            .retain(|_, host| host.state != HostState::Dead || in_state(host) < retention);
     }
 
     /// Returns the next host to ping; each host is pinged once per round, in random order.
--- a/src/process/hosts/peer_clocks.rs
+++ b/src/process/hosts/peer_clocks.rs
@@ -105,7 +105,7 @@
         now: Instant,
     ) -> Option<Instant> {
         let clock = self.peers.get(&peer)?;
-        let holds = clock.process == process && clock.is_recent(now);
-        holds.then(|| clock.earliest_start() + sent)
+        let is_known = clock.process == process && clock.is_recent(now);
+        is_known.then(|| clock.earliest_start() + sent)
     }
 }
