--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -125,7 +125,7 @@
     /// Returns true if a listed host is dead and this host reaches a majority of the listed hosts.
     ///
     /// In a network partition this holds on at most one side; the other side must wait for leases to expire.
-    pub fn is_surely_dead(
+    pub fn is_confirmed_dead(
         &self,
         host: &str,
     ) -> bool {
--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -274,7 +274,7 @@
         let over = self
             .watch
             .is_over(&seen.row.host, seen.row.session, self.wait);
-        if over || checks && membership.is_surely_dead(&seen.row.host) {
+        if over || checks && membership.is_confirmed_dead(&seen.row.host) {
             return Some(take(seen.version));
         }
         let host = seen.row.host.clone();
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -426,7 +426,7 @@
     membership.on_tick(now + ms(200));
     assert!(!membership.is_gone("b"));
     membership.on_tick(now + ms(301));
-    assert!(membership.is_gone("b") && membership.is_surely_dead("b"));
+    assert!(membership.is_gone("b") && membership.is_confirmed_dead("b"));
     assert_eq!(membership.eligible(), ["a", "c", "d"]);
     membership.on_heartbeat(&heartbeat("b", 11), now + ms(400));
     assert!(!membership.is_gone("b"), "a host that speaks lives");
@@ -446,9 +446,9 @@
             now,
         );
     }
-    assert!(membership.is_gone("b") && !membership.is_surely_dead("b"));
+    assert!(membership.is_gone("b") && !membership.is_confirmed_dead("b"));
     assert!(
-        !membership.is_surely_dead("nobody"),
+        !membership.is_confirmed_dead("nobody"),
         "an unlisted host may be new"
     );
 }
