--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns true if other hosts are listed and none of them is reachable.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let mut members = self.members.values();
         !self.members.is_empty() && members.all(|member| member.liveness >= Liveness::Suspect)
     }
