--- a/src/process/control/control_view.rs
+++ b/src/process/control/control_view.rs
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn table_out_for_all(&self) -> bool {
-        let others = self.membership.another_reaches_table() || self.membership.is_isolated();
+        let others = self.membership.any_peer_reaches_table() || self.membership.is_isolated();
         !others && !self.table_reachable()
     }
 
--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -139,7 +139,7 @@
     }
 
     /// Returns true if another reachable host can reach the shared table.
-    pub fn another_reaches_table(&self) -> bool {
+    pub fn any_peer_reaches_table(&self) -> bool {
         self.members
             .values()
             .any(|member| member.liveness < Liveness::Suspect && member.table_reachable)
