--- a/src/process/control/control.rs
+++ b/src/process/control/control.rs
@@ -167,11 +167,11 @@
                 actions.into_iter().map(Action::Membership).collect()
             }
             Input::HelperFailed { host } => {
-                self.membership.on_helper_failed(&host, now);
+                self.membership.on_indirect_probe_failed(&host, now);
                 Vec::new()
             }
             Input::HelperReached { host } => {
-                self.membership.on_helper_reached(&host);
+                self.membership.on_indirect_probe_succeeded(&host);
                 Vec::new()
             }
             Input::HandoverNoticed => vec![Action::ReadConfig],
--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -246,7 +246,7 @@
     }
 
     /// Handles a failed indirect probe; `host` is suspected once all of them have failed.
-    pub fn on_helper_failed(
+    pub fn on_indirect_probe_failed(
         &mut self,
         host: &str,
         now: Instant,
@@ -262,7 +262,7 @@
     }
 
     /// Handles a successful indirect probe of `host`.
-    pub fn on_helper_reached(
+    pub fn on_indirect_probe_succeeded(
         &mut self,
         host: &str,
     ) {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -419,9 +419,9 @@
     let actions = membership.on_probe_failed("b", now);
     assert_eq!(actions.len(), 2, "{actions:?}");
     assert!(matches!(actions[0], MembershipAction::ProbeVia { .. }));
-    membership.on_helper_failed("b", now);
+    membership.on_indirect_probe_failed("b", now);
     assert_eq!(membership.members()["b"].liveness, Liveness::Alive);
-    membership.on_helper_failed("b", now);
+    membership.on_indirect_probe_failed("b", now);
     assert_eq!(membership.members()["b"].liveness, Liveness::Suspect);
     membership.on_tick(now + ms(200));
     assert!(!membership.is_gone("b"));
