--- a/src/process/control/control.rs
+++ b/src/process/control/control.rs
@@ -181,7 +181,7 @@
 
     /// Whether another view should be published since the last call.
     pub fn take_changed(&mut self) -> bool {
-        let news = self.membership.take_news();
+        let news = self.membership.take_changes();
         for item in &news {
             self.note_news(&item.host, item.liveness);
         }
--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -23,7 +23,7 @@
 
 /// A change of a host's liveness.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MembershipNews {
+pub struct LivenessChange {
     pub host: String,
     pub liveness: Liveness,
 }
@@ -57,7 +57,7 @@
     asked: BTreeMap<String, usize>,
     rumors: RumorQueue,
     rng: StdRng,
-    news: Vec<MembershipNews>,
+    news: Vec<LivenessChange>,
 }
 
 impl Membership {
@@ -152,7 +152,7 @@
     }
 
     /// Returns the liveness changes since the last call.
-    pub fn take_news(&mut self) -> Vec<MembershipNews> {
+    pub fn take_changes(&mut self) -> Vec<LivenessChange> {
         std::mem::take(&mut self.news)
     }
 
@@ -406,7 +406,7 @@
             incarnation: member.incarnation,
             liveness,
         });
-        self.news.push(MembershipNews {
+        self.news.push(LivenessChange {
             host: host.to_string(),
             liveness,
         });
--- a/src/process/membership/mod.rs
+++ b/src/process/membership/mod.rs
@@ -6,6 +6,6 @@
 
 pub use {
     member::{Liveness, Member},
-    membership::{Heartbeat, Membership, MembershipAction, MembershipNews},
+    membership::{Heartbeat, LivenessChange, Membership, MembershipAction},
     rumor_queue::{Rumor, RumorQueue},
 };
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -408,7 +408,7 @@
     for other in others {
         membership.on_heartbeat(&heartbeat(other, 10), now);
     }
-    membership.take_news();
+    membership.take_changes();
     membership
 }
 
