--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -10,7 +10,7 @@
 };
 
 /// Maximum number of hosts asked to probe an unresponsive host before it is suspected.
-const HELPERS: usize = 3;
+const MAX_INDIRECT_PROBES: usize = 3;
 
 /// A step that the caller must carry out for `Membership`.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -51,13 +51,13 @@
     members: BTreeMap<String, Member>,
     round: Vec<String>,
     /// Hosts that were listed since the last tick, probed at the next one.
-    fresh: Vec<String>,
+    newly_listed: Vec<String>,
     next_probe: Option<Instant>,
     /// Number of outstanding indirect probes, by probed host.
-    asked: BTreeMap<String, usize>,
+    pending_probes: BTreeMap<String, usize>,
     rumors: RumorQueue,
     rng: StdRng,
-    news: Vec<LivenessChange>,
+    changes: Vec<LivenessChange>,
 }
 
 impl Membership {
@@ -73,12 +73,12 @@
             settings,
             members: BTreeMap::new(),
             round: Vec::new(),
-            fresh: Vec::new(),
+            newly_listed: Vec::new(),
             next_probe: None,
-            asked: BTreeMap::new(),
+            pending_probes: BTreeMap::new(),
             rumors: RumorQueue::default(),
             rng: StdRng::seed_from_u64(incarnation),
-            news: Vec::new(),
+            changes: Vec::new(),
         }
     }
 
@@ -100,7 +100,7 @@
         let mut hosts: Vec<&str> = self
             .members
             .iter()
-            .filter(|(_, member)| takes_roles(member))
+            .filter(|(_, member)| is_eligible(member))
             .map(|(name, _)| name.as_str())
             .collect();
         if !self.leaving {
@@ -153,7 +153,7 @@
 
     /// Returns the liveness changes since the last call.
     pub fn take_changes(&mut self) -> Vec<LivenessChange> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.changes)
     }
 
     /// Returns the rumors for one outgoing heartbeat.
@@ -185,8 +185,8 @@
         &mut self,
         now: Instant,
     ) -> Vec<MembershipAction> {
-        self.bury(now);
-        let mut hosts = std::mem::take(&mut self.fresh);
+        self.expire_suspects(now);
+        let mut hosts = std::mem::take(&mut self.newly_listed);
         if self.next_probe.is_none_or(|at| now >= at) {
             self.next_probe = Some(now + self.settings.probe);
             hosts.extend(self.next_in_round());
@@ -211,12 +211,12 @@
         member.session = heard.session;
         member.table_reachable = heard.table_reachable;
         member.config_revision = heard.config_revision;
-        self.asked.remove(&heard.host);
+        self.pending_probes.remove(&heard.host);
         let liveness = match heard.leaving {
             true => Liveness::Leaving,
             false => Liveness::Alive,
         };
-        self.set(&heard.host, liveness, now);
+        self.set_liveness(&heard.host, liveness, now);
     }
 
     /// Handles a failed probe: returns indirect probes to send, or suspects `host` if there is no helper.
@@ -229,15 +229,15 @@
             .members
             .get(host)
             .is_some_and(|member| member.liveness < Liveness::Suspect);
-        if !known || self.asked.contains_key(host) {
+        if !known || self.pending_probes.contains_key(host) {
             return Vec::new();
         }
         let helpers = self.pick_helpers(host);
         if helpers.is_empty() {
-            self.set(host, Liveness::Suspect, now);
+            self.set_liveness(host, Liveness::Suspect, now);
             return Vec::new();
         }
-        self.asked.insert(host.to_string(), helpers.len());
+        self.pending_probes.insert(host.to_string(), helpers.len());
         let ask = |via| MembershipAction::ProbeVia {
             via,
             host: host.to_string(),
@@ -251,13 +251,13 @@
         host: &str,
         now: Instant,
     ) {
-        let Some(left) = self.asked.get_mut(host) else {
+        let Some(left) = self.pending_probes.get_mut(host) else {
             return;
         };
         *left -= 1;
         if *left == 0 {
-            self.asked.remove(host);
-            self.set(host, Liveness::Suspect, now);
+            self.pending_probes.remove(host);
+            self.set_liveness(host, Liveness::Suspect, now);
         }
     }
 
@@ -266,7 +266,7 @@
         &mut self,
         host: &str,
     ) {
-        self.asked.remove(host);
+        self.pending_probes.remove(host);
     }
 
     /// Applies a rumor from another host; returns true if this host refuted it.
@@ -285,7 +285,7 @@
         let worse = rumor.incarnation == member.incarnation && rumor.liveness > member.liveness;
         if newer || worse {
             member.incarnation = rumor.incarnation;
-            self.set(&rumor.host, rumor.liveness, now);
+            self.set_liveness(&rumor.host, rumor.liveness, now);
         }
         false
     }
@@ -305,8 +305,9 @@
         &mut self,
         rumor: &Rumor,
     ) -> bool {
-        let wrong = rumor.liveness >= Liveness::Suspect && rumor.incarnation >= self.incarnation;
-        if wrong {
+        let is_refutable =
+            rumor.liveness >= Liveness::Suspect && rumor.incarnation >= self.incarnation;
+        if is_refutable {
             self.incarnation = rumor.incarnation + 1;
             let liveness = match self.leaving {
                 true => Liveness::Leaving,
@@ -318,7 +319,7 @@
                 liveness,
             });
         }
-        wrong
+        is_refutable
     }
 
     fn add(
@@ -338,10 +339,10 @@
             config_revision: 0,
         };
         self.members.insert(name.clone(), member);
-        self.fresh.push(name);
+        self.newly_listed.push(name);
     }
 
-    fn bury(
+    fn expire_suspects(
         &mut self,
         now: Instant,
     ) {
@@ -354,7 +355,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for host in overdue {
-            self.set(&host, Liveness::Dead, now);
+            self.set_liveness(&host, Liveness::Dead, now);
         }
     }
 
@@ -383,11 +384,11 @@
             .map(|(name, _)| name.clone())
             .collect();
         helpers.shuffle(&mut self.rng);
-        helpers.truncate(HELPERS);
+        helpers.truncate(MAX_INDIRECT_PROBES);
         helpers
     }
 
-    fn set(
+    fn set_liveness(
         &mut self,
         host: &str,
         liveness: Liveness,
@@ -406,14 +407,14 @@
             incarnation: member.incarnation,
             liveness,
         });
-        self.news.push(LivenessChange {
+        self.changes.push(LivenessChange {
             host: host.to_string(),
             liveness,
         });
     }
 }
 
-fn takes_roles(member: &Member) -> bool {
+fn is_eligible(member: &Member) -> bool {
     let answers = matches!(member.liveness, Liveness::Alive | Liveness::Suspect);
     // A host that was never heard gets no role, whatever the list says.
     let heard = member.incarnation > 0;
