--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -169,7 +169,7 @@
     pub fn known_count(&self) -> usize {
         let reported = self.hosts().map(|host| host.counted).max();
         let reported = reported.map_or(0, |count| count as usize);
-        self.size.counted().max(reported)
+        self.size.host_count().max(reported)
     }
 
     /// Returns true if no host has been added for at least `time`.
@@ -241,7 +241,7 @@
             lease_version,
             ready,
             link_mbps: self.me.link_mbps,
-            counted: u32::try_from(self.size.counted()).unwrap_or(u32::MAX),
+            counted: u32::try_from(self.size.host_count()).unwrap_or(u32::MAX),
         }
     }
 
@@ -287,7 +287,7 @@
     ) -> Vec<HostAction> {
         let mut actions = self.check_pending_pings(now);
         self.expire_suspects(now);
-        self.size.count(self.hosts.keys(), now);
+        self.size.update(self.hosts.keys(), now);
         if self.next_ping.is_none_or(|at| now >= at) {
             let interval = self.timings.round_interval / self.hosts.len().max(1) as u32;
             self.next_ping = Some(now + interval.max(self.timings.min_ping_interval));
--- a/src/process/hosts/site_size.rs
+++ b/src/process/hosts/site_size.rs
@@ -22,7 +22,7 @@
     counted_until: BTreeMap<SocketAddr, Instant>,
     /// Hosts that are counted before they are heard.
     expected: BTreeSet<SocketAddr>,
-    counted: usize,
+    host_count: usize,
 }
 
 impl SiteSize {
@@ -32,7 +32,7 @@
         peers: impl Iterator<Item = SocketAddr>,
     ) {
         self.expected.extend(peers);
-        self.counted = 1 + self.expected.len();
+        self.host_count = 1 + self.expected.len();
     }
 
     pub fn on_heard(
@@ -52,7 +52,7 @@
     }
 
     /// Updates the count; `known` holds the other hosts that are in the host table.
-    pub fn count<'a>(
+    pub fn update<'a>(
         &mut self,
         known: impl Iterator<Item = &'a SocketAddr>,
         now: Instant,
@@ -62,11 +62,11 @@
         let unheard: BTreeSet<SocketAddr> = known
             .filter(|peer| !self.counted_until.contains_key(peer))
             .collect();
-        self.counted = 1 + self.counted_until.len() + unheard.len();
+        self.host_count = 1 + self.counted_until.len() + unheard.len();
     }
 
     /// Returns the number of hosts at the last count, including this one.
-    pub fn counted(&self) -> usize {
-        self.counted
+    pub fn host_count(&self) -> usize {
+        self.host_count
     }
 }
