--- a/src/process/control/view.rs
+++ b/src/process/control/view.rs
@@ -76,6 +76,6 @@
             && self
                 .hosts
                 .get(host)
-                .is_none_or(|host| !host.liveness.answers())
+                .is_none_or(|host| !host.liveness.can_receive_requests())
     }
 }
--- a/src/process/membership/member.rs
+++ b/src/process/membership/member.rs
@@ -13,7 +13,7 @@
 
 impl Liveness {
     /// Returns true if requests may be forwarded to the host.
-    pub fn answers(self) -> bool {
+    pub fn can_receive_requests(self) -> bool {
         self != Self::Dead
     }
 }
