--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -225,11 +225,11 @@
         host: &str,
         now: Instant,
     ) -> Vec<MembershipAction> {
-        let known = self
+        let is_reachable = self
             .members
             .get(host)
             .is_some_and(|member| member.liveness < Liveness::Suspect);
-        if !known || self.pending_probes.contains_key(host) {
+        if !is_reachable || self.pending_probes.contains_key(host) {
             return Vec::new();
         }
         let helpers = self.pick_helpers(host);
@@ -238,11 +238,11 @@
             return Vec::new();
         }
         self.pending_probes.insert(host.to_string(), helpers.len());
-        let ask = |via| MembershipAction::ProbeVia {
+        let request = |via| MembershipAction::ProbeVia {
             via,
             host: host.to_string(),
         };
-        helpers.into_iter().map(ask).collect()
+        helpers.into_iter().map(request).collect()
     }
 
     /// Handles a failed indirect probe; `host` is suspected once all of them have failed.
@@ -251,11 +251,11 @@
         host: &str,
         now: Instant,
     ) {
-        let Some(left) = self.pending_probes.get_mut(host) else {
+        let Some(remaining) = self.pending_probes.get_mut(host) else {
             return;
         };
-        *left -= 1;
-        if *left == 0 {
+        *remaining -= 1;
+        if *remaining == 0 {
             self.pending_probes.remove(host);
             self.set_liveness(host, Liveness::Suspect, now);
         }
@@ -346,12 +346,12 @@
         &mut self,
         now: Instant,
     ) {
-        let grace = self.settings.suspect;
+        let timeout = self.settings.suspect;
         let overdue: Vec<String> = self
             .members
             .iter()
             .filter(|(_, member)| member.liveness == Liveness::Suspect)
-            .filter(|(_, member)| now.saturating_duration_since(member.since) >= grace)
+            .filter(|(_, member)| now.saturating_duration_since(member.since) >= timeout)
             .map(|(name, _)| name.clone())
             .collect();
         for host in overdue {
@@ -415,8 +415,8 @@
 }
 
 fn is_eligible(member: &Member) -> bool {
-    let answers = matches!(member.liveness, Liveness::Alive | Liveness::Suspect);
+    let is_active = matches!(member.liveness, Liveness::Alive | Liveness::Suspect);
     // A host that was never heard gets no role, whatever the list says.
-    let heard = member.incarnation > 0;
-    answers && heard && member.listed.state == HostState::Live
+    let was_heard = member.incarnation > 0;
+    is_active && was_heard && member.listed.state == HostState::Live
 }
--- a/src/process/membership/rumor_queue.rs
+++ b/src/process/membership/rumor_queue.rs
@@ -17,7 +17,7 @@
 /// Rumors to be sent, with the number of times each was sent; those sent least often go first.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
-    told: BTreeMap<String, (u32, Rumor)>,
+    entries: BTreeMap<String, (u32, Rumor)>,
 }
 
 impl RumorQueue {
@@ -26,7 +26,7 @@
         &mut self,
         rumor: Rumor,
     ) {
-        self.told.insert(rumor.host.clone(), (0, rumor));
+        self.entries.insert(rumor.host.clone(), (0, rumor));
     }
 
     /// Returns the rumors for one heartbeat in a site of `hosts` hosts.
@@ -35,20 +35,20 @@
         hosts: usize,
     ) -> Vec<Rumor> {
         let limit = RETRANSMIT_FACTOR * (usize::BITS - hosts.leading_zeros()).max(1);
-        let mut least: Vec<(u32, String)> = self
-            .told
+        let mut least_sent: Vec<(u32, String)> = self
+            .entries
             .iter()
-            .map(|(host, (told, _))| (*told, host.clone()))
+            .map(|(host, (sends, _))| (*sends, host.clone()))
             .collect();
-        least.sort();
-        least.truncate(MAX_RUMORS_PER_MESSAGE);
+        least_sent.sort();
+        least_sent.truncate(MAX_RUMORS_PER_MESSAGE);
         let mut taken = Vec::new();
-        for (_, host) in least {
-            if let Some((told, rumor)) = self.told.get_mut(&host) {
-                *told += 1;
+        for (_, host) in least_sent {
+            if let Some((sends, rumor)) = self.entries.get_mut(&host) {
+                *sends += 1;
                 taken.push(rumor.clone());
-                if *told >= limit {
-                    self.told.remove(&host);
+                if *sends >= limit {
+                    self.entries.remove(&host);
                 }
             }
         }
