--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -87,7 +87,7 @@
     leaving: bool,
     timings: FailureDetectionTimings,
     hosts: BTreeMap<SocketAddr, KnownHost>,
-    round: Vec<SocketAddr>,
+    ping_queue: Vec<SocketAddr>,
     next_ping: Option<Instant>,
     pending_pings: BTreeMap<SocketAddr, PendingPing>,
     /// Hosts whose rumors are to be sent, with the number of times each was sent.
@@ -112,7 +112,7 @@
             leaving: false,
             timings,
             hosts: BTreeMap::new(),
-            round: Vec::new(),
+            ping_queue: Vec::new(),
             next_ping: None,
             pending_pings: BTreeMap::new(),
             pending_rumors: BTreeMap::new(),
@@ -535,11 +535,11 @@
     /// Returns the next host to ping; each host is pinged once per round, in random order.
     fn next_in_round(&mut self) -> Option<SocketAddr> {
         loop {
-            if self.round.is_empty() {
-                self.round = self.hosts.keys().copied().collect();
-                self.round.shuffle(&mut self.rng);
+            if self.ping_queue.is_empty() {
+                self.ping_queue = self.hosts.keys().copied().collect();
+                self.ping_queue.shuffle(&mut self.rng);
             }
-            let peer = self.round.pop()?;
+            let peer = self.ping_queue.pop()?;
             if self.hosts.contains_key(&peer) {
                 return Some(peer);
             }
