--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -49,7 +49,7 @@
     leaving: bool,
     settings: MembershipSettings,
     members: BTreeMap<String, Member>,
-    round: Vec<String>,
+    probe_queue: Vec<String>,
     /// Hosts that were listed since the last tick, probed at the next one.
     newly_listed: Vec<String>,
     next_probe: Option<Instant>,
@@ -72,7 +72,7 @@
             leaving: false,
             settings,
             members: BTreeMap::new(),
-            round: Vec::new(),
+            probe_queue: Vec::new(),
             newly_listed: Vec::new(),
             next_probe: None,
             pending_probes: BTreeMap::new(),
@@ -362,11 +362,11 @@
     /// Returns the next host to probe; each host is probed once per round, in random order.
     fn next_in_round(&mut self) -> Option<String> {
         loop {
-            if self.round.is_empty() {
-                self.round = self.members.keys().cloned().collect();
-                self.round.shuffle(&mut self.rng);
+            if self.probe_queue.is_empty() {
+                self.probe_queue = self.members.keys().cloned().collect();
+                self.probe_queue.shuffle(&mut self.rng);
             }
-            let host = self.round.pop()?;
+            let host = self.probe_queue.pop()?;
             if self.members.contains_key(&host) {
                 return Some(host);
             }
