--- a/tests/host_table.rs
+++ b/tests/host_table.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_host_that_was_only_named_gets_time_to_start() {
+fn a_host_that_was_never_heard_gets_time_to_start() {
     let start = Instant::now();
     let mut table = table(start);
     table.on_discovered(&rumor(2, RumorState::Alive), start);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn nothing_bad_is_told_of_a_host_that_was_only_named() {
+fn a_host_that_was_never_heard_is_gossiped_as_alive() {
     let start = Instant::now();
     let mut table = table(start);
     table.on_discovered(&rumor(2, RumorState::Alive), start);
@@ -112,12 +112,12 @@
 }
 
 #[test]
-fn a_host_that_was_heard_and_falls_silent_is_dead_soon_and_told_of() {
+fn a_host_that_falls_silent_is_soon_dead_and_gossiped_as_dead() {
     let start = Instant::now();
     let mut table = table(start);
     table.on_heard(&rumor(2, RumorState::Alive), start);
     let (_, dead) = watch(&mut table, start, ms(2_500));
     assert!(dead.is_some_and(|dead| dead < ms(1_400)), "{dead:?}");
-    let told = table.take_rumors();
-    assert_eq!(told[0].state(), RumorState::Dead);
+    let rumors = table.take_rumors();
+    assert_eq!(rumors[0].state(), RumorState::Dead);
 }
