--- a/tests/host_table.rs
+++ b/tests/host_table.rs
@@ -79,7 +79,7 @@
         };
         hosts.on_heard(&rumor, now);
     }
-    // Ranks after the faster link, but before equal links with greater addresses and unknown links.
+    // Ranks after the faster link and before equal links with greater addresses and unknown links.
     assert_eq!(hosts.link_rank(), 1);
     hosts.on_heard(&rumor(2, RumorState::Leaving), now);
     assert_eq!(hosts.link_rank(), 0);
