--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -425,10 +425,10 @@
         rumor: &HostRumor,
         state: HostState,
     ) {
-        let wrong = state >= HostState::Suspect
+        let is_refutable = state >= HostState::Suspect
             && rumor.process == self.me.process
             && rumor.incarnation >= self.incarnation;
-        if wrong {
+        if is_refutable {
             self.incarnation = rumor.incarnation + 1;
             self.events.push(HostEvent::Refuted {
                 incarnation: self.incarnation,
@@ -514,13 +514,13 @@
         &mut self,
         now: Instant,
     ) {
-        let in_state = |host: &KnownHost| now.saturating_duration_since(host.since);
+        let time_in_state = |host: &KnownHost| now.saturating_duration_since(host.since);
         let overdue: Vec<SocketAddr> = self
             .hosts()
             .filter(|host| host.state == HostState::Suspect)
             .filter(|host| match host.heard {
-                Some(_) => in_state(host) >= self.timings.suspicion_timeout,
-                None => in_state(host) >= self.timings.startup_timeout,
+                Some(_) => time_in_state(host) >= self.timings.suspicion_timeout,
+                None => time_in_state(host) >= self.timings.startup_timeout,
             })
             .map(|host| host.identity.peer)
             .collect();
@@ -529,7 +529,7 @@
         }
         let retention = self.timings.dead_retention;
         self.hosts
-            .retain(|_, host| host.state != HostState::Dead || in_state(host) < retention);
+            .retain(|_, host| host.state != HostState::Dead || time_in_state(host) < retention);
     }
 
     /// Returns the next host to ping; each host is pinged once per round, in random order.
