--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -175,7 +175,7 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        if self.hosts.up_count() > MAX_ANNOUNCED {
+        if self.hosts.reachable_count() > MAX_ANNOUNCED {
             self.told_loads.clear();
             return Vec::new();
         }
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -516,7 +516,7 @@
             targets: targets.collect(),
             versions: self.versions.clone(),
             slot_holders: self.slot_holders(&holders),
-            hosts: self.hosts.up_count(),
+            hosts: self.hosts.reachable_count(),
             known_hosts: self.hosts.known_count(),
             confirmation: self.told_confirmation,
         }
--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -151,7 +151,7 @@
     }
 
     /// Returns the number of reachable hosts, including this one.
-    pub fn up_count(&self) -> usize {
+    pub fn reachable_count(&self) -> usize {
         1 + self.hosts().filter(|host| host.state.is_up()).count()
     }
 
