--- a/src/process/control/control.rs
+++ b/src/process/control/control.rs
@@ -157,7 +157,7 @@
                 term,
             } => self.on_owner_row(&target, version, row, term, now),
             Input::OwnerFailed { target } => {
-                self.ownership.on_failed(&target);
+                self.ownership.on_transaction_failed(&target);
                 Vec::new()
             }
             Input::Config(config) => self.on_config(config),
@@ -167,11 +167,11 @@
                 actions.into_iter().map(Action::Membership).collect()
             }
             Input::HelperFailed { host } => {
-                self.membership.on_helper_failed(&host, now);
+                self.membership.on_indirect_probe_failed(&host, now);
                 Vec::new()
             }
             Input::HelperReached { host } => {
-                self.membership.on_helper_reached(&host);
+                self.membership.on_indirect_probe_succeeded(&host);
                 Vec::new()
             }
             Input::HandoverNoticed => vec![Action::ReadConfig],
@@ -181,7 +181,7 @@
 
     /// Whether another view should be published since the last call.
     pub fn take_changed(&mut self) -> bool {
-        let news = self.membership.take_news();
+        let news = self.membership.take_changes();
         for item in &news {
             self.note_news(&item.host, item.liveness);
         }
@@ -214,7 +214,7 @@
     ) -> bool {
         let mut members = self.membership.members().values();
         let all_heard = members.all(|member| member.liveness < Liveness::Suspect);
-        self.lease.holds(now) || all_heard
+        self.lease.is_valid(now) || all_heard
     }
 
     pub(super) fn on_tick(
@@ -241,7 +241,7 @@
         &mut self,
         now: Instant,
     ) {
-        let holds = self.lease.holds(now);
+        let holds = self.lease.is_valid(now);
         if self.lease_held && !holds {
             self.log.note(Event::SessionLapsed, &[]);
         }
@@ -294,7 +294,7 @@
                 actions.extend(named(target, state.set_spec(spec.clone())));
             }
         }
-        let held: Vec<String> = self.ownership.held().keys().cloned().collect();
+        let held: Vec<String> = self.ownership.owned().keys().cloned().collect();
         let now = Instant::now();
         for target in held {
             actions.extend(self.open_target(&target, now));
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -61,8 +61,9 @@
             (TableName::Declared, &self.declared),
             (TableName::Targets, &self.listed),
         ] {
-            let age = kept.copy.age(now);
-            let seconds = age.map_or(f64::INFINITY, |age: Duration| age.as_secs_f64());
+            let staleness = kept.copy.staleness(now);
+            let seconds =
+                staleness.map_or(f64::INFINITY, |staleness: Duration| staleness.as_secs_f64());
             let labels = CopyLabels {
                 table: table.word(),
             };
@@ -75,7 +76,7 @@
         &self,
         now: Instant,
     ) {
-        let holds = self.holding.lease().holds(now);
+        let holds = self.holding.lease().is_valid(now);
         metrics().lease_held.set(i64::from(holds));
         metrics().engines_held.set(self.desks.len() as i64);
         let adapters: usize = self.desks.values().map(|desk| desk.adapters().len()).sum();
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -79,8 +79,8 @@
         let mut seeds = self.settings.seed_peers().filter(|peer| *peer != me);
         if seeds.all(|seed| self.empty_seeds.contains(&seed)) {
             let at = now + rand::rng().random_range(Duration::ZERO..FIRST_READ_SPREAD);
-            self.declared.schedule.on_no_copy(at);
-            self.listed.schedule.on_no_copy(at);
+            self.declared.schedule.on_no_replica(at);
+            self.listed.schedule.on_no_replica(at);
         }
     }
 
@@ -90,7 +90,7 @@
         now: Instant,
     ) -> Vec<HostRumor> {
         let known = self.hosts.hosts().map(KnownHost::to_rumor);
-        known.chain([self.my_rumor(now)]).collect()
+        known.chain([self.local_rumor(now)]).collect()
     }
 
     fn ping_seeds(
@@ -146,7 +146,7 @@
             }
             Message::PingRequest(request) => self.on_ping_request(from, &request, now),
             Message::Vouch(vouch) => {
-                self.hosts.on_vouched(vouch.peer.into());
+                self.hosts.on_indirect_answer(vouch.peer.into());
                 Vec::new()
             }
             Message::Want(want) => self.on_want(from, &want, now),
@@ -270,7 +270,7 @@
         ask: LoanAsk,
     ) -> Option<ControlAction> {
         if self.lenders.is_empty() {
-            self.lenders = self.hosts.pick_up(usize::MAX);
+            self.lenders = self.hosts.pick_reachable(usize::MAX);
         }
         let to = self.lenders.pop()?;
         let message = Message::LoanAsk(ask);
@@ -325,7 +325,7 @@
         actions.extend(self.on_poison_digest(from, ping.freshness.poison, now));
         if !ping.one_way {
             let ack = Ack {
-                sender: self.my_rumor(now),
+                sender: self.local_rumor(now),
                 freshness: self.freshness(now),
                 rumors: self.hosts.take_rumors(),
                 echo: Some(PingEcho {
@@ -355,8 +355,8 @@
         let exchange = PingExchange {
             peer: from,
             process: ack.sender.process,
-            pinged: self.started + Duration::from_micros(echo.told_us),
-            answered: Duration::from_micros(ack.freshness.told_us),
+            ping_sent_at: self.started + Duration::from_micros(echo.told_us),
+            answer_sent_after: Duration::from_micros(ack.freshness.told_us),
         };
         self.clocks.on_exchange(&exchange, now);
     }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -56,12 +56,12 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let place = self.hosts.place_by_link();
+        let place = self.hosts.link_rank();
         let mut actions = Vec::new();
         for table in [TableName::Declared, TableName::Targets] {
             let kept = self.kept(table);
-            let age = kept.copy.age(now);
-            if kept.schedule.start(age, place, now) {
+            let staleness = kept.copy.staleness(now);
+            if kept.schedule.start_if_due(staleness, place, now) {
                 actions.push(match kept.copy.is_known() {
                     true => ControlAction::ReadChanges {
                         table,
@@ -116,7 +116,7 @@
         let Some(rows) = rows else {
             return Vec::new();
         };
-        let rows = self.kept(table).copy.apply_whole(rows, asked, print);
+        let rows = self.kept(table).copy.apply_snapshot(rows, asked, print);
         let news = RowNews {
             rows: &rows,
             source: "store",
@@ -139,7 +139,9 @@
     ) -> Vec<ControlAction> {
         let from = sender.peer.into();
         let told = Duration::from_micros(freshness.told_us);
-        let left = self.clocks.left_after(from, sender.process, told, now);
+        let left = self
+            .clocks
+            .earliest_send_time(from, sender.process, told, now);
         let assumed = arrived_after.checked_sub(MESSAGE_TIME);
         let Some(told_at) = left.map(|left| left.min(arrived_after)).or(assumed) else {
             return Vec::new();
@@ -150,10 +152,10 @@
         ];
         let mut actions = Vec::new();
         for (table, state) in told {
-            let age = state
+            let staleness = state
                 .age_ms
-                .map(|age| Duration::from_millis(u64::from(age)));
-            let Some(as_of) = age.and_then(|age| told_at.checked_sub(age)) else {
+                .map(|staleness| Duration::from_millis(u64::from(staleness)));
+            let Some(as_of) = staleness.and_then(|staleness| told_at.checked_sub(staleness)) else {
                 continue;
             };
             let kept = self.kept(table);
@@ -186,12 +188,12 @@
         let Some((changes, as_of)) = changes else {
             return Vec::new();
         };
-        let whole = changes.whole;
+        let is_full = changes.is_full;
         let large = changes.bytes() >= LARGE_COPY;
         let before = kept.confirmation();
-        let (rows, same) = kept.copy.apply_from_host(changes, as_of, print);
+        let (rows, same) = kept.copy.apply_host_changes(changes, as_of, print);
         let mut actions = Vec::new();
-        if !same && !whole {
+        if !same && !is_full {
             // A change that was taken back again was missed by one of the two.
             kept.pulling = Some(from);
             actions.push(ControlAction::PullChanges {
@@ -208,7 +210,7 @@
         actions.extend(self.take_rows(table, &news, now));
         if large && same {
             // Whoever was turned away by a busy host gets it here.
-            let some = self.hosts.pick_up(TOLD_OF_LARGE_COPY);
+            let some = self.hosts.pick_reachable(TOLD_OF_LARGE_COPY);
             actions.extend(self.tell(some, now));
         }
         actions
@@ -225,7 +227,7 @@
             TableName::Declared => &self.declared.copy,
             TableName::Targets => &self.listed.copy,
         };
-        (copy.changes_since(since), copy.age(now))
+        (copy.changes_since(since), copy.staleness(now))
     }
 
     /// A read of a table from the store ended.
@@ -240,8 +242,8 @@
         kept.schedule.on_end(succeeded, now);
         let age_ms = kept
             .copy
-            .age(now)
-            .map_or(-1.0, |age| age.as_secs_f64() * 1000.0);
+            .staleness(now)
+            .map_or(-1.0, |staleness| staleness.as_secs_f64() * 1000.0);
         if !succeeded && failures == 0 {
             note!(
                 Event::TableUnreachable,
@@ -372,7 +374,7 @@
             adapter = adapter,
             version = version,
             before = before,
-            before_age_ms = before_age.map_or(-1.0, |age| age.as_secs_f64() * 1000.0),
+            before_age_ms = before_age.map_or(-1.0, |staleness| staleness.as_secs_f64() * 1000.0),
             source = news.source
         );
         for desk in self.desks.values_mut() {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -19,10 +19,10 @@
         process::{
             engines::{EngineAllocator, PublishedLoads, SharedAllocatorState, UnansweredOrders},
             holding::{EngineAssignment, HostRow, LeaseTimings},
-            hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
+            hosts::{FailureDetectionTimings, HostIdentity, HostState, HostTable, PeerClocks},
             ownership::SessionLease,
             settings::NodeSettings,
-            tables::{ReadSchedule, ReadTimings, TableCopy},
+            tables::{ReadSchedule, ReadTimings, TableReplica},
         },
         timeline::Event,
         version::routing::RoutingTable,
@@ -61,7 +61,7 @@
 
 /// A copy of a table, and when this host reads it.
 pub(super) struct KeptTable {
-    pub copy: TableCopy,
+    pub copy: TableReplica,
     pub schedule: ReadSchedule,
     /// Whom this host asks for changes at this moment.
     pub pulling: Option<SocketAddr>,
@@ -69,7 +69,7 @@
 
 impl KeptTable {
     pub fn confirmation(&self) -> TableFreshness {
-        let confirmed_at = self.copy.right_at();
+        let confirmed_at = self.copy.confirmed_at();
         let failed_at = self.schedule.failed_at();
         TableFreshness {
             confirmed_at,
@@ -161,12 +161,12 @@
             front: identity.front,
             process,
         };
-        let mut hosts = HostTable::new(identity, HostTimings::default(), now);
+        let mut hosts = HostTable::new(identity, FailureDetectionTimings::default(), now);
         hosts.expect(settings.seed_peers());
         let lease = &settings.lease;
         let timings = LeaseTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
         let table = |bound| KeptTable {
-            copy: TableCopy::default(),
+            copy: TableReplica::default(),
             schedule: ReadSchedule::new(ReadTimings::within(bound), now),
             pulling: None,
         };
@@ -369,12 +369,12 @@
     }
 
     /// This host, as it is told of to others.
-    pub(super) fn my_rumor(
+    pub(super) fn local_rumor(
         &self,
         now: Instant,
     ) -> HostRumor {
         let holds = self.holding.held(now).map(|(target, _)| target.clone());
-        self.hosts.my_rumor(
+        self.hosts.local_rumor(
             holds.collect(),
             self.holding.lease_version(),
             self.is_ready(),
@@ -386,12 +386,12 @@
         &self,
         now: Instant,
     ) -> Freshness {
-        let state = |copy: &TableCopy| CopyState {
+        let state = |copy: &TableReplica| CopyState {
             version: copy.version(),
             digest: copy.digest(),
             age_ms: copy
-                .age(now)
-                .map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX)),
+                .staleness(now)
+                .map(|staleness| u32::try_from(staleness.as_millis()).unwrap_or(u32::MAX)),
         };
         Freshness {
             declared: state(&self.declared.copy),
@@ -417,7 +417,7 @@
         now: Instant,
     ) -> Ping {
         Ping {
-            sender: self.my_rumor(now),
+            sender: self.local_rumor(now),
             freshness: self.freshness(now),
             rumors: self.hosts.take_rumors(),
             one_way,
@@ -517,7 +517,7 @@
             targets: targets.collect(),
             versions: self.versions.clone(),
             hash_slot_holders: self.slot_holders(&holders),
-            hosts: self.hosts.up_count(),
+            hosts: self.hosts.reachable_count(),
             known_hosts: self.hosts.known_count(),
             freshness: self.told_confirmation,
         }
--- a/src/process/hosts/site_size.rs
+++ b/src/process/hosts/site_size.rs
@@ -7,31 +7,32 @@
     },
 };
 
-/// A host that was not heard for so long is no longer counted. Regions lose each other for an hour; a host
-/// beyond such a cut still repeats requests, by its share of an allowance that is divided among all.
-const KNOWN_TIME: Duration = Duration::from_secs(2 * 3600);
+/// Time for which a host is counted after its last message. It outlasts a network partition between regions:
+/// a host behind one still spends its share of allowances that are divided among all hosts.
+const HEARD_RETENTION: Duration = Duration::from_secs(2 * 3600);
 
-/// The same for a host that has told that it leaves: its process ends within some seconds, and what it spent
-/// counts for a window after that.
-const LEFT_TIME: Duration = Duration::from_secs(60);
+/// Time for which a leaving host is counted. Its process ends within seconds, and the allowance it spent
+/// stays charged for a window after that.
+const LEAVING_RETENTION: Duration = Duration::from_secs(60);
 
-/// How many hosts a site has, counted over a long time by one host.
+/// Long-term count of the hosts of a site, as seen by one host.
 #[derive(Debug, Default)]
 pub struct SiteSize {
-    /// Other hosts that were heard, and until when they are counted.
-    heard: BTreeMap<SocketAddr, Instant>,
-    /// Hosts that are counted from the start.
+    /// Other hosts that were heard, with the time until which each is counted.
+    counted_until: BTreeMap<SocketAddr, Instant>,
+    /// Hosts that are counted before they are heard.
     expected: BTreeSet<SocketAddr>,
-    counted: usize,
+    host_count: usize,
 }
 
 impl SiteSize {
+    /// Adds hosts to count before they are heard.
     pub fn expect(
         &mut self,
         peers: impl Iterator<Item = SocketAddr>,
     ) {
         self.expected.extend(peers);
-        self.counted = 1 + self.expected.len();
+        self.host_count = 1 + self.expected.len();
     }
 
     pub fn on_heard(
@@ -39,7 +40,7 @@
         peer: SocketAddr,
         now: Instant,
     ) {
-        self.heard.insert(peer, now + KNOWN_TIME);
+        self.counted_until.insert(peer, now + HEARD_RETENTION);
     }
 
     pub fn on_leaving(
@@ -47,25 +48,25 @@
         peer: SocketAddr,
         now: Instant,
     ) {
-        self.heard.insert(peer, now + LEFT_TIME);
+        self.counted_until.insert(peer, now + LEAVING_RETENTION);
     }
 
-    /// Counts anew; `known` are the other hosts that are believed to be there or were so lately.
-    pub fn count<'a>(
+    /// Updates the count; `known` holds the other hosts that are in the host table.
+    pub fn update<'a>(
         &mut self,
         known: impl Iterator<Item = &'a SocketAddr>,
         now: Instant,
     ) {
-        self.heard.retain(|_, until| now < *until);
+        self.counted_until.retain(|_, until| now < *until);
         let known = known.copied().chain(self.expected.iter().copied());
         let unheard: BTreeSet<SocketAddr> = known
-            .filter(|peer| !self.heard.contains_key(peer))
+            .filter(|peer| !self.counted_until.contains_key(peer))
             .collect();
-        self.counted = 1 + self.heard.len() + unheard.len();
+        self.host_count = 1 + self.counted_until.len() + unheard.len();
     }
 
-    /// Hosts at the last count, this one included.
-    pub fn counted(&self) -> usize {
-        self.counted
+    /// Returns the number of hosts at the last count, including this one.
+    pub fn host_count(&self) -> usize {
+        self.host_count
     }
 }
--- a/src/process/membership/rumor_queue.rs
+++ b/src/process/membership/rumor_queue.rs
@@ -1,6 +1,6 @@
 use {super::Liveness, std::collections::BTreeMap};
 
-/// News of one host that is passed on with heartbeats.
+/// State of one host, gossiped with heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rumor {
     pub host: String,
@@ -8,47 +8,47 @@
     pub liveness: Liveness,
 }
 
-/// Rumors carried by one heartbeat, at the most.
-const PER_MESSAGE: usize = 12;
+/// Maximum number of rumors in one heartbeat.
+const MAX_RUMORS_PER_MESSAGE: usize = 12;
 
-/// Tellings of a rumor, as a multiple of the logarithm of the number of hosts.
-const TELLINGS_FACTOR: u32 = 3;
+/// Transmissions of a rumor, as a multiple of the base-2 logarithm of the number of hosts.
+const RETRANSMIT_FACTOR: u32 = 3;
 
-/// Rumors waiting to be passed on, the least told first.
+/// Rumors to be sent, with the number of times each was sent; those sent least often go first.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
-    told: BTreeMap<String, (u32, Rumor)>,
+    entries: BTreeMap<String, (u32, Rumor)>,
 }
 
 impl RumorQueue {
-    /// Queues news of a host in place of older news of it.
+    /// Queues a rumor, replacing an older one about the same host.
     pub fn push(
         &mut self,
         rumor: Rumor,
     ) {
-        self.told.insert(rumor.host.clone(), (0, rumor));
+        self.entries.insert(rumor.host.clone(), (0, rumor));
     }
 
-    /// Takes the rumors for one heartbeat among `hosts` hosts.
+    /// Returns the rumors for one heartbeat in a site of `hosts` hosts.
     pub fn take(
         &mut self,
         hosts: usize,
     ) -> Vec<Rumor> {
-        let limit = TELLINGS_FACTOR * (usize::BITS - hosts.leading_zeros()).max(1);
-        let mut least: Vec<(u32, String)> = self
-            .told
+        let limit = RETRANSMIT_FACTOR * (usize::BITS - hosts.leading_zeros()).max(1);
+        let mut least_sent: Vec<(u32, String)> = self
+            .entries
             .iter()
-            .map(|(host, (told, _))| (*told, host.clone()))
+            .map(|(host, (sends, _))| (*sends, host.clone()))
             .collect();
-        least.sort();
-        least.truncate(PER_MESSAGE);
+        least_sent.sort();
+        least_sent.truncate(MAX_RUMORS_PER_MESSAGE);
         let mut taken = Vec::new();
-        for (_, host) in least {
-            if let Some((told, rumor)) = self.told.get_mut(&host) {
-                *told += 1;
+        for (_, host) in least_sent {
+            if let Some((sends, rumor)) = self.entries.get_mut(&host) {
+                *sends += 1;
                 taken.push(rumor.clone());
-                if *told >= limit {
-                    self.told.remove(&host);
+                if *sends >= limit {
+                    self.entries.remove(&host);
                 }
             }
         }
--- a/src/process/ownership/ownership.rs
+++ b/src/process/ownership/ownership.rs
@@ -8,108 +8,113 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// An owner that sees a better assignment waits this long before it hands over.
-const HANDOVER_CALM: Duration = Duration::from_millis(600);
+/// Delay before a target is handed over to the host it is assigned to.
+const HANDOVER_DELAY: Duration = Duration::from_millis(600);
 
-/// Targets handed over in one step, so that a joining host causes no storm.
-const HANDOVERS_AT_ONCE: usize = 4;
+/// Maximum number of handovers per decision, to limit the load when a host joins.
+const MAX_HANDOVERS_PER_DECISION: usize = 4;
 
 /// A target that this process owns.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HeldTarget {
+pub struct OwnedTarget {
     /// The version of the ownership row.
     pub fence: u64,
-    /// Term of the lease that it was gained in.
+    /// Lease term in which the target was acquired.
     pub term: u64,
     pub since: Instant,
 }
 
-/// A row as last seen.
+/// The latest known state of an ownership row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct SeenRow {
+struct KnownRow {
     version: u64,
     row: OwnerRow,
 }
 
-/// What ownership wants done at the table.
+/// An operation on the table that `Ownership` requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnershipAction {
-    /// Commit the target's row to this process if it still has the version seen.
-    Take { target: String, seen: u64 },
-    /// Commit the target's row to another host.
+    /// Writes this process as owner if the row still has version `expected_version`.
+    Take {
+        target: String,
+        expected_version: u64,
+    },
+    /// Writes another host as owner if the row still has version `expected_version`.
     HandOver {
         target: String,
-        seen: u64,
+        expected_version: u64,
         to: String,
         session: u64,
     },
-    /// Read the session row of a host whose end must be awaited.
+    /// Reads the session row of a host whose session must end before its targets are taken over.
     WatchSession { host: String },
 }
 
-/// Decides which targets this process takes, keeps and hands over.
+/// Decides which targets this process takes over, keeps and hands over.
 pub struct Ownership {
-    me: String,
+    local_host: String,
     session: u64,
-    /// Lease, margin and order time: how long a lapsed owner could still act.
-    wait: Duration,
-    rows: BTreeMap<String, SeenRow>,
-    held: BTreeMap<String, HeldTarget>,
-    /// Transactions under way, by target.
+    /// Time after which a session that is not renewed counts as expired: lease length and margin.
+    lapse_wait: Duration,
+    rows: BTreeMap<String, KnownRow>,
+    owned: BTreeMap<String, OwnedTarget>,
+    /// Start of the transaction in flight, by target.
     pending: BTreeMap<String, Instant>,
     watch: SessionWatch,
-    /// Who should own each target, and the revision and hosts that it was computed for.
+    /// The host that each target is assigned to.
     assigned: BTreeMap<String, String>,
+    /// Configuration revision and hosts that the assignment was computed for.
     assigned_for: (u64, Vec<String>),
-    better_since: BTreeMap<String, Instant>,
+    /// Since when an owned target has been assigned to another host.
+    misplaced_since: BTreeMap<String, Instant>,
 }
 
-/// A transaction whose outcome was never learnt is tried again after this time.
-const PENDING_LIMIT: Duration = Duration::from_secs(3);
+/// Time after which a transaction with an unknown outcome may be repeated.
+const PENDING_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Ownership {
     pub fn new(
-        me: &str,
+        local_host: &str,
         session: u64,
-        wait: Duration,
+        lapse_wait: Duration,
     ) -> Self {
         Self {
-            me: me.to_string(),
+            local_host: local_host.to_string(),
             session,
-            wait,
+            lapse_wait,
             rows: BTreeMap::new(),
-            held: BTreeMap::new(),
+            owned: BTreeMap::new(),
             pending: BTreeMap::new(),
             watch: SessionWatch::default(),
             assigned: BTreeMap::new(),
             assigned_for: (0, Vec::new()),
-            better_since: BTreeMap::new(),
+            misplaced_since: BTreeMap::new(),
         }
     }
 
-    /// Targets that this process owns.
-    pub fn held(&self) -> &BTreeMap<String, HeldTarget> {
-        &self.held
+    /// Returns the targets that this process owns.
+    pub fn owned(&self) -> &BTreeMap<String, OwnedTarget> {
+        &self.owned
     }
 
-    /// The owner that the table last named, with the fence.
+    /// Returns the last known owner of a target and its fence.
     pub fn owner(
         &self,
         target: &str,
     ) -> Option<(&str, u64)> {
         self.rows
             .get(target)
-            .map(|seen| (seen.row.host.as_str(), seen.version))
+            .map(|known| (known.row.host.as_str(), known.version))
     }
 
-    /// Every row as last seen, with its version.
+    /// Returns the target, version and value of every known row.
     pub fn rows(&self) -> impl Iterator<Item = (&String, u64, &OwnerRow)> {
         self.rows
             .iter()
-            .map(|(target, seen)| (target, seen.version, &seen.row))
+            .map(|(target, known)| (target, known.version, &known.row))
     }
 
-    /// A row was read or written; returns the target when this process gained or lost it.
+    /// Records a row that was read or written; returns whether this process gained or lost the target.
     pub fn on_row(
         &mut self,
         target: &str,
@@ -118,22 +123,22 @@
         term: u64,
         now: Instant,
     ) -> Option<OwnerChange> {
-        let old = self.rows.get(target).map_or(0, |seen| seen.version);
+        let old = self.rows.get(target).map_or(0, |known| known.version);
         if version <= old {
             return None;
         }
         self.pending.remove(target);
-        let ours = row.host == self.me && row.session == self.session;
+        let ours = row.host == self.local_host && row.session == self.session;
         self.rows
-            .insert(target.to_string(), SeenRow { version, row });
-        match (ours, self.held.remove(target)) {
+            .insert(target.to_string(), KnownRow { version, row });
+        match (ours, self.owned.remove(target)) {
             (true, _) => {
-                let held = HeldTarget {
+                let owned = OwnedTarget {
                     fence: version,
                     term,
                     since: now,
                 };
-                self.held.insert(target.to_string(), held);
+                self.owned.insert(target.to_string(), owned);
                 Some(OwnerChange::Gained)
             }
             (false, Some(_)) => Some(OwnerChange::Lost),
@@ -141,44 +146,44 @@
         }
     }
 
-    /// A row was deleted, or the target left the configuration.
-    pub fn forget(
+    /// Removes a row that was deleted from the table.
+    pub fn on_row_deleted(
         &mut self,
         target: &str,
     ) -> Option<OwnerChange> {
         self.rows.remove(target);
-        self.held.remove(target).map(|_| OwnerChange::Lost)
+        self.owned.remove(target).map(|_| OwnerChange::Lost)
     }
 
-    /// The target refused this process's fence: someone else owns it.
+    /// Gives up a target that rejected this process's fence, as another host owns it.
     pub fn on_fenced_off(
         &mut self,
         target: &str,
     ) -> Option<OwnerChange> {
-        self.held.remove(target).map(|_| OwnerChange::Lost)
+        self.owned.remove(target).map(|_| OwnerChange::Lost)
     }
 
-    /// A transaction came to nothing.
-    pub fn on_failed(
+    /// Clears the transaction in flight after it failed.
+    pub fn on_transaction_failed(
         &mut self,
         target: &str,
     ) {
         self.pending.remove(target);
     }
 
-    /// A watched session row was read.
+    /// Records a read of a watched session row.
     pub fn on_session_read(
         &mut self,
         host: &str,
         version: u64,
         row: Option<super::SessionRow>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) {
-        self.watch.on_read(host, version, row, asked, now);
+        self.watch.on_read(host, version, row, requested_at, now);
     }
 
-    /// What should be done now.
+    /// Returns the operations that are due.
     pub fn decide(
         &mut self,
         config: &SiteConfig,
@@ -187,8 +192,8 @@
         now: Instant,
     ) -> Vec<OwnershipAction> {
         self.pending
-            .retain(|_, since| now.saturating_duration_since(*since) < PENDING_LIMIT);
-        self.assign_anew(config, membership);
+            .retain(|_, since| now.saturating_duration_since(*since) < PENDING_TIMEOUT);
+        self.update_assignment(config, membership);
         let assigned = std::mem::take(&mut self.assigned);
         let mut actions = Vec::new();
         let mut handovers = 0;
@@ -196,24 +201,26 @@
             if self.pending.contains_key(target) {
                 continue;
             }
-            let action = match self.held.get(target) {
-                Some(held) if *host != self.me && handovers < HANDOVERS_AT_ONCE => {
-                    let fence = held.fence;
+            let action = match self.owned.get(target) {
+                Some(owned)
+                    if *host != self.local_host && handovers < MAX_HANDOVERS_PER_DECISION =>
+                {
+                    let fence = owned.fence;
                     self.hand_over(target, fence, host, membership, now)
                 }
-                // What an old term of the lease gave may be another host's by now.
-                Some(held) if held.term != term && !checks_fences(config, target) => {
-                    let seen = held.fence;
+                // The lease lapsed since the target was acquired: another host may own it now.
+                Some(owned) if owned.term != term && !checks_fences(config, target) => {
+                    let expected_version = owned.fence;
                     Some(OwnershipAction::Take {
                         target: target.to_string(),
-                        seen,
+                        expected_version,
                     })
                 }
                 Some(_) => {
-                    self.better_since.remove(target);
+                    self.misplaced_since.remove(target);
                     None
                 }
-                None if *host == self.me => self.take(target, config, membership, now),
+                None if *host == self.local_host => self.take(target, config, membership, now),
                 None => None,
             };
             if let Some(action) = action {
@@ -227,12 +234,12 @@
             }
         }
         self.assigned = assigned;
-        self.watch.keep(|host| membership.is_gone(host));
+        self.watch.retain(|host| membership.is_gone(host));
         actions
     }
 
-    /// Computes who should own what, only when the hosts or the targets have changed.
-    fn assign_anew(
+    /// Recomputes the assignment if the hosts or the configuration have changed.
+    fn update_assignment(
         &mut self,
         config: &SiteConfig,
         membership: &Membership,
@@ -243,12 +250,16 @@
             return;
         }
         let targets = config.targets.keys().map(String::as_str);
-        let owned = |(target, host): (&str, &str)| (target.to_string(), host.to_string());
-        self.assigned = assign(targets, &hosts).into_iter().map(owned).collect();
+        let to_owned_pair = |(target, host): (&str, &str)| (target.to_string(), host.to_string());
+        self.assigned = assign(targets, &hosts)
+            .into_iter()
+            .map(to_owned_pair)
+            .collect();
         let hosts = hosts.into_iter().map(str::to_string).collect();
         self.assigned_for = (config.revision, hosts);
     }
 
+    /// Takes a target over once its previous owner can no longer act on it.
     fn take(
         &mut self,
         target: &str,
@@ -256,32 +267,33 @@
         membership: &Membership,
         now: Instant,
     ) -> Option<OwnershipAction> {
-        let take = |seen| OwnershipAction::Take {
+        let take = |expected_version| OwnershipAction::Take {
             target: target.to_string(),
-            seen,
+            expected_version,
         };
-        let Some(seen) = self.rows.get(target) else {
+        let Some(known) = self.rows.get(target) else {
             return Some(take(0));
         };
-        // A row of this host's earlier process: that process is gone.
-        if seen.row.host == self.me {
-            return Some(take(seen.version));
+        // The row names an earlier process of this host, which has exited.
+        if known.row.host == self.local_host {
+            return Some(take(known.version));
         }
-        if !membership.is_gone(&seen.row.host) {
+        if !membership.is_gone(&known.row.host) {
             return None;
         }
-        let checks = checks_fences(config, target);
-        let over = self
-            .watch
-            .is_over(&seen.row.host, seen.row.session, self.wait);
-        if over || checks && membership.is_surely_dead(&seen.row.host) {
-            return Some(take(seen.version));
+        let fences_checked = checks_fences(config, target);
+        let session_over =
+            self.watch
+                .has_ended(&known.row.host, known.row.session, self.lapse_wait);
+        if session_over || fences_checked && membership.is_confirmed_dead(&known.row.host) {
+            return Some(take(known.version));
         }
-        let host = seen.row.host.clone();
+        let host = known.row.host.clone();
         self.watch.watch(&host, now);
         Some(OwnershipAction::WatchSession { host })
     }
 
+    /// Hands a target over to a live host once the delay has elapsed, or at once during shutdown.
     fn hand_over(
         &mut self,
         target: &str,
@@ -294,15 +306,18 @@
         if member.liveness != Liveness::Alive {
             return None;
         }
-        let since = *self.better_since.entry(target.to_string()).or_insert(now);
-        let calm = now.saturating_duration_since(since) >= HANDOVER_CALM;
-        if !calm && !membership.is_leaving() {
+        let since = *self
+            .misplaced_since
+            .entry(target.to_string())
+            .or_insert(now);
+        let delay_elapsed = now.saturating_duration_since(since) >= HANDOVER_DELAY;
+        if !delay_elapsed && !membership.is_leaving() {
             return None;
         }
-        self.better_since.remove(target);
+        self.misplaced_since.remove(target);
         Some(OwnershipAction::HandOver {
             target: target.to_string(),
-            seen: fence,
+            expected_version: fence,
             to: to.to_string(),
             session: member.session,
         })
@@ -319,7 +334,7 @@
         .is_some_and(|spec| spec.checks_fences)
 }
 
-/// What a row changed for this process.
+/// The effect of a row on this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerChange {
     Gained,
--- a/src/request/request_parser.rs
+++ b/src/request/request_parser.rs
@@ -25,7 +25,7 @@
 pub const HEADER_REPEATABLE: &str = "x-coveproxy-repeatable";
 /// In answers: the request id.
 pub const HEADER_REQUEST_ID: &str = "x-coveproxy-request-id";
-/// In answers: `answered`, `not_run` or `unknown`.
+/// In answers: `answer_sent_after`, `not_run` or `unknown`.
 pub const HEADER_OUTCOME: &str = "x-coveproxy-outcome";
 
 const HEADER_KEY: &str = "idempotency-key";
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -408,7 +408,7 @@
     for other in others {
         membership.on_heartbeat(&heartbeat(other, 10), now);
     }
-    membership.take_news();
+    membership.take_changes();
     membership
 }
 
@@ -419,14 +419,14 @@
     let actions = membership.on_probe_failed("b", now);
     assert_eq!(actions.len(), 2, "{actions:?}");
     assert!(matches!(actions[0], MembershipAction::ProbeVia { .. }));
-    membership.on_helper_failed("b", now);
+    membership.on_indirect_probe_failed("b", now);
     assert_eq!(membership.members()["b"].liveness, Liveness::Alive);
-    membership.on_helper_failed("b", now);
+    membership.on_indirect_probe_failed("b", now);
     assert_eq!(membership.members()["b"].liveness, Liveness::Suspect);
     membership.on_tick(now + ms(200));
     assert!(!membership.is_gone("b"));
     membership.on_tick(now + ms(301));
-    assert!(membership.is_gone("b") && membership.is_surely_dead("b"));
+    assert!(membership.is_gone("b") && membership.is_confirmed_dead("b"));
     assert_eq!(membership.eligible(), ["a", "c", "d"]);
     membership.on_heartbeat(&heartbeat("b", 11), now + ms(400));
     assert!(!membership.is_gone("b"), "a host that speaks lives");
@@ -446,9 +446,9 @@
             now,
         );
     }
-    assert!(membership.is_gone("b") && !membership.is_surely_dead("b"));
+    assert!(membership.is_gone("b") && !membership.is_confirmed_dead("b"));
     assert!(
-        !membership.is_surely_dead("nobody"),
+        !membership.is_confirmed_dead("nobody"),
         "an unlisted host may be new"
     );
 }
@@ -622,26 +622,26 @@
         Some(OwnerChange::Gained)
     );
     assert_eq!(ownership.on_row("t", 4, row("b", 10), 1, now), None);
-    assert_eq!(ownership.held()["t"].fence, 5);
+    assert_eq!(ownership.owned()["t"].fence, 5);
     assert_eq!(
         ownership.on_row("t", 6, row("b", 10), 1, now),
         Some(OwnerChange::Lost)
     );
     // An earlier process of this host is another owner.
     assert_eq!(ownership.on_row("t", 7, row("a", 9), 1, now), None);
-    assert!(ownership.held().is_empty());
+    assert!(ownership.owned().is_empty());
 }
 
 #[test]
 fn a_lease_counts_from_when_its_renewal_was_sent() {
     let lease = SessionLease::new(ms(1_000));
     let sent = Instant::now() + ms(1);
-    assert!(!lease.holds(sent));
-    lease.renewed(sent, sent);
-    assert!(lease.holds(sent + ms(999)) && !lease.holds(sent + ms(1_000)));
-    lease.renewed(sent - ms(500), sent + ms(400));
+    assert!(!lease.is_valid(sent));
+    lease.record_renewal(sent, sent);
+    assert!(lease.is_valid(sent + ms(999)) && !lease.is_valid(sent + ms(1_000)));
+    lease.record_renewal(sent - ms(500), sent + ms(400));
     assert!(
-        lease.holds(sent + ms(999)),
+        lease.is_valid(sent + ms(999)),
         "an older renewal takes nothing away"
     );
 }
@@ -650,14 +650,14 @@
 fn a_lease_held_again_after_a_lapse_is_another_term() {
     let lease = SessionLease::new(ms(1_000));
     let sent = Instant::now() + ms(1);
-    lease.renewed(sent, sent + ms(10));
-    assert!(lease.holds_in(1, sent + ms(500)));
-    lease.renewed(sent + ms(900), sent + ms(950));
-    assert!(lease.holds_in(1, sent + ms(1_500)));
+    lease.record_renewal(sent, sent + ms(10));
+    assert!(lease.is_valid_in(1, sent + ms(500)));
+    lease.record_renewal(sent + ms(900), sent + ms(950));
+    assert!(lease.is_valid_in(1, sent + ms(1_500)));
     // Sent in time and confirmed too late: another may have taken what was held.
-    lease.renewed(sent + ms(1_800), sent + ms(1_901));
+    lease.record_renewal(sent + ms(1_800), sent + ms(1_901));
     let later = sent + ms(2_000);
-    assert!(lease.holds(later) && !lease.holds_in(1, later) && lease.holds_in(2, later));
+    assert!(lease.is_valid(later) && !lease.is_valid_in(1, later) && lease.is_valid_in(2, later));
 }
 
 #[test]
--- a/tests/host_table.rs
+++ b/tests/host_table.rs
@@ -1,10 +1,10 @@
-//! Who the hosts are, while many of them start at the same moment.
+//! Failure detection and gossip of the host table, in particular for hosts that are still starting.
 
 use {
     coveproxy::{
         clock::Instant,
         connection::datagram::{HostRumor, RumorState},
-        process::hosts::{HostAction, HostIdentity, HostState, HostTable, HostTimings},
+        process::hosts::{FailureDetectionTimings, HostAction, HostIdentity, HostState, HostTable},
     },
     std::{net::SocketAddr, time::Duration},
 };
@@ -28,7 +28,7 @@
         process: 1,
         link_mbps: 10,
     };
-    HostTable::new(identity, HostTimings::default(), now)
+    HostTable::new(identity, FailureDetectionTimings::default(), now)
 }
 
 fn rumor(
@@ -47,7 +47,7 @@
     }
 }
 
-/// Pings of a host, and the time at which it is believed dead, within a span from the start.
+/// Ticks the table for `span`; returns the number of pings to host 2 and when it was declared dead.
 fn watch(
     table: &mut HostTable,
     start: Instant,
@@ -67,7 +67,7 @@
     (pings, None)
 }
 
-/// The first reader reads a large table for all others, which a slow link would hold up.
+/// Guards against a host with a slow link being chosen to read a large table on behalf of the others.
 #[test]
 fn hosts_with_faster_links_read_first() {
     let now = Instant::now();
@@ -79,29 +79,29 @@
         };
         hosts.on_heard(&rumor, now);
     }
-    // Behind the fast one; before those with the same link and a later address, or none known.
-    assert_eq!(hosts.place_by_link(), 1);
+    // Ranks after the faster link and before equal links with greater addresses and unknown links.
+    assert_eq!(hosts.link_rank(), 1);
     hosts.on_heard(&rumor(2, RumorState::Leaving), now);
-    assert_eq!(hosts.place_by_link(), 0);
+    assert_eq!(hosts.link_rank(), 0);
 }
 
 #[test]
-fn a_host_that_was_only_named_gets_time_to_start() {
+fn a_host_that_was_never_heard_gets_time_to_start() {
     let start = Instant::now();
     let mut table = table(start);
-    table.on_named(&rumor(2, RumorState::Alive), start);
+    table.on_discovered(&rumor(2, RumorState::Alive), start);
     let (pings, dead) = watch(&mut table, start, ms(1_400));
     assert!(pings >= 4, "{pings} pings");
     assert_eq!(dead, None);
     let (_, dead) = watch(&mut table, start + ms(1_400), ms(600));
-    assert!(dead.is_some(), "it is not waited for without an end");
+    assert!(dead.is_some(), "host 2 was not declared dead within 2 s");
 }
 
 #[test]
-fn nothing_bad_is_told_of_a_host_that_was_only_named() {
+fn a_host_that_was_never_heard_is_gossiped_as_alive() {
     let start = Instant::now();
     let mut table = table(start);
-    table.on_named(&rumor(2, RumorState::Alive), start);
+    table.on_discovered(&rumor(2, RumorState::Alive), start);
     watch(&mut table, start, ms(3_000));
     assert_eq!(table.get(address(2)).unwrap().state, HostState::Dead);
     assert_eq!(
@@ -112,12 +112,12 @@
 }
 
 #[test]
-fn a_host_that_was_heard_and_falls_silent_is_dead_soon_and_told_of() {
+fn a_host_that_falls_silent_is_soon_dead_and_gossiped_as_dead() {
     let start = Instant::now();
     let mut table = table(start);
     table.on_heard(&rumor(2, RumorState::Alive), start);
     let (_, dead) = watch(&mut table, start, ms(2_500));
     assert!(dead.is_some_and(|dead| dead < ms(1_400)), "{dead:?}");
-    let told = table.take_rumors();
-    assert_eq!(told[0].state(), RumorState::Dead);
+    let rumors = table.take_rumors();
+    assert_eq!(rumors[0].state(), RumorState::Dead);
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,7 +1,7 @@
 //! Randomized sequences of events against the decisions: no reachable state breaks a promise.
 //!
 //! Each property also runs with a deliberate break of a rule, which must be caught; the list of
-//! breaks is in `docs/design/proof.md`.
+//! breaks is in `docs/design/crash.md`.
 
 use {
     coveproxy::{
@@ -538,7 +538,7 @@
             LeaseStep::Renew(host) => {
                 self.version += 1;
                 self.sessions[*host].0 = self.version;
-                self.lease[*host].renewed(self.now, self.now);
+                self.lease[*host].record_renewal(self.now, self.now);
             }
             LeaseStep::Look(host) => self.look(*host),
             LeaseStep::Decide(host) => {
@@ -589,7 +589,7 @@
         &self,
         host: usize,
     ) -> bool {
-        self.lease[host].holds(self.now)
+        self.lease[host].is_valid(self.now)
     }
 
     fn commit(
@@ -597,12 +597,14 @@
         host: usize,
         action: OwnershipAction,
     ) {
-        let (seen, row) = match action {
-            OwnershipAction::Take { seen, .. } => {
+        let (expected_version, row) = match action {
+            OwnershipAction::Take {
+                expected_version, ..
+            } => {
                 let session = host as u64 + 1;
                 let name = NAMES[host].to_string();
                 (
-                    seen,
+                    expected_version,
                     OwnerRow {
                         host: name,
                         session,
@@ -610,13 +612,16 @@
                 )
             }
             OwnershipAction::HandOver {
-                seen, to, session, ..
-            } => (seen, OwnerRow { host: to, session }),
+                expected_version,
+                to,
+                session,
+                ..
+            } => (expected_version, OwnerRow { host: to, session }),
             OwnershipAction::WatchSession { .. } => return,
         };
         let found = self.row.as_ref().map_or(0, |(version, _)| *version);
-        if found != seen && self.broken != LeaseBreak::NoCondition {
-            return self.ownership[host].on_failed("t");
+        if found != expected_version && self.broken != LeaseBreak::NoCondition {
+            return self.ownership[host].on_transaction_failed("t");
         }
         self.version += 1;
         self.row = Some((self.version, row.clone()));
@@ -649,13 +654,13 @@
         &mut self,
         host: usize,
     ) -> Result<(), TestCaseError> {
-        let Some(held) = self.ownership[host].held().get("t").cloned() else {
+        let Some(held) = self.ownership[host].owned().get("t").cloned() else {
             return Ok(());
         };
         let may = match self.broken {
             LeaseBreak::NoLookAtLease => true,
             LeaseBreak::NoTerms => self.holds(host),
-            _ => self.lease[host].holds_in(held.term, self.now),
+            _ => self.lease[host].is_valid_in(held.term, self.now),
         };
         if !may {
             return Ok(());
