--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -18,7 +18,7 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// What the control thread wants done.
+/// An action that the control thread requests of its runner.
 #[derive(Debug, Clone)]
 pub enum ControlAction {
     Send {
@@ -32,13 +32,13 @@
     ReadTable {
         table: TableName,
     },
-    /// Ask another host for what has changed in its copy since a version.
+    /// Pulls the changes since a version from another host's replica.
     PullChanges {
         table: TableName,
         from: SocketAddr,
         since: u64,
     },
-    /// Ask another host for the hosts that it knows.
+    /// Pulls the hosts that another host knows.
     PullHosts {
         from: SocketAddr,
     },
@@ -53,7 +53,7 @@
         term: u64,
         transaction: Transaction,
     },
-    /// Give an order, if the lease still holds in this term.
+    /// Sends an order to an engine if the lease still holds in this term.
     Order {
         target: String,
         address: SocketAddr,
@@ -64,11 +64,11 @@
         target: String,
         address: SocketAddr,
     },
-    /// Requests see this from now on.
+    /// Publishes a new view to requests.
     Publish(Arc<FleetView>),
-    /// What requests see is known to be right as of other times.
+    /// Publishes a newer freshness of the current view to requests.
     Confirm(ReplicaFreshness),
-    /// For the requests of this host.
+    /// Answers a request of this host for an adapter.
     Place(Placement),
     Load(EngineLoad),
     Stand(EngineStanding),
@@ -76,23 +76,23 @@
     Charged(ChargeAnswer),
     PlaceGiven(PlaceGiven),
     Permit(PermitAnswer),
-    /// Another host has heard what a target says of itself.
+    /// Publishes notices of a target, learnt from another host, to requests.
     TargetNews {
         target: String,
         notices: TargetNotices,
     },
-    /// A request stands so from now on; `None` if nothing speaks against it.
+    /// Publishes the poison status of a request; `None` if it is under no suspicion.
     Stands {
         fingerprint: Fingerprint,
         standing: Option<PoisonStatus>,
     },
-    /// Read what the store keeps of requests that end targets.
+    /// Reads the stored requests that crash targets.
     ReadPoison,
-    /// Keep what is known of such requests in the store.
+    /// Writes what is known of such requests to the store.
     KeepPoison {
         writes: Vec<RowWrite>,
     },
-    /// Another host asks for a part of this one's allowance of repeats.
+    /// Passes on another host's request to borrow retry quota.
     Lend {
         to: SocketAddr,
         ask: LoanAsk,
--- a/src/process/host/control_event.rs
+++ b/src/process/host/control_event.rs
@@ -12,63 +12,62 @@
     std::net::SocketAddr,
 };
 
-/// The tables of the store that every host keeps a copy of.
+/// A table of the store that every host replicates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TableName {
-    /// What operators declare.
+    /// Configuration that operators declare.
     Declared,
-    /// What targets record of themselves.
+    /// Entries that targets write of themselves.
     Targets,
 }
 
-/// What the control thread is told.
+/// An input of the control thread.
 #[derive(Debug)]
 pub enum ControlEvent {
     Tick,
-    /// A message of another host.
+    /// A message from another host.
     Message {
         from: SocketAddr,
         message: Message,
-        /// It has reached this host after this time.
+        /// Lower bound of the time at which the message reached this host.
         arrived_after: Instant,
     },
-    /// A request's need.
+    /// A control request of this host's own traffic.
     Request(ControlRequest),
-    /// The changes of a table were read; `None` if they could not be.
+    /// A read of a table's changes ended; `None` if it failed.
     ChangesRead {
         table: TableName,
         asked: Instant,
         reply: Option<RowsReply>,
     },
-    /// A table was read whole; `None` if it could not be.
+    /// A read of a complete table ended; `None` if it failed.
     TableRead {
         table: TableName,
         asked: Instant,
         rows: Option<RowBatch>,
     },
-    /// Another host told what has changed in its copy.
+    /// A pull of changes from another host's replica ended; `None` if it failed.
     ChangesPulled {
         table: TableName,
         from: SocketAddr,
         changes: Option<(TableChanges, Instant)>,
     },
-    /// A seed told the hosts that it knows, itself included; `None` if it did not answer, and no
-    /// process may run there.
+    /// A pull of the hosts that a seed knows, itself included, ended; `None` if the seed did not answer.
     HostsPulled {
         from: SocketAddr,
         hosts: Option<Vec<HostRumor>>,
     },
-    /// This host's lease was renewed, or not.
+    /// A renewal of this host's lease ended; `None` if its outcome is unknown.
     Renewed {
         sent: Instant,
         commit: Option<Commit>,
     },
-    /// The table of holders was read.
+    /// A read of the table of engine holders ended; `None` if it failed.
     HoldersRead {
         term: u64,
         rows: Option<RowBatch>,
     },
-    /// The holder of these engines was changed, or not; `None` if that is not known.
+    /// A takeover of engines ended; `None` if its outcome is unknown.
     Taken {
         engines: Vec<TakenEngine>,
         term: u64,
@@ -78,7 +77,7 @@
         target: String,
         reply: Option<OrderReply>,
     },
-    /// The lease ended before the order could leave.
+    /// An order was not sent because the lease had expired.
     OrderWithheld {
         target: String,
     },
@@ -86,18 +85,18 @@
         target: String,
         report: Option<TargetReport>,
     },
-    /// What the store keeps of requests that end targets was read; `None` if it could not be.
+    /// A read of the stored requests that crash targets ended; `None` if it failed.
     PoisonRead {
         rows: Option<RowBatch>,
     },
-    /// The settings were read again.
+    /// The settings were reloaded.
     SettingsRead(Result<(), RunError>),
-    /// The process is told to stop.
+    /// The process was asked to stop.
     Stop,
 }
 
 impl ControlEvent {
-    /// What woke the control thread, in figures.
+    /// Returns the metric label of this event.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Tick => "tick",
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -1,4 +1,4 @@
-//! The control thread's figures of what this host believes.
+//! Sets the gauges of the control thread's state.
 
 use {
     super::{HostControl, TableName},
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for messages between hosts.
+//! Handles messages between hosts and the control requests of this host's own traffic.
 
 use {
     super::{ControlAction, HostControl},
@@ -18,19 +18,19 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Times after the start at which the seeds are asked.
+/// Times after the start at which the seeds are queried.
 const JOINS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(400),
     Duration::from_millis(1200),
 ];
 
-/// Hosts that start at once read the store for the first time within this time.
+/// Range of the random delay of the first read, so that hosts that start together spread their reads.
 const FIRST_READ_SPREAD: Duration = Duration::from_millis(40);
 
 impl HostControl {
-    /// Asks the seeds for the hosts that they know, a few times after the start: all hosts of a site
-    /// may start at once.
+    /// Queries the seeds for the hosts that they know. Repeated a few times, as all hosts of a site may
+    /// start at once.
     pub(super) fn join(
         &mut self,
         now: Instant,
@@ -49,7 +49,7 @@
         actions
     }
 
-    /// A seed told the hosts that it knows: each is pinged that was not known here.
+    /// Handles the hosts that a seed knows and pings those that are new here.
     pub(super) fn on_hosts_pulled(
         &mut self,
         from: SocketAddr,
@@ -69,8 +69,8 @@
         actions
     }
 
-    /// Once no seed knows a host that has copies of the tables, the store is read without waiting for
-    /// one: all hosts have started at once, and callers wait.
+    /// Schedules the first read of the store once no seed knows a ready host, which happens when all hosts
+    /// start at once.
     fn read_without_seeds(
         &mut self,
         now: Instant,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The hosts that this one knows, itself included.
+    /// Returns rumors of all known hosts, including this one.
     pub(super) fn hosts_for_host(
         &self,
         now: Instant,
@@ -119,7 +119,7 @@
         let wanted = self.hosts.on_tick(now);
         let mut actions = self.host_actions(wanted, now);
         actions.extend(self.take_host_events(now));
-        // Requests divide the extra allowance of repeats by it.
+        // Requests divide the extra retry quota by this number.
         let known = self.hosts.known_count();
         if self.told_known_hosts != known {
             self.told_known_hosts = known;
@@ -183,7 +183,7 @@
         actions
     }
 
-    /// A need of this host's own requests.
+    /// Handles a control request of this host's own traffic.
     pub(super) fn on_request(
         &mut self,
         request: ControlRequest,
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Asks the next host for a loan: each in turn, in an order that changes.
+    /// Asks the next host to lend retry quota; each round visits all hosts in a new order.
     fn ask_loan(
         &mut self,
         ask: LoanAsk,
@@ -277,7 +277,7 @@
         Some(ControlAction::Send { to, message })
     }
 
-    /// Asks the host that counts what a target gets for leave to send one request there.
+    /// Requests a permit for one request from the host that allocates the target's permits.
     fn want_permit(
         &mut self,
         ask: PermitAsk,
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Sends a message to a host, or hands it to this host's own requests.
+    /// Sends a message to a host, or delivers it to this host's own requests.
     pub(super) fn send(
         &self,
         to: SocketAddr,
@@ -341,7 +341,7 @@
         actions
     }
 
-    /// An answer tells of the other side's clock, if it is to a ping of this process.
+    /// Updates the clock estimate of a peer from its answer, if it answers a ping of this process.
     fn on_exchange(
         &mut self,
         from: SocketAddr,
@@ -427,9 +427,8 @@
             .collect()
     }
 
-    /// Takes changes of hosts in. A host that answers from now on is told at once which engines are held here:
-    /// who was not known when all were told would else hear of it when its turn to be pinged comes,
-    /// after 30 s with 300 hosts.
+    /// Handles state changes of hosts. A host that has become alive is notified at once of the engines held
+    /// here; otherwise it would learn of them only with its next regular ping.
     fn take_host_events(
         &mut self,
         now: Instant,
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -1,5 +1,4 @@
-//! The control thread's part for places at the targets of plain services: this host gives them out for the services
-//! whose slot it holds.
+//! Allocates concurrency slots at the targets of the plain services whose hash slot this host holds.
 
 use {
     super::{ControlAction, HostControl},
@@ -15,16 +14,14 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time between two looks at which targets a service has. One that leaves is given out for so much longer at the most,
-/// which is little beside the bound of seconds, and hosts look at the list themselves before they send; thousands of targets
-/// are not gone through for each ask.
+/// Interval at which the targets of a service are refreshed, so that not every request scans all targets.
 const TARGETS_PAUSE: Duration = Duration::from_millis(50);
 
-/// The places of a service that are given out here.
+/// The concurrency slots of a service that are allocated here.
 #[derive(Debug, Default)]
 pub(super) struct GivenPlaces {
     places: ServiceSlots,
-    /// When its targets were last looked at.
+    /// When the targets were last refreshed.
     looked: Option<Instant>,
 }
 
@@ -39,7 +36,7 @@
 }
 
 impl HostControl {
-    /// A host asks for a place.
+    /// Handles a host's request for a concurrency slot.
     pub(super) fn on_place_wanted(
         &mut self,
         from: SocketAddr,
@@ -69,7 +66,7 @@
         self.send(from, Message::PlaceGiven(given))
     }
 
-    /// A place is free again.
+    /// Releases a concurrency slot.
     pub(super) fn on_place_ended(
         &mut self,
         ended: &PlaceEnded,
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for the copies of the store's tables.
+//! Keeps the replicas of the store's tables up to date: reads, pulls from other hosts, and changed rows.
 
 use {
     super::{ControlAction, HostControl, TableName},
@@ -18,40 +18,36 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A copy of so many bytes, before it is packed, goes from host to host, as its first holder can't serve all
-/// at once; packed to a tenth or less, smaller ones are handed out without waiting.
+/// Uncompressed size in bytes from which a received replica is announced to further hosts, as its first
+/// holder can't serve all hosts at once.
 const LARGE_COPY: usize = 64 * 1024;
 
-/// Hosts that are told by each host that has got a large copy: with 8 each, a site of 75 hosts knows of
-/// one within two or three steps, and each host gets some 8 messages.
+/// Number of hosts to which each host announces a large replica that it has received.
 const TOLD_OF_LARGE_COPY: usize = 8;
 
-/// Time that a message between hosts is taken to be on its way before its sender has answered a ping. An
-/// assumption: well above the 0.5 to 1.4 ms one way between halls, well below the seconds that ages are held
-/// against.
+/// Assumed transit time of a message from a host whose clock is not yet estimated.
 ///
-/// A copy's age is told as of when the message left. Without this time, hosts that confirm each other's copies
-/// would keep them young and nobody would read the store: a copy confirmed every 30 ms for 6 s had age 0.
+/// A replica's age is stated as of when the message was sent. Without this allowance, hosts that confirm each
+/// other's replicas would keep them at age 0, and no host would read the store.
 const MESSAGE_TIME: Duration = Duration::from_millis(50);
 
-/// Characters of a text from elsewhere that go into a line, at the most: what others write may be large.
+/// Maximum number of characters of external text in a log line.
 const MOST_QUOTED: usize = 160;
 
-/// Stands for the meaning of every entry that names no target: whoever writes one again and again, each time
-/// with other bytes, changes nothing.
+/// Fingerprint of every entry that names no target, so that rewriting one with other bytes is no change.
 const UNUSABLE_PRINT: u64 = 0;
 
-/// Rows of a table that have changed, as this host learnt of them.
+/// Changed rows of a table and where they came from.
 pub(super) struct RowNews<'a> {
     rows: &'a [Row],
-    /// Who told, for lines.
+    /// The store or the address of a host, for log lines.
     pub source: &'a str,
-    /// How well the copy without them was known to be right.
+    /// Freshness of the replica before these changes.
     pub before: TableFreshness,
 }
 
 impl HostControl {
-    /// Reads the tables whose copies have got too old.
+    /// Starts reads of the tables whose replicas are too old.
     pub(super) fn read_tables(
         &mut self,
         now: Instant,
@@ -125,11 +121,10 @@
         self.take_rows(table, &news, now)
     }
 
-    /// Another host told how new its copies are, in a message that has arrived after `arrived_after`.
+    /// Handles the freshness of another host's replicas, from a message that arrived after `arrived_after`.
     ///
-    /// Taken as of when the message is read, what had lain here while the process stood still for 3 s made
-    /// copies seem 3 s younger than they were; taken as of when it arrived, what had waited for 0.6 s on full
-    /// links let hosts send to targets that had left more than the bound of 2 s before.
+    /// Ages count from when the message was sent: it may have waited on a full link, or here while the process
+    /// was suspended.
     pub(super) fn on_freshness(
         &mut self,
         sender: &HostRumor,
@@ -192,7 +187,7 @@
         let (rows, same) = kept.copy.apply_from_host(changes, as_of, print);
         let mut actions = Vec::new();
         if !same && !whole {
-            // A change that was taken back again was missed by one of the two.
+            // One side missed a change that was reverted later; pull the complete table.
             kept.pulling = Some(from);
             actions.push(ControlAction::PullChanges {
                 table,
@@ -207,14 +202,14 @@
         };
         actions.extend(self.take_rows(table, &news, now));
         if large && same {
-            // Whoever was turned away by a busy host gets it here.
+            // Hosts that a busy holder rejected can pull it from here.
             let some = self.hosts.pick_up(TOLD_OF_LARGE_COPY);
             actions.extend(self.tell(some, now));
         }
         actions
     }
 
-    /// What this host's copy of a table tells another host.
+    /// Returns the changes of a table since a version, and the age of this host's replica.
     pub fn changes_for_host(
         &self,
         table: TableName,
@@ -228,7 +223,7 @@
         (copy.changes_since(since), copy.age(now))
     }
 
-    /// A read of a table from the store ended.
+    /// Records the end of a read from the store.
     fn note_read_end(
         &mut self,
         table: TableName,
@@ -254,7 +249,7 @@
         }
     }
 
-    /// Sends every host a message that needs no answer.
+    /// Sends a one-way ping to every host that is up.
     pub(super) fn tell_all(
         &mut self,
         now: Instant,
@@ -268,7 +263,7 @@
         self.tell(peers, now)
     }
 
-    /// Sends these hosts a message that needs no answer.
+    /// Sends a one-way ping to these hosts.
     pub(super) fn tell(
         &mut self,
         peers: Vec<SocketAddr>,
@@ -345,7 +340,7 @@
         self.routing = routing;
         self.engines = None;
         self.changed = true;
-        // Whoever learns that this host is ready may send at once: requests must know the routes by then.
+        // Others may send requests as soon as this host is ready, so the routes are published at once.
         self.next_publish = now;
         self.set_engine_specs(now);
     }
@@ -362,7 +357,7 @@
         if version <= before {
             return;
         }
-        // How long ago the version before was known to be the newest, at the most.
+        // Age of the last confirmation that the previous version was the newest.
         let before_age = news
             .before
             .confirmed_at
@@ -385,15 +380,15 @@
     }
 }
 
-/// A text from elsewhere as one value of a line, which it must not make long.
+/// Formats external text as one quoted, truncated value of a log line.
 pub(super) fn quoted(text: &impl ToString) -> String {
     let text = text.to_string();
     let start: String = text.chars().take(MOST_QUOTED).collect();
     format!("{start:?}")
 }
 
-/// Equal for two values of a row that mean the same here; which adapters a target holds does not
-/// matter, since holders know better.
+/// Returns a function that maps equivalent values of a row to the same fingerprint. The adapters of a target
+/// are ignored, as the host that holds the engine knows them better.
 fn fingerprint(
     table: TableName,
     formats: &Arc<dyn Formats>,
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for the entries that targets write of themselves.
+//! Handles the entries that targets write of themselves into the list of targets.
 
 use {
     super::{
@@ -16,7 +16,7 @@
 };
 
 impl HostControl {
-    /// An entry in the list of targets has changed.
+    /// Handles a changed entry of the list of targets.
     pub(super) fn take_target(
         &mut self,
         row: &Row,
@@ -45,7 +45,7 @@
     ) {
         let until = self.vanished_until(&news.before, now);
         if let Some(target) = self.targets.get_mut(&*row.key) {
-            // One that was leaving has been taken out already.
+            // A leaving target is out of use already.
             target.vanished_until.get_or_insert(until);
             note!(
                 Event::TargetVanished,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A target tells of itself.
+    /// Handles a readable entry of a target.
     fn on_record(
         &mut self,
         record: TargetRecord,
@@ -87,7 +87,7 @@
                 return Vec::new();
             }
             EntryNews::Foreign => {
-                self.on_spoilt(&id, "it does not tell the target's start");
+                self.on_spoilt(&id, "the entry lacks the target's incarnation");
                 return Vec::new();
             }
         }
@@ -114,15 +114,15 @@
             source = source
         );
         if self.is_own_address(record.address) {
-            tell_unusable(&record.id, "a host is at its address");
+            tell_unusable(&record.id, "the address belongs to a host");
         }
         self.targets
             .insert(record.id.clone(), ListedTarget::new(record));
         self.engines = None;
     }
 
-    /// What stands under a target's key names no target to use; what was known of it stays, in case that the
-    /// target writes its entry again.
+    /// Marks a target unusable because its entry is not valid. Its last record is retained in case the target
+    /// writes its entry again.
     fn on_spoilt(
         &mut self,
         key: &str,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// True if a target takes new requests and orders.
+    /// Returns true if a target accepts new requests and orders.
     pub(super) fn is_usable(
         &self,
         target: &str,
@@ -147,8 +147,7 @@
             && !self.is_own_address(listed.record.address)
     }
 
-    /// Addresses at which hosts answer: a request that was sent there as to a target would come back as one of
-    /// a caller, again and again.
+    /// Returns the addresses at which hosts listen. A target at one of these would cause a forwarding loop.
     pub(super) fn own_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let hosts = self.hosts.hosts().map(|host| &host.identity);
         let identities = hosts.chain([self.hosts.me()]);
@@ -176,7 +175,7 @@
     );
 }
 
-/// A start in lines.
+/// Formats a target's incarnation for log lines.
 fn started_word(started: Option<TargetStart>) -> String {
     started.map_or("-".to_string(), |started| started.to_string())
 }
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -35,35 +35,32 @@
     },
 };
 
-/// Time between two looks at everything.
+/// Interval of the periodic work other than that of the allocators.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Time between two looks at the desks without news, at the least.
+/// Minimum time between two runs of the allocators that no event caused.
 const DESK_PAUSE: Duration = Duration::from_millis(4);
 
-/// Time between reports of how busy engines are; those that have not changed are left out.
+/// Interval at which the loads of engines are published; unchanged ones are left out.
 const LOAD_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time between two views for requests, at the least.
+/// Minimum time between two published views.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(20);
 
-/// The same for each target besides: a view of 3,000 targets takes 3 ms to make and to take over, so that
-/// 50 a second would use up a small host's processor. At 800 targets it makes 60 ms, well below the
-/// bounds of seconds that views are held against.
+/// Added to the minimum for each target, as the cost of a view grows with the number of targets.
 const PUBLISH_PAUSE_PER_TARGET: Duration = Duration::from_micros(50);
 
-/// Requests are told of a younger copy once it is younger by this: a twentieth of the shortest bound
-/// (2 s) at the cost of ten wakes a second at the most.
+/// Minimum advance of a replica's confirmation time that is published without a new view.
 const CONFIRM_STEP: Duration = Duration::from_millis(100);
 
-/// A target whose entry has vanished from the list is used for so long, as a share of the bound.
+/// Share of the drain bound for which a target is used after its entry has vanished.
 const VANISHED_SHARE: f64 = 0.55;
 
-/// A copy of a table, and when this host reads it.
+/// A replica of a table and the schedule by which this host reads it.
 pub(super) struct KeptTable {
     pub copy: TableCopy,
     pub schedule: ReadSchedule,
-    /// Whom this host asks for changes at this moment.
+    /// The host from which changes are being pulled, if any.
     pub pulling: Option<SocketAddr>,
 }
 
@@ -78,7 +75,7 @@
     }
 }
 
-/// All control state of one host; events go in, actions come out.
+/// All control state of one host. It takes events, returns actions and does no I/O.
 pub struct HostControl {
     pub(super) settings: NodeSettings,
     pub(super) formats: Arc<dyn Formats>,
@@ -88,53 +85,54 @@
     pub(super) listed: KeptTable,
     pub(super) holding: EngineAssignment,
     pub(super) desks: BTreeMap<String, EngineAllocator>,
-    /// Orders of desks that were closed a moment ago, by engine: they may still reach it.
+    /// Unanswered orders of removed allocators, by engine; they may still reach the engine.
     pub(super) late_orders: HashMap<String, UnansweredOrders>,
-    /// What the desks share.
+    /// State that the allocators share.
     pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
-    /// Targets that are no longer used, since entries of theirs may come late.
+    /// Targets that are no longer used, retained to recognize entries that arrive late.
     pub(super) ended_targets: EndedTargets,
-    /// The engines among them; `None` once targets or the configuration have changed.
+    /// The engines among the targets; `None` once targets or the configuration have changed.
     pub(super) engines: Option<Arc<BTreeMap<String, String>>>,
-    /// Those that no other host claims that answers.
+    /// Engines that no responsive host holds.
     pub(super) open_engines: OpenEngines,
     pub(super) takers: DrawnTakers,
     pub(super) routing: Arc<RoutingTable>,
-    /// Of adapters that have more than one version, by `MODEL/ADAPTER`.
+    /// Versions of adapters that have more than one, by `MODEL/ADAPTER`.
     pub(super) versions: Arc<HashMap<String, VersionHistory>>,
-    /// Another view must be published.
+    /// A new view must be published.
     pub(super) changed: bool,
-    /// How well what requests see is known to be right, as they were last told.
+    /// The replica freshness that was last published to requests.
     told_confirmation: ReplicaFreshness,
-    /// No other view is published before; many hosts may become known at the same moment.
+    /// Earliest time of the next view; limits the views when many hosts become known at once.
     pub(super) next_publish: Instant,
-    /// What requests see.
+    /// The view that requests use.
     published: Arc<FleetView>,
-    /// Seeds that have nothing to hand over.
+    /// Seeds that know no ready host.
     pub(super) empty_seeds: BTreeSet<SocketAddr>,
-    /// Engines held here, as all hosts were last told, and when they may be told again.
+    /// Engines held here, as last published to all hosts.
     pub(super) told_holds: Vec<String>,
+    /// Earliest time at which the held engines are published again.
     pub(super) next_holds: Instant,
     next_loads: Instant,
     pub(super) told_loads: PublishedLoads,
-    /// Desks are not looked at before, without news.
+    /// Earliest time of the next run of the allocators that no event causes.
     next_desks: Instant,
     next_tick: Instant,
     pub(super) started: Instant,
-    /// Looks at the seeds that are over.
+    /// Completed rounds of queries to the seeds.
     pub(super) joins: usize,
-    /// Hosts to ask for loans of the allowance of repeats, each once a round.
+    /// Hosts still to be asked in this round to lend retry quota.
     pub(super) lenders: Vec<SocketAddr>,
-    /// Hosts known over a long time, as requests were last told.
+    /// Number of known hosts that was last published to requests.
     pub(super) told_known_hosts: usize,
-    /// Requests that end targets.
+    /// Requests that crash targets.
     pub(super) poison: KnownPoison,
-    /// The parts of customers' use that are counted here, by slot.
+    /// Shards of the customers' quotas that are counted here, by hash slot.
     pub(super) ledgers: BTreeMap<usize, HeldLedger>,
-    /// Places at targets of the plain services that are given out here.
+    /// Concurrency slots at targets of plain services that are allocated here, by service.
     pub(super) places: BTreeMap<String, GivenPlaces>,
-    /// What targets say of themselves.
+    /// Notices that targets publish of themselves.
     pub(super) notices: KnownNotices,
 }
 
@@ -210,17 +208,17 @@
         }
     }
 
-    /// This host's lease, to be looked at right before each order.
+    /// Returns this host's lease, which is checked right before each order is sent.
     pub fn lease(&self) -> SessionLease {
         self.holding.lease().clone()
     }
 
-    /// True if this host takes requests.
+    /// Returns true if this host accepts requests.
     pub fn is_ready(&self) -> bool {
         self.routing.version > 0 && !self.hosts.is_leaving()
     }
 
-    /// Addresses for callers: the hosts that take requests.
+    /// Returns the front addresses of the hosts that accept requests, sorted.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = self
             .hosts
@@ -235,13 +233,13 @@
         addresses
     }
 
-    /// When something must be decided, if no event comes before; not before `now`.
+    /// Returns when the next tick is due, at the earliest `now`.
     pub fn next_wake(
         &self,
         now: Instant,
     ) -> Instant {
         let tick = self.next_tick;
-        // A desk that is due but may do nothing must not take the whole processor.
+        // An allocator that stays due without an order to give must not cause a busy loop.
         let due = self.next_desk_due().unwrap_or(tick);
         let due = due.max(self.next_desks);
         let publish = match self.changed {
@@ -251,7 +249,7 @@
         due.min(tick).min(publish).max(now)
     }
 
-    /// Takes one event in.
+    /// Handles one event and returns the actions that follow from it.
     pub fn on(
         &mut self,
         event: ControlEvent,
@@ -348,8 +346,8 @@
         }
     }
 
-    /// Tells requests how well what they see is known to be right; a view that is to be published tells
-    /// it, too, and a newer time must not come before its view.
+    /// Returns the replica freshness to publish if it has advanced enough. While a view is pending it
+    /// returns `None`: the view holds the freshness, which must not be published before it.
     fn confirm(&mut self) -> Option<ControlAction> {
         let confirmation = self.confirmation();
         if self.changed || !is_news(&self.told_confirmation, &confirmation) {
@@ -368,7 +366,7 @@
         self.tell_all(now)
     }
 
-    /// This host, as it is told of to others.
+    /// Returns the rumor of this host that is sent to others.
     pub(super) fn my_rumor(
         &self,
         now: Instant,
@@ -381,7 +379,7 @@
         )
     }
 
-    /// How new this host's copies are.
+    /// Returns the versions and ages of this host's replicas.
     pub(super) fn freshness(
         &self,
         now: Instant,
@@ -401,7 +399,7 @@
         }
     }
 
-    /// Time since the start of this process, as other hosts are told it.
+    /// Returns the time since the start of this process, in microseconds.
     fn uptime_us(
         &self,
         now: Instant,
@@ -410,7 +408,7 @@
         u64::try_from(uptime.as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// A ping from this host.
+    /// Builds a ping from this host.
     pub(super) fn ping_message(
         &mut self,
         one_way: bool,
@@ -434,12 +432,12 @@
         }
     }
 
-    /// A target's entry has vanished: how long it is still used; `before` is the copy that still had it.
+    /// Returns how long a target is still used after its entry has vanished. `before` is the freshness of
+    /// the replica that still had the entry.
     ///
-    /// It may have vanished right after that copy was right. Counted from the news alone, a target was used for
-    /// 2.3 s with a bound of 2 s. In an outage entries lapse since targets can't renew them, and are back
-    /// some time after the store's return: these count from the news. One read that failed is no outage: it
-    /// is one only when the copy, too, is older than the bound.
+    /// The entry may have vanished right after that replica was confirmed, so the drain bound counts from
+    /// there. During a store outage entries expire because targets can't renew them; after it, the time
+    /// counts from `now`. A failed read counts as an outage only if the replica is older than the bound.
     pub(super) fn vanished_until(
         &self,
         before: &TableFreshness,
@@ -477,8 +475,7 @@
         }
     }
 
-    /// A target as requests are to see it. One that has not changed stays the same, so that they need not
-    /// look at it.
+    /// Returns a target as requests see it. An unchanged target keeps its `Arc`, so that requests can skip it.
     fn target_view(
         &self,
         id: &str,
@@ -524,7 +521,7 @@
     }
 }
 
-/// True if a view still says what is known of a target.
+/// Returns true if a published view of a target is current.
 fn is_as_seen(
     seen: &TargetView,
     target: &ListedTarget,
--- a/src/process/host/listed_target.rs
+++ b/src/process/host/listed_target.rs
@@ -6,27 +6,27 @@
     std::sync::Arc,
 };
 
-/// A target as the list has it.
+/// A target of the list of targets.
 #[derive(Debug, Clone)]
 pub struct ListedTarget {
-    /// Its last entry that could be used.
+    /// The last valid entry.
     pub record: Arc<TargetRecord>,
-    /// Its entry has vanished without a word; it is used until then.
+    /// When use of the target ends, if its entry has vanished without notice.
     pub vanished_until: Option<Instant>,
-    /// What its key holds now names no target to use.
+    /// Set if the current entry is not valid.
     pub names_no_target: bool,
 }
 
-/// What a target's entry means beside what is known of the target.
+/// How an entry relates to the known record of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryNews {
-    /// The target tells more of the same start, or is listed for the first time.
+    /// The entry is of the same incarnation, or the target is new.
     Current,
-    /// It has started anew.
+    /// The entry is of a newer incarnation.
     Restarted { before: TargetStart },
-    /// The entry was written before what is known already.
+    /// The entry is older than the known record.
     Late,
-    /// The target has told of its starts before, and the entry does not.
+    /// The entry lacks an incarnation, although the known record has one.
     Foreign,
 }
 
@@ -39,10 +39,10 @@
         }
     }
 
-    /// What an entry under this target's key means.
+    /// Compares an entry under this target's key with the known record.
     ///
-    /// Writes may reach the list late: an entry of an earlier start must not bring back what that start held
-    /// or that it left, and of one start that has said that it leaves no entry makes it ready again.
+    /// Writes may reach the list late: an entry of an earlier incarnation must not replace a newer record, and
+    /// an incarnation that is leaving does not become ready again.
     pub fn compare(
         &self,
         record: &TargetRecord,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// True if the target takes new requests.
+    /// Returns true if the target accepts new requests.
     pub fn is_usable(&self) -> bool {
         !self.names_no_target && !self.has_left()
     }
--- a/src/process/host/mod.rs
+++ b/src/process/host/mod.rs
@@ -1,5 +1,4 @@
-//! One host that sends requests straight to their targets: its control thread, its traffic thread
-//! and its pages.
+//! The process of one host: its control thread, its traffic thread and its HTTP pages.
 
 mod control_action;
 mod control_engines;
