--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -39,22 +39,22 @@
 const TICK: Duration = Duration::from_millis(50);
 
 /// Minimum time between two runs of the allocators that no event caused.
-const DESK_PAUSE: Duration = Duration::from_millis(4);
+const ALLOCATOR_INTERVAL: Duration = Duration::from_millis(4);
 
 /// Interval at which the loads of engines are published; unchanged ones are left out.
-const LOAD_PERIOD: Duration = Duration::from_millis(50);
+const LOAD_PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Minimum time between two published views.
-const PUBLISH_PAUSE: Duration = Duration::from_millis(20);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Added to the minimum for each target, as the cost of a view grows with the number of targets.
-const PUBLISH_PAUSE_PER_TARGET: Duration = Duration::from_micros(50);
+const PUBLISH_INTERVAL_PER_TARGET: Duration = Duration::from_micros(50);
 
 /// Minimum advance of a replica's confirmation time that is published without a new view.
-const CONFIRM_STEP: Duration = Duration::from_millis(100);
+const MIN_FRESHNESS_STEP: Duration = Duration::from_millis(100);
 
 /// Share of the drain bound for which a target is used after its entry has vanished.
-const VANISHED_SHARE: f64 = 0.55;
+const VANISHED_USE_FRACTION: f64 = 0.55;
 
 /// A replica of a table and the schedule by which this host reads it.
 pub(super) struct KeptTable {
@@ -304,7 +304,7 @@
         if self.changed && now >= self.next_publish {
             self.changed = false;
             let targets = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
-            self.next_publish = now + PUBLISH_PAUSE + PUBLISH_PAUSE_PER_TARGET * targets;
+            self.next_publish = now + PUBLISH_INTERVAL + PUBLISH_INTERVAL_PER_TARGET * targets;
             self.told_confirmation = self.confirmation();
             self.published = Arc::new(self.view(now));
             actions.push(ControlAction::Publish(self.published.clone()));
@@ -317,7 +317,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        self.next_desks = now + DESK_PAUSE;
+        self.next_desks = now + ALLOCATOR_INTERVAL;
         if now < self.next_tick {
             actions.extend(self.tick_desks(now));
             return actions;
@@ -332,7 +332,7 @@
         actions.extend(self.tick_poison(now));
         actions.extend(self.tick_notices(now));
         if now >= self.next_loads {
-            self.next_loads = now + LOAD_PERIOD;
+            self.next_loads = now + LOAD_PUBLISH_INTERVAL;
             actions.extend(self.tell_loads(now));
             self.set_gauges(now);
         }
@@ -444,7 +444,7 @@
         now: Instant,
     ) -> Instant {
         let bound = self.settings.bounds.drain;
-        let until = now + bound.mul_f64(VANISHED_SHARE);
+        let until = now + bound.mul_f64(VANISHED_USE_FRACTION);
         let latest = before
             .confirmed_at
             .map(|at| at + bound.saturating_sub(SEND_MARGIN));
@@ -539,10 +539,10 @@
     let differs = |told: &TableFreshness, current: &TableFreshness| {
         let step = match (told.confirmed_at, current.confirmed_at) {
             (Some(told), Some(current)) => current.saturating_duration_since(told),
-            (None, Some(_)) => CONFIRM_STEP,
+            (None, Some(_)) => MIN_FRESHNESS_STEP,
             _ => Duration::ZERO,
         };
-        told.store_failed != current.store_failed || step >= CONFIRM_STEP
+        told.store_failed != current.store_failed || step >= MIN_FRESHNESS_STEP
     };
     differs(&told.declared, &current.declared) || differs(&told.targets, &current.targets)
 }
