--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -36,7 +36,7 @@
 };
 
 /// Interval of the periodic work other than that of the allocators.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Minimum time between two runs of the allocators that no event caused.
 const ALLOCATOR_INTERVAL: Duration = Duration::from_millis(4);
@@ -322,7 +322,7 @@
             actions.extend(self.tick_desks(now));
             return actions;
         }
-        self.next_tick = now + TICK;
+        self.next_tick = now + TICK_INTERVAL;
         actions.extend(self.join(now));
         actions.extend(self.tick_hosts(now));
         actions.extend(self.read_tables(now));
