--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -20,22 +20,22 @@
 
 /// Uncompressed size in bytes from which a received replica is announced to further hosts, as its first
 /// holder can't serve all hosts at once.
-const LARGE_COPY: usize = 64 * 1024;
+const LARGE_REPLICA_BYTES: usize = 64 * 1024;
 
 /// Number of hosts to which each host announces a large replica that it has received.
-const TOLD_OF_LARGE_COPY: usize = 8;
+const LARGE_REPLICA_FANOUT: usize = 8;
 
 /// Assumed transit time of a message from a host whose clock is not yet estimated.
 ///
 /// A replica's age is stated as of when the message was sent. Without this allowance, hosts that confirm each
 /// other's replicas would keep them at age 0, and no host would read the store.
-const MESSAGE_TIME: Duration = Duration::from_millis(50);
+const ASSUMED_TRANSIT_TIME: Duration = Duration::from_millis(50);
 
 /// Maximum number of characters of external text in a log line.
-const MOST_QUOTED: usize = 160;
+const MAX_QUOTED_CHARS: usize = 160;
 
 /// Fingerprint of every entry that names no target, so that rewriting one with other bytes is no change.
-const UNUSABLE_PRINT: u64 = 0;
+const UNUSABLE_FINGERPRINT: u64 = 0;
 
 /// Changed rows of a table and where they came from.
 pub(super) struct RowNews<'a> {
@@ -135,7 +135,7 @@
         let from = sender.peer.into();
         let told = Duration::from_micros(freshness.told_us);
         let left = self.clocks.left_after(from, sender.process, told, now);
-        let assumed = arrived_after.checked_sub(MESSAGE_TIME);
+        let assumed = arrived_after.checked_sub(ASSUMED_TRANSIT_TIME);
         let Some(told_at) = left.map(|left| left.min(arrived_after)).or(assumed) else {
             return Vec::new();
         };
@@ -182,7 +182,7 @@
             return Vec::new();
         };
         let whole = changes.whole;
-        let large = changes.bytes() >= LARGE_COPY;
+        let large = changes.bytes() >= LARGE_REPLICA_BYTES;
         let before = kept.confirmation();
         let (rows, same) = kept.copy.apply_from_host(changes, as_of, print);
         let mut actions = Vec::new();
@@ -203,7 +203,7 @@
         actions.extend(self.take_rows(table, &news, now));
         if large && same {
             // Hosts that a busy holder rejected can pull it from here.
-            let some = self.hosts.pick_up(TOLD_OF_LARGE_COPY);
+            let some = self.hosts.pick_up(LARGE_REPLICA_FANOUT);
             actions.extend(self.tell(some, now));
         }
         actions
@@ -383,7 +383,7 @@
 /// Formats external text as one quoted, truncated value of a log line.
 pub(super) fn quoted(text: &impl ToString) -> String {
     let text = text.to_string();
-    let start: String = text.chars().take(MOST_QUOTED).collect();
+    let start: String = text.chars().take(MAX_QUOTED_CHARS).collect();
     format!("{start:?}")
 }
 
@@ -406,7 +406,7 @@
                 }
                 xxh3_64(format!("{record:?}").as_bytes())
             }
-            Err(_) => UNUSABLE_PRINT,
+            Err(_) => UNUSABLE_FINGERPRINT,
         }
     }
 }
