--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -15,7 +15,7 @@
 };
 
 /// Interval at which the targets of a service are refreshed, so that not every request scans all targets.
-const TARGETS_PAUSE: Duration = Duration::from_millis(50);
+const TARGETS_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The concurrency slots of a service that are allocated here.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
         &self,
         now: Instant,
     ) -> bool {
-        let is_old = |at: Instant| now.saturating_duration_since(at) >= TARGETS_PAUSE;
+        let is_old = |at: Instant| now.saturating_duration_since(at) >= TARGETS_REFRESH_INTERVAL;
         self.looked.is_none_or(is_old)
     }
 }
