--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -19,14 +19,14 @@
 };
 
 /// Times after the start at which the seeds are queried.
-const JOINS: [Duration; 3] = [
+const JOIN_TIMES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(400),
     Duration::from_millis(1200),
 ];
 
 /// Range of the random delay of the first read, so that hosts that start together spread their reads.
-const FIRST_READ_SPREAD: Duration = Duration::from_millis(40);
+const FIRST_READ_JITTER: Duration = Duration::from_millis(40);
 
 impl HostControl {
     /// Queries the seeds for the hosts that they know. Repeated a few times, as all hosts of a site may
@@ -36,7 +36,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let passed = now.saturating_duration_since(self.started);
-        if JOINS.get(self.joins).is_none_or(|at| passed < *at) {
+        if JOIN_TIMES.get(self.joins).is_none_or(|at| passed < *at) {
             return Vec::new();
         }
         self.joins += 1;
@@ -78,7 +78,7 @@
         let me = self.hosts.me().peer;
         let mut seeds = self.settings.seed_peers().filter(|peer| *peer != me);
         if seeds.all(|seed| self.empty_seeds.contains(&seed)) {
-            let at = now + rand::rng().random_range(Duration::ZERO..FIRST_READ_SPREAD);
+            let at = now + rand::rng().random_range(Duration::ZERO..FIRST_READ_JITTER);
             self.declared.schedule.on_no_copy(at);
             self.listed.schedule.on_no_copy(at);
         }
