--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -57,14 +57,14 @@
 const VANISHED_USE_FRACTION: f64 = 0.55;
 
 /// A replica of a table and the schedule by which this host reads it.
-pub(super) struct KeptTable {
+pub(super) struct ReplicatedTable {
     pub copy: TableCopy,
     pub schedule: ReadSchedule,
     /// The host from which changes are being pulled, if any.
     pub pulling: Option<SocketAddr>,
 }
 
-impl KeptTable {
+impl ReplicatedTable {
     pub fn confirmation(&self) -> TableFreshness {
         let confirmed_at = self.copy.right_at();
         let failed_at = self.schedule.failed_at();
@@ -81,8 +81,8 @@
     pub(super) formats: Arc<dyn Formats>,
     pub(super) hosts: HostTable,
     pub(super) clocks: PeerClocks,
-    pub(super) declared: KeptTable,
-    pub(super) listed: KeptTable,
+    pub(super) declared: ReplicatedTable,
+    pub(super) listed: ReplicatedTable,
     pub(super) holding: EngineAssignment,
     pub(super) desks: BTreeMap<String, EngineAllocator>,
     /// Unanswered orders of removed allocators, by engine; they may still reach the engine.
@@ -163,7 +163,7 @@
         hosts.expect(settings.seed_peers());
         let lease = &settings.lease;
         let timings = LeaseTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
-        let table = |bound| KeptTable {
+        let table = |bound| ReplicatedTable {
             copy: TableCopy::default(),
             schedule: ReadSchedule::new(ReadTimings::within(bound), now),
             pulling: None,
@@ -425,7 +425,7 @@
     pub(super) fn kept(
         &mut self,
         table: TableName,
-    ) -> &mut KeptTable {
+    ) -> &mut ReplicatedTable {
         match table {
             TableName::Declared => &mut self.declared,
             TableName::Targets => &mut self.listed,
