--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -19,13 +19,13 @@
 
 /// The concurrency slots of a service that are allocated here.
 #[derive(Debug, Default)]
-pub(super) struct GivenPlaces {
+pub(super) struct AllocatedSlots {
     places: ServiceSlots,
     /// When the targets were last refreshed.
     looked: Option<Instant>,
 }
 
-impl GivenPlaces {
+impl AllocatedSlots {
     fn is_due(
         &self,
         now: Instant,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
-        control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::HeldLedger,
+        control_places::AllocatedSlots, control_poison::KnownPoison, control_quotas::HeldLedger,
         drawn_takers::DrawnTakers, ended_targets::EndedTargets, listed_target::ListedTarget,
         open_engines::OpenEngines,
     },
@@ -131,7 +131,7 @@
     /// Shards of the customers' quotas that are counted here, by hash slot.
     pub(super) ledgers: BTreeMap<usize, HeldLedger>,
     /// Concurrency slots at targets of plain services that are allocated here, by service.
-    pub(super) places: BTreeMap<String, GivenPlaces>,
+    pub(super) places: BTreeMap<String, AllocatedSlots>,
     /// Notices that targets publish of themselves.
     pub(super) notices: KnownNotices,
 }
