--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -44,7 +44,7 @@
             (TargetState::Leaving, "leaving"),
         ] {
             let targets = self.targets.values();
-            let targets = targets.filter(|target| !target.names_no_target);
+            let targets = targets.filter(|target| !target.is_entry_invalid);
             let count = targets
                 .filter(|target| target.record.state == state)
                 .count();
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -4,7 +4,7 @@
     super::{
         ControlAction, HostControl,
         control_tables::{RowNews, quoted},
-        listed_target::{EntryNews, ListedTarget},
+        listed_target::{EntryOrder, ListedTarget},
     },
     crate::{
         clock::Instant,
@@ -31,7 +31,7 @@
         match self.formats.target_record(row) {
             Ok(record) => self.on_record(record, news.source, now),
             Err(problem) => {
-                self.on_spoilt(&row.key, &problem.to_string());
+                self.on_invalid_entry(&row.key, &problem.to_string());
                 Vec::new()
             }
         }
@@ -65,10 +65,10 @@
         let id = record.id.clone();
         let known = self.targets.get(&id);
         let known = known.or_else(|| self.ended_targets.get(&id));
-        let entry_news = known.map_or(EntryNews::Current, |known| known.compare(&record));
-        match entry_news {
-            EntryNews::Current => {}
-            EntryNews::Restarted { before } => {
+        let entry_order = known.map_or(EntryOrder::Current, |known| known.compare(&record));
+        match entry_order {
+            EntryOrder::Current => {}
+            EntryOrder::Restarted { before } => {
                 note!(
                     Event::TargetRestarted,
                     target = id,
@@ -77,7 +77,7 @@
                     source = source
                 );
             }
-            EntryNews::Late => {
+            EntryOrder::Stale => {
                 note!(
                     Event::TargetEntryLate,
                     target = id,
@@ -86,8 +86,8 @@
                 );
                 return Vec::new();
             }
-            EntryNews::Foreign => {
-                self.on_spoilt(&id, "the entry lacks the target's incarnation");
+            EntryOrder::MissingIncarnation => {
+                self.on_invalid_entry(&id, "the entry lacks the target's incarnation");
                 return Vec::new();
             }
         }
@@ -123,14 +123,14 @@
 
     /// Marks a target unusable because its entry is not valid. Its last record is retained in case the target
     /// writes its entry again.
-    fn on_spoilt(
+    fn on_invalid_entry(
         &mut self,
         key: &str,
         problem: &str,
     ) {
         tell_unusable(key, problem);
         if let Some(target) = self.targets.get_mut(key) {
-            target.names_no_target = true;
+            target.is_entry_invalid = true;
         }
     }
 
--- a/src/process/host/listed_target.rs
+++ b/src/process/host/listed_target.rs
@@ -14,20 +14,20 @@
     /// When use of the target ends, if its entry has vanished without notice.
     pub vanished_until: Option<Instant>,
     /// Set if the current entry is not valid.
-    pub names_no_target: bool,
+    pub is_entry_invalid: bool,
 }
 
 /// How an entry relates to the known record of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EntryNews {
+pub enum EntryOrder {
     /// The entry is of the same incarnation, or the target is new.
     Current,
     /// The entry is of a newer incarnation.
     Restarted { before: TargetStart },
     /// The entry is older than the known record.
-    Late,
+    Stale,
     /// The entry lacks an incarnation, although the known record has one.
-    Foreign,
+    MissingIncarnation,
 }
 
 impl ListedTarget {
@@ -35,7 +35,7 @@
         Self {
             record: Arc::new(record),
             vanished_until: None,
-            names_no_target: false,
+            is_entry_invalid: false,
         }
     }
 
@@ -46,24 +46,24 @@
     pub fn compare(
         &self,
         record: &TargetRecord,
-    ) -> EntryNews {
+    ) -> EntryOrder {
         match (self.record.started, record.started) {
-            (Some(_), None) => EntryNews::Foreign,
-            (Some(known), Some(told)) if told < known => EntryNews::Late,
-            (Some(known), Some(told)) if told > known => EntryNews::Restarted { before: known },
-            (Some(_), Some(_)) if self.has_left() && record.state == TargetState::Ready => {
-                EntryNews::Late
+            (Some(_), None) => EntryOrder::MissingIncarnation,
+            (Some(known), Some(told)) if told < known => EntryOrder::Stale,
+            (Some(known), Some(told)) if told > known => EntryOrder::Restarted { before: known },
+            (Some(_), Some(_)) if self.is_leaving() && record.state == TargetState::Ready => {
+                EntryOrder::Stale
             }
-            _ => EntryNews::Current,
+            _ => EntryOrder::Current,
         }
     }
 
     /// Returns true if the target accepts new requests.
     pub fn is_usable(&self) -> bool {
-        !self.names_no_target && !self.has_left()
+        !self.is_entry_invalid && !self.is_leaving()
     }
 
-    fn has_left(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         self.record.state == TargetState::Leaving
     }
 }
