--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -38,7 +38,7 @@
 const UNUSABLE_FINGERPRINT: u64 = 0;
 
 /// Changed rows of a table and where they came from.
-pub(super) struct RowNews<'a> {
+pub(super) struct RowChanges<'a> {
     rows: &'a [Row],
     /// The store or the address of a host, for log lines.
     pub source: &'a str,
@@ -89,7 +89,7 @@
         let before = self.kept(table).confirmation();
         self.note_read_end(table, true, now);
         let rows = self.kept(table).copy.apply_changes(batch, asked, print);
-        let news = RowNews {
+        let news = RowChanges {
             rows: &rows,
             source: "store",
             before,
@@ -113,7 +113,7 @@
             return Vec::new();
         };
         let rows = self.kept(table).copy.apply_whole(rows, asked, print);
-        let news = RowNews {
+        let news = RowChanges {
             rows: &rows,
             source: "store",
             before,
@@ -195,7 +195,7 @@
                 since: 0,
             });
         }
-        let news = RowNews {
+        let news = RowChanges {
             rows: &rows,
             source: &from.to_string(),
             before,
@@ -281,7 +281,7 @@
     fn take_rows(
         &mut self,
         table: TableName,
-        news: &RowNews,
+        news: &RowChanges,
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
@@ -297,7 +297,7 @@
     fn take_declared(
         &mut self,
         row: &Row,
-        news: &RowNews,
+        news: &RowChanges,
         now: Instant,
     ) {
         match self.formats.declared(row) {
@@ -349,7 +349,7 @@
         &mut self,
         adapter: String,
         version: u64,
-        news: &RowNews,
+        news: &RowChanges,
         now: Instant,
     ) {
         let known = self.versions.get(&adapter);
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         ControlAction, HostControl,
-        control_tables::{RowNews, quoted},
+        control_tables::{RowChanges, quoted},
         listed_target::{EntryOrder, ListedTarget},
     },
     crate::{
@@ -20,7 +20,7 @@
     pub(super) fn take_target(
         &mut self,
         row: &Row,
-        news: &RowNews,
+        news: &RowChanges,
         now: Instant,
     ) -> Vec<ControlAction> {
         self.changed = true;
@@ -40,7 +40,7 @@
     fn on_vanished(
         &mut self,
         row: &Row,
-        news: &RowNews,
+        news: &RowChanges,
         now: Instant,
     ) {
         let until = self.vanished_until(&news.before, now);
