--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -288,7 +288,7 @@
         for row in news.rows {
             match table {
                 TableName::Declared => self.take_declared(row, news, now),
-                TableName::Targets => actions.extend(self.take_target(row, news, now)),
+                TableName::Targets => actions.extend(self.apply_target_row(row, news, now)),
             }
         }
         actions
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -17,7 +17,7 @@
 
 impl HostControl {
     /// Handles a changed entry of the list of targets.
-    pub(super) fn take_target(
+    pub(super) fn apply_target_row(
         &mut self,
         row: &Row,
         news: &RowChanges,
@@ -29,7 +29,7 @@
             return Vec::new();
         }
         match self.formats.target_record(row) {
-            Ok(record) => self.on_record(record, news.source, now),
+            Ok(record) => self.apply_target_record(record, news.source, now),
             Err(problem) => {
                 self.on_invalid_entry(&row.key, &problem.to_string());
                 Vec::new()
@@ -56,7 +56,7 @@
     }
 
     /// Handles a readable entry of a target.
-    fn on_record(
+    fn apply_target_record(
         &mut self,
         record: TargetRecord,
         source: &str,
@@ -73,7 +73,7 @@
                     Event::TargetRestarted,
                     target = id,
                     before = before,
-                    started = started_word(record.started),
+                    started = incarnation_label(record.started),
                     source = source
                 );
             }
@@ -81,7 +81,7 @@
                 note!(
                     Event::TargetEntryLate,
                     target = id,
-                    started = started_word(record.started),
+                    started = incarnation_label(record.started),
                     source = source
                 );
                 return Vec::new();
@@ -110,11 +110,11 @@
             target = record.id,
             service = record.service,
             address = record.address,
-            started = started_word(record.started),
+            started = incarnation_label(record.started),
             source = source
         );
-        if self.is_own_address(record.address) {
-            tell_unusable(&record.id, "the address belongs to a host");
+        if self.is_host_address(record.address) {
+            log_unusable(&record.id, "the address belongs to a host");
         }
         self.targets
             .insert(record.id.clone(), ListedTarget::new(record));
@@ -128,7 +128,7 @@
         key: &str,
         problem: &str,
     ) {
-        tell_unusable(key, problem);
+        log_unusable(key, problem);
         if let Some(target) = self.targets.get_mut(key) {
             target.is_entry_invalid = true;
         }
@@ -144,11 +144,11 @@
         };
         listed.is_usable()
             && !self.notices.says_leaving(target, listed)
-            && !self.is_own_address(listed.record.address)
+            && !self.is_host_address(listed.record.address)
     }
 
     /// Returns the addresses at which hosts listen. A target at one of these would cause a forwarding loop.
-    pub(super) fn own_addresses(&self) -> impl Iterator<Item = SocketAddr> {
+    pub(super) fn host_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let hosts = self.hosts.hosts().map(|host| &host.identity);
         let identities = hosts.chain([self.hosts.me()]);
         let addresses = identities.flat_map(|host| [host.peer, host.front]);
@@ -156,15 +156,15 @@
         addresses.chain([listen.entry, listen.ready])
     }
 
-    fn is_own_address(
+    fn is_host_address(
         &self,
         address: SocketAddr,
     ) -> bool {
-        self.own_addresses().any(|own| own == address)
+        self.host_addresses().any(|own| own == address)
     }
 }
 
-fn tell_unusable(
+fn log_unusable(
     key: &str,
     problem: &str,
 ) {
@@ -176,6 +176,6 @@
 }
 
 /// Formats a target's incarnation for log lines.
-fn started_word(started: Option<TargetStart>) -> String {
+fn incarnation_label(started: Option<TargetStart>) -> String {
     started.map_or("-".to_string(), |started| started.to_string())
 }
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -499,7 +499,7 @@
         now: Instant,
     ) -> FleetView {
         let holders = self.holders(now);
-        let own: HashSet<SocketAddr> = self.own_addresses().collect();
+        let own: HashSet<SocketAddr> = self.host_addresses().collect();
         let targets = self
             .targets
             .iter()
