--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -48,7 +48,7 @@
 
 impl HostControl {
     /// Starts reads of the tables whose replicas are too old.
-    pub(super) fn read_tables(
+    pub(super) fn start_table_reads(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -82,19 +82,19 @@
             if history_gone {
                 return vec![ControlAction::ReadTable { table }];
             }
-            self.note_read_end(table, false, now);
+            self.record_read_end(table, false, now);
             return Vec::new();
         };
         let print = fingerprint(table, &self.formats);
         let before = self.kept(table).confirmation();
-        self.note_read_end(table, true, now);
+        self.record_read_end(table, true, now);
         let rows = self.kept(table).copy.apply_changes(batch, asked, print);
         let news = RowChanges {
             rows: &rows,
             source: "store",
             before,
         };
-        let mut actions = self.take_rows(table, &news, now);
+        let mut actions = self.apply_rows(table, &news, now);
         actions.extend(self.tell_all(now));
         actions
     }
@@ -108,7 +108,7 @@
     ) -> Vec<ControlAction> {
         let print = fingerprint(table, &self.formats);
         let before = self.kept(table).confirmation();
-        self.note_read_end(table, rows.is_some(), now);
+        self.record_read_end(table, rows.is_some(), now);
         let Some(rows) = rows else {
             return Vec::new();
         };
@@ -118,7 +118,7 @@
             source: "store",
             before,
         };
-        self.take_rows(table, &news, now)
+        self.apply_rows(table, &news, now)
     }
 
     /// Handles the freshness of another host's replicas, from a message that arrived after `arrived_after`.
@@ -200,7 +200,7 @@
             source: &from.to_string(),
             before,
         };
-        actions.extend(self.take_rows(table, &news, now));
+        actions.extend(self.apply_rows(table, &news, now));
         if large && same {
             // Hosts that a busy holder rejected can pull it from here.
             let some = self.hosts.pick_up(LARGE_REPLICA_FANOUT);
@@ -224,7 +224,7 @@
     }
 
     /// Records the end of a read from the store.
-    fn note_read_end(
+    fn record_read_end(
         &mut self,
         table: TableName,
         succeeded: bool,
@@ -278,7 +278,7 @@
             .collect()
     }
 
-    fn take_rows(
+    fn apply_rows(
         &mut self,
         table: TableName,
         news: &RowChanges,
@@ -287,26 +287,26 @@
         let mut actions = Vec::new();
         for row in news.rows {
             match table {
-                TableName::Declared => self.take_declared(row, news, now),
+                TableName::Declared => self.apply_declared(row, news, now),
                 TableName::Targets => actions.extend(self.apply_target_row(row, news, now)),
             }
         }
         actions
     }
 
-    fn take_declared(
+    fn apply_declared(
         &mut self,
         row: &Row,
         news: &RowChanges,
         now: Instant,
     ) {
         match self.formats.declared(row) {
-            Ok(Declared::Routing(routing)) => self.take_routing(routing, news.source, now),
+            Ok(Declared::Routing(routing)) => self.apply_routing(routing, news.source, now),
             Ok(Declared::AdapterVersion {
                 model,
                 adapter,
                 version,
-            }) => self.take_version(format!("{model}/{adapter}"), version, news, now),
+            }) => self.apply_adapter_version(format!("{model}/{adapter}"), version, news, now),
             Ok(Declared::Other) => {}
             Err(problem) => {
                 note!(
@@ -318,7 +318,7 @@
         }
     }
 
-    fn take_routing(
+    fn apply_routing(
         &mut self,
         routing: Arc<RoutingTable>,
         source: &str,
@@ -345,7 +345,7 @@
         self.set_engine_specs(now);
     }
 
-    fn take_version(
+    fn apply_adapter_version(
         &mut self,
         adapter: String,
         version: u64,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -325,7 +325,7 @@
         self.next_tick = now + TICK_INTERVAL;
         actions.extend(self.join(now));
         actions.extend(self.tick_hosts(now));
-        actions.extend(self.read_tables(now));
+        actions.extend(self.start_table_reads(now));
         self.drop_vanished(now);
         actions.extend(self.confirm());
         actions.extend(self.tick_engines(now));
