--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -54,7 +54,7 @@
         }
         self.told_holds = holds;
         self.next_holds = now + HOLDS_PAUSE;
-        self.tell_all(now)
+        self.notify_all_hosts(now)
     }
 
     pub(super) fn on_renewed(
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -453,7 +453,7 @@
                 }
             }
         }
-        self.tell(untold, now)
+        self.notify_hosts(untold, now)
     }
 }
 
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -95,7 +95,7 @@
             before,
         };
         let mut actions = self.apply_rows(table, &news, now);
-        actions.extend(self.tell_all(now));
+        actions.extend(self.notify_all_hosts(now));
         actions
     }
 
@@ -204,7 +204,7 @@
         if large && same {
             // Hosts that a busy holder rejected can pull it from here.
             let some = self.hosts.pick_up(LARGE_REPLICA_FANOUT);
-            actions.extend(self.tell(some, now));
+            actions.extend(self.notify_hosts(some, now));
         }
         actions
     }
@@ -250,7 +250,7 @@
     }
 
     /// Sends a one-way ping to every host that is up.
-    pub(super) fn tell_all(
+    pub(super) fn notify_all_hosts(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -260,11 +260,11 @@
             .filter(|host| host.state.is_up())
             .map(|host| host.identity.peer)
             .collect();
-        self.tell(peers, now)
+        self.notify_hosts(peers, now)
     }
 
     /// Sends a one-way ping to these hosts.
-    pub(super) fn tell(
+    pub(super) fn notify_hosts(
         &mut self,
         peers: Vec<SocketAddr>,
         now: Instant,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -363,7 +363,7 @@
     ) -> Vec<ControlAction> {
         self.hosts.leave();
         self.changed = true;
-        self.tell_all(now)
+        self.notify_all_hosts(now)
     }
 
     /// Returns the rumor of this host that is sent to others.
