--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -86,7 +86,7 @@
             return Vec::new();
         };
         let print = fingerprint(table, &self.formats);
-        let before = self.kept(table).confirmation();
+        let before = self.kept(table).replica_freshness();
         self.record_read_end(table, true, now);
         let rows = self.kept(table).copy.apply_changes(batch, asked, print);
         let news = RowChanges {
@@ -107,7 +107,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let print = fingerprint(table, &self.formats);
-        let before = self.kept(table).confirmation();
+        let before = self.kept(table).replica_freshness();
         self.record_read_end(table, rows.is_some(), now);
         let Some(rows) = rows else {
             return Vec::new();
@@ -183,7 +183,7 @@
         };
         let whole = changes.whole;
         let large = changes.bytes() >= LARGE_REPLICA_BYTES;
-        let before = kept.confirmation();
+        let before = kept.replica_freshness();
         let (rows, same) = kept.copy.apply_from_host(changes, as_of, print);
         let mut actions = Vec::new();
         if !same && !whole {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -65,7 +65,7 @@
 }
 
 impl ReplicatedTable {
-    pub fn confirmation(&self) -> TableFreshness {
+    pub fn replica_freshness(&self) -> TableFreshness {
         let confirmed_at = self.copy.right_at();
         let failed_at = self.schedule.failed_at();
         TableFreshness {
@@ -103,7 +103,7 @@
     /// A new view must be published.
     pub(super) changed: bool,
     /// The replica freshness that was last published to requests.
-    told_confirmation: ReplicaFreshness,
+    published_freshness: ReplicaFreshness,
     /// Earliest time of the next view; limits the views when many hosts become known at once.
     pub(super) next_publish: Instant,
     /// The view that requests use.
@@ -187,7 +187,7 @@
             routing: Arc::default(),
             versions: Arc::default(),
             changed: true,
-            told_confirmation: ReplicaFreshness::default(),
+            published_freshness: ReplicaFreshness::default(),
             next_publish: now,
             published: Arc::default(),
             empty_seeds: BTreeSet::new(),
@@ -305,7 +305,7 @@
             self.changed = false;
             let targets = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
             self.next_publish = now + PUBLISH_INTERVAL + PUBLISH_INTERVAL_PER_TARGET * targets;
-            self.told_confirmation = self.confirmation();
+            self.published_freshness = self.replica_freshness();
             self.published = Arc::new(self.view(now));
             actions.push(ControlAction::Publish(self.published.clone()));
         }
@@ -339,22 +339,22 @@
         actions
     }
 
-    fn confirmation(&self) -> ReplicaFreshness {
+    fn replica_freshness(&self) -> ReplicaFreshness {
         ReplicaFreshness {
-            declared: self.declared.confirmation(),
-            targets: self.listed.confirmation(),
+            declared: self.declared.replica_freshness(),
+            targets: self.listed.replica_freshness(),
         }
     }
 
     /// Returns the replica freshness to publish if it has advanced enough. While a view is pending it
     /// returns `None`: the view holds the freshness, which must not be published before it.
     fn confirm(&mut self) -> Option<ControlAction> {
-        let confirmation = self.confirmation();
-        if self.changed || !is_news(&self.told_confirmation, &confirmation) {
+        let replica_freshness = self.replica_freshness();
+        if self.changed || !has_advanced(&self.published_freshness, &replica_freshness) {
             return None;
         }
-        self.told_confirmation = confirmation;
-        Some(ControlAction::Confirm(confirmation))
+        self.published_freshness = replica_freshness;
+        Some(ControlAction::Confirm(replica_freshness))
     }
 
     fn on_stop(
@@ -483,7 +483,7 @@
         holder: Option<SocketAddr>,
     ) -> Arc<TargetView> {
         let seen = self.published.targets.get(id);
-        let unchanged = seen.filter(|seen| is_as_seen(seen, target, holder));
+        let unchanged = seen.filter(|seen| is_view_current(seen, target, holder));
         let changed = || {
             Arc::new(TargetView {
                 record: target.record.clone(),
@@ -516,13 +516,13 @@
             hash_slot_holders: self.slot_holders(&holders),
             hosts: self.hosts.up_count(),
             known_hosts: self.hosts.known_count(),
-            freshness: self.told_confirmation,
+            freshness: self.published_freshness,
         }
     }
 }
 
 /// Returns true if a published view of a target is current.
-fn is_as_seen(
+fn is_view_current(
     seen: &TargetView,
     target: &ListedTarget,
     holder: Option<SocketAddr>,
@@ -532,7 +532,7 @@
         && seen.usable_until == target.vanished_until
 }
 
-fn is_news(
+fn has_advanced(
     told: &ReplicaFreshness,
     current: &ReplicaFreshness,
 ) -> bool {
