--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -35,7 +35,7 @@
         self.open_ledgers(now);
         let engines = self.engine_keys().len() - self.slot_count();
         let mut base_loads = self.shared.base_loads.borrow_mut();
-        base_loads.set_share(self.desks.len(), engines, now);
+        base_loads.set_share(self.allocators.len(), engines, now);
         drop(base_loads);
         actions.extend(self.tell_holds(now));
         actions.extend(self.tick_desks(now));
@@ -57,13 +57,13 @@
     /// The engines held here, those for which the most urgent adapters wait first: all share what may
     /// be loaded at once.
     fn desks_by_urgency(&self) -> Vec<String> {
-        let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
-            .desks
+        let mut allocators: Vec<(&String, Option<PendingLoadRank>)> = self
+            .allocators
             .iter()
             .map(|(target, desk)| (target, desk.first_pending()))
             .collect();
-        desks.sort_by_key(|(_, first)| (first.is_none(), *first));
-        desks
+        allocators.sort_by_key(|(_, first)| (first.is_none(), *first));
+        allocators
             .into_iter()
             .map(|(target, _)| target.clone())
             .collect()
@@ -76,7 +76,7 @@
         now: Instant,
         decide: impl FnOnce(&mut EngineAllocator) -> Vec<AllocatorAction>,
     ) -> Vec<ControlAction> {
-        let Some(desk) = self.desks.get_mut(target) else {
+        let Some(desk) = self.allocators.get_mut(target) else {
             return Vec::new();
         };
         let wanted = decide(desk);
@@ -111,7 +111,7 @@
 
     /// When a desk has something to decide without being told anything.
     pub(super) fn next_desk_due(&self) -> Option<Instant> {
-        self.desks
+        self.allocators
             .values()
             .filter_map(EngineAllocator::next_deadline)
             .min()
@@ -124,7 +124,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let may_order = self.holding.held_engine(&want.target, now).is_some();
-        if may_order && self.desks.contains_key(&want.target) {
+        if may_order && self.allocators.contains_key(&want.target) {
             return self.at_desk(&want.target, now, |desk| desk.on_want(from, want, now));
         }
         let placement = Placement {
@@ -146,7 +146,7 @@
         now: Instant,
     ) -> Option<ControlAction> {
         self.holding.held_engine(&query.target, now)?;
-        let desk = self.desks.get_mut(&query.target)?;
+        let desk = self.allocators.get_mut(&query.target)?;
         let placement = desk.on_query(from, query, now);
         let standing = EngineStanding {
             load: load_for(&query.target, desk, from),
@@ -160,7 +160,7 @@
         &mut self,
         _now: Instant,
     ) {
-        for (target, desk) in &mut self.desks {
+        for (target, desk) in &mut self.allocators {
             let service = self
                 .targets
                 .get(target)
@@ -181,17 +181,17 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         if self.hosts.up_count() > MAX_ANNOUNCED {
-            self.told_loads.clear();
+            self.published_loads.clear();
             return Vec::new();
         }
         let mut news = Vec::new();
-        for (target, desk) in &self.desks {
+        for (target, desk) in &self.allocators {
             for host in desk.usage().hosts() {
                 news.push((host, load_for(target, desk, host)));
             }
         }
-        news.retain(|(host, load)| self.told_loads.should_publish(*host, load, now));
-        self.told_loads.evict_expired(now);
+        news.retain(|(host, load)| self.published_loads.should_publish(*host, load, now));
+        self.published_loads.evict_expired(now);
         news.into_iter()
             .map(|(host, load)| self.send(host, Message::EngineLoad(load)))
             .collect()
@@ -286,7 +286,7 @@
         let address = self.targets.get(target).map(|target| target.record.address);
         let held = self.holding.held_engine(target, now);
         let (Some(held), Some(address), true) = (held, address, self.is_usable(target)) else {
-            if let Some(desk) = self.desks.get_mut(target) {
+            if let Some(desk) = self.allocators.get_mut(target) {
                 desk.on_order_cancelled();
             }
             return None;
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -77,8 +77,12 @@
     ) {
         let holds = self.holding.lease().holds(now);
         metrics().lease_held.set(i64::from(holds));
-        metrics().engines_held.set(self.desks.len() as i64);
-        let adapters: usize = self.desks.values().map(|desk| desk.adapters().len()).sum();
+        metrics().engines_held.set(self.allocators.len() as i64);
+        let adapters: usize = self
+            .allocators
+            .values()
+            .map(|desk| desk.adapters().len())
+            .sum();
         metrics().adapters_held.set(adapters as i64);
     }
 }
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -48,12 +48,12 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let slots = self.held_slots(now).into_iter().map(shard_lease);
-        let holds: Vec<String> = self.desks.keys().cloned().chain(slots).collect();
-        if self.told_holds == holds || now < self.next_holds {
+        let holds: Vec<String> = self.allocators.keys().cloned().chain(slots).collect();
+        if self.published_holdings == holds || now < self.next_holdings_publish {
             return Vec::new();
         }
-        self.told_holds = holds;
-        self.next_holds = now + HOLDS_PAUSE;
+        self.published_holdings = holds;
+        self.next_holdings_publish = now + HOLDS_PAUSE;
         self.notify_all_hosts(now)
     }
 
@@ -246,23 +246,24 @@
             .map(|(target, _)| target.clone())
             .collect();
         let lost: Vec<String> = self
-            .desks
+            .allocators
             .keys()
             .filter(|target| !held.contains(target))
             .cloned()
             .collect();
         for target in lost {
             note!(Event::TargetLost, target = target);
-            if let Some(desk) = self.desks.remove(&target) {
-                self.late_orders
+            if let Some(desk) = self.allocators.remove(&target) {
+                self.unanswered_orders
                     .insert(target.clone(), desk.into_unanswered_orders(now));
             }
             self.shared.remove_engine(&target);
             self.changed = true;
         }
-        self.late_orders.retain(|_, late| !late.all_expired(now));
+        self.unanswered_orders
+            .retain(|_, late| !late.all_expired(now));
         for target in held {
-            if self.desks.contains_key(&target) {
+            if self.allocators.contains_key(&target) {
                 continue;
             }
             let Some(listed) = self.targets.get(&target) else {
@@ -274,11 +275,11 @@
             };
             let mut desk = EngineAllocator::new(&target, spec, self.shared.clone(), now);
             desk.on_incarnation(listed.record.started, now);
-            desk.set_unanswered_orders(self.late_orders.remove(&target).unwrap_or_default());
+            desk.set_unanswered_orders(self.unanswered_orders.remove(&target).unwrap_or_default());
             for (adapter, versions) in self.versions.iter() {
                 desk.on_newest_version(adapter, versions.newest());
             }
-            self.desks.insert(target, desk);
+            self.allocators.insert(target, desk);
             self.changed = true;
         }
     }
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -121,8 +121,8 @@
         actions.extend(self.take_host_events(now));
         // Requests divide the extra retry quota by this number.
         let known = self.hosts.known_count();
-        if self.told_known_hosts != known {
-            self.told_known_hosts = known;
+        if self.published_known_hosts != known {
+            self.published_known_hosts = known;
             self.changed = true;
         }
         actions
@@ -151,7 +151,7 @@
             }
             Message::Want(want) => self.on_want(from, &want, now),
             Message::Usage(usage) => {
-                if let Some(desk) = self.desks.get_mut(&usage.target) {
+                if let Some(desk) = self.allocators.get_mut(&usage.target) {
                     desk.on_usage(from, &usage, now);
                 }
                 Vec::new()
@@ -199,7 +199,7 @@
                 message: Message::Want(want),
             }],
             ControlRequest::ReportUsage { holder, usage } if holder == me => {
-                if let Some(desk) = self.desks.get_mut(&usage.target) {
+                if let Some(desk) = self.allocators.get_mut(&usage.target) {
                     desk.on_usage(me, &usage, now);
                 }
                 Vec::new()
@@ -216,7 +216,7 @@
                 message: Message::EngineQuery(query),
             }],
             ControlRequest::ReportMissing { target, adapter } => {
-                if let Some(desk) = self.desks.get_mut(&target) {
+                if let Some(desk) = self.allocators.get_mut(&target) {
                     desk.on_missing_adapter(&adapter, now);
                 }
                 Vec::new()
@@ -439,11 +439,11 @@
             match event {
                 HostEvent::StateChanged { peer, name, state } => {
                     note!(event_of(state), peer = name, address = peer);
-                    if state == HostState::Alive && !self.told_holds.is_empty() {
+                    if state == HostState::Alive && !self.published_holdings.is_empty() {
                         untold.push(peer);
                     }
                     if state == HostState::Dead {
-                        for desk in self.desks.values_mut() {
+                        for desk in self.allocators.values_mut() {
                             desk.on_host_gone(peer);
                         }
                     }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -370,7 +370,7 @@
             before_age_ms = before_age.map_or(-1.0, |age| age.as_secs_f64() * 1000.0),
             source = news.source
         );
-        for desk in self.desks.values_mut() {
+        for desk in self.allocators.values_mut() {
             desk.on_newest_version(&adapter, version);
         }
         let versions = Arc::make_mut(&mut self.versions);
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -84,9 +84,9 @@
     pub(super) declared: ReplicatedTable,
     pub(super) listed: ReplicatedTable,
     pub(super) holding: EngineAssignment,
-    pub(super) desks: BTreeMap<String, EngineAllocator>,
+    pub(super) allocators: BTreeMap<String, EngineAllocator>,
     /// Unanswered orders of removed allocators, by engine; they may still reach the engine.
-    pub(super) late_orders: HashMap<String, UnansweredOrders>,
+    pub(super) unanswered_orders: HashMap<String, UnansweredOrders>,
     /// State that the allocators share.
     pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
@@ -111,13 +111,13 @@
     /// Seeds that know no ready host.
     pub(super) empty_seeds: BTreeSet<SocketAddr>,
     /// Engines held here, as last published to all hosts.
-    pub(super) told_holds: Vec<String>,
+    pub(super) published_holdings: Vec<String>,
     /// Earliest time at which the held engines are published again.
-    pub(super) next_holds: Instant,
-    next_loads: Instant,
-    pub(super) told_loads: PublishedLoads,
+    pub(super) next_holdings_publish: Instant,
+    next_load_publish: Instant,
+    pub(super) published_loads: PublishedLoads,
     /// Earliest time of the next run of the allocators that no event causes.
-    next_desks: Instant,
+    next_allocator_run: Instant,
     next_tick: Instant,
     pub(super) started: Instant,
     /// Completed rounds of queries to the seeds.
@@ -125,7 +125,7 @@
     /// Hosts still to be asked in this round to lend retry quota.
     pub(super) lenders: Vec<SocketAddr>,
     /// Number of known hosts that was last published to requests.
-    pub(super) told_known_hosts: usize,
+    pub(super) published_known_hosts: usize,
     /// Requests that crash targets.
     pub(super) poison: KnownPoison,
     /// Shards of the customers' quotas that are counted here, by hash slot.
@@ -176,8 +176,8 @@
             holding: EngineAssignment::new(row, timings, now),
             settings,
             formats,
-            desks: BTreeMap::new(),
-            late_orders: HashMap::new(),
+            allocators: BTreeMap::new(),
+            unanswered_orders: HashMap::new(),
             shared: SharedAllocatorState::new(policy),
             targets: BTreeMap::new(),
             ended_targets: EndedTargets::default(),
@@ -191,16 +191,16 @@
             next_publish: now,
             published: Arc::default(),
             empty_seeds: BTreeSet::new(),
-            told_holds: Vec::new(),
-            next_holds: now,
-            next_loads: now,
-            told_loads: PublishedLoads::default(),
-            next_desks: now,
+            published_holdings: Vec::new(),
+            next_holdings_publish: now,
+            next_load_publish: now,
+            published_loads: PublishedLoads::default(),
+            next_allocator_run: now,
             next_tick: now,
             started: now,
             joins: 0,
             lenders: Vec::new(),
-            told_known_hosts: 0,
+            published_known_hosts: 0,
             poison: KnownPoison::default(),
             ledgers: BTreeMap::new(),
             places: BTreeMap::new(),
@@ -241,7 +241,7 @@
         let tick = self.next_tick;
         // An allocator that stays due without an order to give must not cause a busy loop.
         let due = self.next_desk_due().unwrap_or(tick);
-        let due = due.max(self.next_desks);
+        let due = due.max(self.next_allocator_run);
         let publish = match self.changed {
             true => self.next_publish,
             false => tick,
@@ -289,7 +289,7 @@
             }
             ControlEvent::OrderEnded { target, reply } => self.on_order_ended(&target, reply, now),
             ControlEvent::OrderWithheld { target } => {
-                if let Some(desk) = self.desks.get_mut(&target) {
+                if let Some(desk) = self.allocators.get_mut(&target) {
                     desk.on_order_cancelled();
                 }
                 Vec::new()
@@ -317,7 +317,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        self.next_desks = now + ALLOCATOR_INTERVAL;
+        self.next_allocator_run = now + ALLOCATOR_INTERVAL;
         if now < self.next_tick {
             actions.extend(self.tick_desks(now));
             return actions;
@@ -331,8 +331,8 @@
         actions.extend(self.tick_engines(now));
         actions.extend(self.tick_poison(now));
         actions.extend(self.tick_notices(now));
-        if now >= self.next_loads {
-            self.next_loads = now + LOAD_PUBLISH_INTERVAL;
+        if now >= self.next_load_publish {
+            self.next_load_publish = now + LOAD_PUBLISH_INTERVAL;
             actions.extend(self.tell_loads(now));
             self.set_gauges(now);
         }
