--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -81,7 +81,7 @@
         let adapters: usize = self
             .allocators
             .values()
-            .map(|desk| desk.adapters().len())
+            .map(|allocator| allocator.adapters().len())
             .sum();
         metrics().adapters_held.set(adapters as i64);
     }
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -151,8 +151,8 @@
             }
             Message::Want(want) => self.on_want(from, &want, now),
             Message::Usage(usage) => {
-                if let Some(desk) = self.allocators.get_mut(&usage.target) {
-                    desk.on_usage(from, &usage, now);
+                if let Some(allocator) = self.allocators.get_mut(&usage.target) {
+                    allocator.on_usage(from, &usage, now);
                 }
                 Vec::new()
             }
@@ -199,8 +199,8 @@
                 message: Message::Want(want),
             }],
             ControlRequest::ReportUsage { holder, usage } if holder == me => {
-                if let Some(desk) = self.allocators.get_mut(&usage.target) {
-                    desk.on_usage(me, &usage, now);
+                if let Some(allocator) = self.allocators.get_mut(&usage.target) {
+                    allocator.on_usage(me, &usage, now);
                 }
                 Vec::new()
             }
@@ -216,8 +216,8 @@
                 message: Message::EngineQuery(query),
             }],
             ControlRequest::ReportMissing { target, adapter } => {
-                if let Some(desk) = self.allocators.get_mut(&target) {
-                    desk.on_missing_adapter(&adapter, now);
+                if let Some(allocator) = self.allocators.get_mut(&target) {
+                    allocator.on_missing_adapter(&adapter, now);
                 }
                 Vec::new()
             }
@@ -443,8 +443,8 @@
                         untold.push(peer);
                     }
                     if state == HostState::Dead {
-                        for desk in self.allocators.values_mut() {
-                            desk.on_host_gone(peer);
+                        for allocator in self.allocators.values_mut() {
+                            allocator.on_host_gone(peer);
                         }
                     }
                 }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -370,8 +370,8 @@
             before_age_ms = before_age.map_or(-1.0, |age| age.as_secs_f64() * 1000.0),
             source = news.source
         );
-        for desk in self.allocators.values_mut() {
-            desk.on_newest_version(&adapter, version);
+        for allocator in self.allocators.values_mut() {
+            allocator.on_newest_version(&adapter, version);
         }
         let versions = Arc::make_mut(&mut self.versions);
         let history = versions.entry(adapter).or_default();
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -289,13 +289,13 @@
             }
             ControlEvent::OrderEnded { target, reply } => self.on_order_ended(&target, reply, now),
             ControlEvent::OrderWithheld { target } => {
-                if let Some(desk) = self.allocators.get_mut(&target) {
-                    desk.on_order_cancelled();
+                if let Some(allocator) = self.allocators.get_mut(&target) {
+                    allocator.on_order_cancelled();
                 }
                 Vec::new()
             }
             ControlEvent::Reported { target, report } => {
-                self.at_desk(&target, now, |desk| desk.on_report(report, now))
+                self.at_desk(&target, now, |allocator| allocator.on_report(report, now))
             }
             ControlEvent::PoisonRead { rows } => self.on_poison_read(rows, now),
             ControlEvent::SettingsRead(_) => Vec::new(),
