--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -422,7 +422,7 @@
         }
     }
 
-    pub(super) fn kept(
+    pub(super) fn table_mut(
         &mut self,
         table: TableName,
     ) -> &mut ReplicatedTable {
