--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -55,7 +55,7 @@
         let place = self.hosts.place_by_link();
         let mut actions = Vec::new();
         for table in [TableName::Declared, TableName::Targets] {
-            let kept = self.kept(table);
+            let kept = self.table_mut(table);
             let age = kept.copy.age(now);
             if kept.schedule.start(age, place, now) {
                 actions.push(match kept.copy.is_known() {
@@ -86,9 +86,9 @@
             return Vec::new();
         };
         let print = fingerprint(table, &self.formats);
-        let before = self.kept(table).replica_freshness();
+        let before = self.table_mut(table).replica_freshness();
         self.record_read_end(table, true, now);
-        let rows = self.kept(table).copy.apply_changes(batch, asked, print);
+        let rows = self.table_mut(table).copy.apply_changes(batch, asked, print);
         let news = RowChanges {
             rows: &rows,
             source: "store",
@@ -107,12 +107,12 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let print = fingerprint(table, &self.formats);
-        let before = self.kept(table).replica_freshness();
+        let before = self.table_mut(table).replica_freshness();
         self.record_read_end(table, rows.is_some(), now);
         let Some(rows) = rows else {
             return Vec::new();
         };
-        let rows = self.kept(table).copy.apply_whole(rows, asked, print);
+        let rows = self.table_mut(table).copy.apply_whole(rows, asked, print);
         let news = RowChanges {
             rows: &rows,
             source: "store",
@@ -151,7 +151,7 @@
             let Some(as_of) = age.and_then(|age| told_at.checked_sub(age)) else {
                 continue;
             };
-            let kept = self.kept(table);
+            let kept = self.table_mut(table);
             let comparison = kept.copy.compare(state.version, state.digest, as_of);
             if comparison != Comparison::Newer || kept.pulling.is_some() {
                 continue;
@@ -174,7 +174,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let print = fingerprint(table, &self.formats);
-        let kept = self.kept(table);
+        let kept = self.table_mut(table);
         if kept.pulling == Some(from) {
             kept.pulling = None;
         }
@@ -230,7 +230,7 @@
         succeeded: bool,
         now: Instant,
     ) {
-        let kept = self.kept(table);
+        let kept = self.table_mut(table);
         let failures = kept.schedule.failures();
         kept.schedule.on_end(succeeded, now);
         let age_ms = kept
