--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -57,11 +57,11 @@
         &self,
         now: Instant,
     ) {
-        for (table, kept) in [
+        for (table, replicated) in [
             (TableName::Declared, &self.declared),
             (TableName::Targets, &self.listed),
         ] {
-            let age = kept.copy.age(now);
+            let age = replicated.replica.age(now);
             let seconds = age.map_or(f64::INFINITY, |age: Duration| age.as_secs_f64());
             let labels = CopyLabels {
                 table: table.word(),
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -55,13 +55,13 @@
         let place = self.hosts.place_by_link();
         let mut actions = Vec::new();
         for table in [TableName::Declared, TableName::Targets] {
-            let kept = self.table_mut(table);
-            let age = kept.copy.age(now);
-            if kept.schedule.start(age, place, now) {
-                actions.push(match kept.copy.is_known() {
+            let replicated = self.table_mut(table);
+            let age = replicated.replica.age(now);
+            if replicated.schedule.start(age, place, now) {
+                actions.push(match replicated.replica.is_known() {
                     true => ControlAction::ReadChanges {
                         table,
-                        since: kept.copy.version(),
+                        since: replicated.replica.version(),
                     },
                     false => ControlAction::ReadTable { table },
                 });
@@ -85,10 +85,13 @@
             self.record_read_end(table, false, now);
             return Vec::new();
         };
-        let print = fingerprint(table, &self.formats);
+        let fingerprint_of = fingerprint(table, &self.formats);
         let before = self.table_mut(table).replica_freshness();
         self.record_read_end(table, true, now);
-        let rows = self.table_mut(table).copy.apply_changes(batch, asked, print);
+        let rows = self
+            .table_mut(table)
+            .replica
+            .apply_changes(batch, asked, fingerprint_of);
         let news = RowChanges {
             rows: &rows,
             source: "store",
@@ -106,13 +109,16 @@
         rows: Option<RowBatch>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let print = fingerprint(table, &self.formats);
+        let fingerprint_of = fingerprint(table, &self.formats);
         let before = self.table_mut(table).replica_freshness();
         self.record_read_end(table, rows.is_some(), now);
         let Some(rows) = rows else {
             return Vec::new();
         };
-        let rows = self.table_mut(table).copy.apply_whole(rows, asked, print);
+        let rows = self
+            .table_mut(table)
+            .replica
+            .apply_whole(rows, asked, fingerprint_of);
         let news = RowChanges {
             rows: &rows,
             source: "store",
@@ -136,7 +142,7 @@
         let told = Duration::from_micros(freshness.told_us);
         let left = self.clocks.left_after(from, sender.process, told, now);
         let assumed = arrived_after.checked_sub(ASSUMED_TRANSIT_TIME);
-        let Some(told_at) = left.map(|left| left.min(arrived_after)).or(assumed) else {
+        let Some(sent_at) = left.map(|left| left.min(arrived_after)).or(assumed) else {
             return Vec::new();
         };
         let told = [
@@ -148,19 +154,21 @@
             let age = state
                 .age_ms
                 .map(|age| Duration::from_millis(u64::from(age)));
-            let Some(as_of) = age.and_then(|age| told_at.checked_sub(age)) else {
+            let Some(as_of) = age.and_then(|age| sent_at.checked_sub(age)) else {
                 continue;
             };
-            let kept = self.table_mut(table);
-            let comparison = kept.copy.compare(state.version, state.digest, as_of);
-            if comparison != Comparison::Newer || kept.pulling.is_some() {
+            let replicated = self.table_mut(table);
+            let comparison = replicated
+                .replica
+                .compare(state.version, state.digest, as_of);
+            if comparison != Comparison::Newer || replicated.pulling_from.is_some() {
                 continue;
             }
-            kept.pulling = Some(from);
+            replicated.pulling_from = Some(from);
             actions.push(ControlAction::PullChanges {
                 table,
                 from,
-                since: kept.copy.version(),
+                since: replicated.replica.version(),
             });
         }
         actions
@@ -173,22 +181,24 @@
         changes: Option<(TableChanges, Instant)>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let print = fingerprint(table, &self.formats);
-        let kept = self.table_mut(table);
-        if kept.pulling == Some(from) {
-            kept.pulling = None;
+        let fingerprint_of = fingerprint(table, &self.formats);
+        let replicated = self.table_mut(table);
+        if replicated.pulling_from == Some(from) {
+            replicated.pulling_from = None;
         }
         let Some((changes, as_of)) = changes else {
             return Vec::new();
         };
         let whole = changes.whole;
         let large = changes.bytes() >= LARGE_REPLICA_BYTES;
-        let before = kept.replica_freshness();
-        let (rows, same) = kept.copy.apply_from_host(changes, as_of, print);
+        let before = replicated.replica_freshness();
+        let (rows, is_equal) = replicated
+            .replica
+            .apply_from_host(changes, as_of, fingerprint_of);
         let mut actions = Vec::new();
-        if !same && !whole {
+        if !is_equal && !whole {
             // One side missed a change that was reverted later; pull the complete table.
-            kept.pulling = Some(from);
+            replicated.pulling_from = Some(from);
             actions.push(ControlAction::PullChanges {
                 table,
                 from,
@@ -201,7 +211,7 @@
             before,
         };
         actions.extend(self.apply_rows(table, &news, now));
-        if large && same {
+        if large && is_equal {
             // Hosts that a busy holder rejected can pull it from here.
             let some = self.hosts.pick_up(LARGE_REPLICA_FANOUT);
             actions.extend(self.notify_hosts(some, now));
@@ -216,11 +226,11 @@
         since: u64,
         now: Instant,
     ) -> (TableChanges, Option<Duration>) {
-        let copy = match table {
-            TableName::Declared => &self.declared.copy,
-            TableName::Targets => &self.listed.copy,
+        let replica = match table {
+            TableName::Declared => &self.declared.replica,
+            TableName::Targets => &self.listed.replica,
         };
-        (copy.changes_since(since), copy.age(now))
+        (replica.changes_since(since), replica.age(now))
     }
 
     /// Records the end of a read from the store.
@@ -230,11 +240,11 @@
         succeeded: bool,
         now: Instant,
     ) {
-        let kept = self.table_mut(table);
-        let failures = kept.schedule.failures();
-        kept.schedule.on_end(succeeded, now);
-        let age_ms = kept
-            .copy
+        let replicated = self.table_mut(table);
+        let failures = replicated.schedule.failures();
+        replicated.schedule.on_end(succeeded, now);
+        let age_ms = replicated
+            .replica
             .age(now)
             .map_or(-1.0, |age| age.as_secs_f64() * 1000.0);
         if !succeeded && failures == 0 {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -58,15 +58,15 @@
 
 /// A replica of a table and the schedule by which this host reads it.
 pub(super) struct ReplicatedTable {
-    pub copy: TableCopy,
+    pub replica: TableCopy,
     pub schedule: ReadSchedule,
     /// The host from which changes are being pulled, if any.
-    pub pulling: Option<SocketAddr>,
+    pub pulling_from: Option<SocketAddr>,
 }
 
 impl ReplicatedTable {
     pub fn replica_freshness(&self) -> TableFreshness {
-        let confirmed_at = self.copy.right_at();
+        let confirmed_at = self.replica.right_at();
         let failed_at = self.schedule.failed_at();
         TableFreshness {
             confirmed_at,
@@ -164,9 +164,9 @@
         let lease = &settings.lease;
         let timings = LeaseTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
         let table = |bound| ReplicatedTable {
-            copy: TableCopy::default(),
+            replica: TableCopy::default(),
             schedule: ReadSchedule::new(ReadTimings::within(bound), now),
-            pulling: None,
+            pulling_from: None,
         };
         Self {
             declared: table(settings.bounds.config.min(settings.bounds.version)),
@@ -384,16 +384,16 @@
         &self,
         now: Instant,
     ) -> Freshness {
-        let state = |copy: &TableCopy| CopyState {
-            version: copy.version(),
-            digest: copy.digest(),
-            age_ms: copy
+        let state = |replica: &TableCopy| CopyState {
+            version: replica.version(),
+            digest: replica.digest(),
+            age_ms: replica
                 .age(now)
                 .map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX)),
         };
         Freshness {
-            declared: state(&self.declared.copy),
-            targets: state(&self.listed.copy),
+            declared: state(&self.declared.replica),
+            targets: state(&self.listed.replica),
             told_us: self.uptime_us(now),
             poison: self.poison_digest(),
         }
