--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -164,13 +164,13 @@
             Message::Loan(loan) => vec![ControlAction::Borrow(loan)],
             Message::PoisonNews(news) => self.on_poison_news(&news, now),
             Message::ChargeAsk(ask) => vec![self.on_charge_ask(from, &ask, now)],
-            Message::PlaceWanted(wanted) => vec![self.on_place_wanted(from, &wanted, now)],
+            Message::PlaceWanted(wanted) => vec![self.on_slot_request(from, &wanted, now)],
             Message::PlaceGiven(given) => vec![ControlAction::PlaceGiven(given)],
             Message::TargetNews(news) => self.on_target_news(&news, now),
             Message::PermitAsk(ask) => self.on_permit_ask(from, &ask, now),
             Message::PermitAnswer(answer) => vec![ControlAction::Permit(answer)],
             Message::PlaceEnded(ended) => {
-                self.on_place_ended(&ended);
+                self.on_slot_release(&ended);
                 Vec::new()
             }
             Message::ChargeAnswer(answer) => vec![ControlAction::Charged(answer)],
@@ -230,7 +230,7 @@
                 message: Message::ChargeAsk(ask),
             }],
             ControlRequest::RequestSlot { to, wanted } if to == me => {
-                vec![self.on_place_wanted(me, &wanted, now)]
+                vec![self.on_slot_request(me, &wanted, now)]
             }
             ControlRequest::RequestSlot { to, wanted } => vec![ControlAction::Send {
                 to,
@@ -241,7 +241,7 @@
             }
             ControlRequest::RequestPermit(ask) => self.want_permit(ask, now),
             ControlRequest::ReleaseSlot { to, ended } if to == me => {
-                self.on_place_ended(&ended);
+                self.on_slot_release(&ended);
                 Vec::new()
             }
             ControlRequest::ReleaseSlot { to, ended } => vec![ControlAction::Send {
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -20,87 +20,92 @@
 /// The concurrency slots of a service that are allocated here.
 #[derive(Debug, Default)]
 pub(super) struct AllocatedSlots {
-    places: ServiceSlots,
+    slots: ServiceSlots,
     /// When the targets were last refreshed.
-    looked: Option<Instant>,
+    refreshed_at: Option<Instant>,
 }
 
 impl AllocatedSlots {
-    fn is_due(
+    fn is_refresh_due(
         &self,
         now: Instant,
     ) -> bool {
         let is_old = |at: Instant| now.saturating_duration_since(at) >= TARGETS_REFRESH_INTERVAL;
-        self.looked.is_none_or(is_old)
+        self.refreshed_at.is_none_or(is_old)
     }
 }
 
 impl HostControl {
     /// Handles a host's request for a concurrency slot.
-    pub(super) fn on_place_wanted(
+    pub(super) fn on_slot_request(
         &mut self,
         from: SocketAddr,
         wanted: &PlaceWanted,
         now: Instant,
     ) -> ControlAction {
-        let mut given = PlaceGiven {
+        let mut response = PlaceGiven {
             id: wanted.id,
             ..PlaceGiven::default()
         };
-        let state = match self.give_place(wanted, now) {
+        let state = match self.allocate_slot(wanted, now) {
             SlotResponse::Granted { target } => {
-                given.target = target.to_string();
+                response.target = target.to_string();
                 "granted"
             }
             SlotResponse::Full { retry_after } => {
-                given.come_back_ms = u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX);
+                response.come_back_ms = u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX);
                 "full"
             }
             SlotResponse::NoTarget => {
-                given.unknown = true;
+                response.unknown = true;
                 "nowhere"
             }
         };
         let labels = StateLabels { state };
         metrics().places.get_or_create(&labels).inc();
-        self.send(from, Message::PlaceGiven(given))
+        self.send(from, Message::PlaceGiven(response))
     }
 
     /// Releases a concurrency slot.
-    pub(super) fn on_place_ended(
+    pub(super) fn on_slot_release(
         &mut self,
         ended: &PlaceEnded,
     ) {
-        if let Some(given) = self.places.get_mut(&ended.service) {
-            given.places.release(&ended.target, ended.id, ended.end());
+        if let Some(allocated) = self.allocated_slots.get_mut(&ended.service) {
+            allocated
+                .slots
+                .release(&ended.target, ended.id, ended.end());
         }
     }
 
-    fn give_place(
+    fn allocate_slot(
         &mut self,
         wanted: &PlaceWanted,
         now: Instant,
     ) -> SlotResponse {
-        let slot = shard_lease(shard_for(&wanted.service, 0));
-        if self.holding.held_engine(&slot, now).is_none() {
+        let hash_slot = shard_lease(shard_for(&wanted.service, 0));
+        if self.holding.held_engine(&hash_slot, now).is_none() {
             return SlotResponse::NoTarget;
         }
-        let given = self.places.entry(wanted.service.clone()).or_default();
-        if given.is_due(now) {
-            given.looked = Some(now);
+        let allocated = self
+            .allocated_slots
+            .entry(wanted.service.clone())
+            .or_default();
+        if allocated.is_refresh_due(now) {
+            allocated.refreshed_at = Some(now);
             let targets = self.targets.iter();
             let targets = targets
                 .filter(|(_, target)| target.record.service == wanted.service)
                 .filter(|(id, target)| target.is_usable() && !self.notices.says_leaving(id, target))
                 .map(|(id, target)| (id.as_str(), target.record.slots));
-            given.places.set_targets(targets);
+            allocated.slots.set_targets(targets);
         }
-        let ask = SlotRequest {
+        let request = SlotRequest {
             id: wanted.id,
             excluded: &wanted.passed_over,
             latency_goal: Duration::from_millis(u64::from(wanted.aim_ms)),
             time_left: Duration::from_millis(u64::from(wanted.left_ms)),
         };
-        given.places.acquire(&ask, now)
+        allocated.slots.acquire(&request, now)
     }
 }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -52,12 +52,12 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let place = self.hosts.place_by_link();
+        let link_rank = self.hosts.place_by_link();
         let mut actions = Vec::new();
         for table in [TableName::Declared, TableName::Targets] {
             let replicated = self.table_mut(table);
             let age = replicated.replica.age(now);
-            if replicated.schedule.start(age, place, now) {
+            if replicated.schedule.start(age, link_rank, now) {
                 actions.push(match replicated.replica.is_known() {
                     true => ControlAction::ReadChanges {
                         table,
@@ -92,12 +92,12 @@
             .table_mut(table)
             .replica
             .apply_changes(batch, asked, fingerprint_of);
-        let news = RowChanges {
+        let row_changes = RowChanges {
             rows: &rows,
             source: "store",
             before,
         };
-        let mut actions = self.apply_rows(table, &news, now);
+        let mut actions = self.apply_rows(table, &row_changes, now);
         actions.extend(self.notify_all_hosts(now));
         actions
     }
@@ -119,12 +119,12 @@
             .table_mut(table)
             .replica
             .apply_whole(rows, asked, fingerprint_of);
-        let news = RowChanges {
+        let row_changes = RowChanges {
             rows: &rows,
             source: "store",
             before,
         };
-        self.apply_rows(table, &news, now)
+        self.apply_rows(table, &row_changes, now)
     }
 
     /// Handles the freshness of another host's replicas, from a message that arrived after `arrived_after`.
@@ -139,18 +139,20 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let from = sender.peer.into();
-        let told = Duration::from_micros(freshness.told_us);
-        let left = self.clocks.left_after(from, sender.process, told, now);
+        let sender_uptime = Duration::from_micros(freshness.told_us);
+        let estimated = self
+            .clocks
+            .left_after(from, sender.process, sender_uptime, now);
         let assumed = arrived_after.checked_sub(ASSUMED_TRANSIT_TIME);
-        let Some(sent_at) = left.map(|left| left.min(arrived_after)).or(assumed) else {
+        let Some(sent_at) = estimated.map(|at| at.min(arrived_after)).or(assumed) else {
             return Vec::new();
         };
-        let told = [
+        let published = [
             (TableName::Declared, freshness.declared),
             (TableName::Targets, freshness.targets),
         ];
         let mut actions = Vec::new();
-        for (table, state) in told {
+        for (table, state) in published {
             let age = state
                 .age_ms
                 .map(|age| Duration::from_millis(u64::from(age)));
@@ -189,14 +191,14 @@
         let Some((changes, as_of)) = changes else {
             return Vec::new();
         };
-        let whole = changes.whole;
-        let large = changes.bytes() >= LARGE_REPLICA_BYTES;
+        let is_complete = changes.whole;
+        let is_large = changes.bytes() >= LARGE_REPLICA_BYTES;
         let before = replicated.replica_freshness();
         let (rows, is_equal) = replicated
             .replica
             .apply_from_host(changes, as_of, fingerprint_of);
         let mut actions = Vec::new();
-        if !is_equal && !whole {
+        if !is_equal && !is_complete {
             // One side missed a change that was reverted later; pull the complete table.
             replicated.pulling_from = Some(from);
             actions.push(ControlAction::PullChanges {
@@ -205,16 +207,16 @@
                 since: 0,
             });
         }
-        let news = RowChanges {
+        let row_changes = RowChanges {
             rows: &rows,
             source: &from.to_string(),
             before,
         };
-        actions.extend(self.apply_rows(table, &news, now));
-        if large && is_equal {
+        actions.extend(self.apply_rows(table, &row_changes, now));
+        if is_large && is_equal {
             // Hosts that a busy holder rejected can pull it from here.
-            let some = self.hosts.pick_up(LARGE_REPLICA_FANOUT);
-            actions.extend(self.notify_hosts(some, now));
+            let peers = self.hosts.pick_up(LARGE_REPLICA_FANOUT);
+            actions.extend(self.notify_hosts(peers, now));
         }
         actions
     }
@@ -291,14 +293,14 @@
     fn apply_rows(
         &mut self,
         table: TableName,
-        news: &RowChanges,
+        row_changes: &RowChanges,
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        for row in news.rows {
+        for row in row_changes.rows {
             match table {
-                TableName::Declared => self.apply_declared(row, news, now),
-                TableName::Targets => actions.extend(self.apply_target_row(row, news, now)),
+                TableName::Declared => self.apply_declared(row, row_changes, now),
+                TableName::Targets => actions.extend(self.apply_target_row(row, row_changes, now)),
             }
         }
         actions
@@ -307,16 +309,18 @@
     fn apply_declared(
         &mut self,
         row: &Row,
-        news: &RowChanges,
+        row_changes: &RowChanges,
         now: Instant,
     ) {
         match self.formats.declared(row) {
-            Ok(Declared::Routing(routing)) => self.apply_routing(routing, news.source, now),
+            Ok(Declared::Routing(routing)) => self.apply_routing(routing, row_changes.source, now),
             Ok(Declared::AdapterVersion {
                 model,
                 adapter,
                 version,
-            }) => self.apply_adapter_version(format!("{model}/{adapter}"), version, news, now),
+            }) => {
+                self.apply_adapter_version(format!("{model}/{adapter}"), version, row_changes, now)
+            }
             Ok(Declared::Other) => {}
             Err(problem) => {
                 note!(
@@ -359,7 +363,7 @@
         &mut self,
         adapter: String,
         version: u64,
-        news: &RowChanges,
+        row_changes: &RowChanges,
         now: Instant,
     ) {
         let known = self.versions.get(&adapter);
@@ -368,7 +372,7 @@
             return;
         }
         // Age of the last confirmation that the previous version was the newest.
-        let before_age = news
+        let before_age = row_changes
             .before
             .confirmed_at
             .map(|at| now.saturating_duration_since(at));
@@ -378,14 +382,14 @@
             version = version,
             before = before,
             before_age_ms = before_age.map_or(-1.0, |age| age.as_secs_f64() * 1000.0),
-            source = news.source
+            source = row_changes.source
         );
         for allocator in self.allocators.values_mut() {
             allocator.on_newest_version(&adapter, version);
         }
         let versions = Arc::make_mut(&mut self.versions);
         let history = versions.entry(adapter).or_default();
-        history.on_published(version, news.before.confirmed_at);
+        history.on_published(version, row_changes.before.confirmed_at);
         self.changed = true;
     }
 }
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -20,16 +20,16 @@
     pub(super) fn apply_target_row(
         &mut self,
         row: &Row,
-        news: &RowChanges,
+        row_changes: &RowChanges,
         now: Instant,
     ) -> Vec<ControlAction> {
         self.changed = true;
         if row.value.is_none() {
-            self.on_vanished(row, news, now);
+            self.on_vanished(row, row_changes, now);
             return Vec::new();
         }
         match self.formats.target_record(row) {
-            Ok(record) => self.apply_target_record(record, news.source, now),
+            Ok(record) => self.apply_target_record(record, row_changes.source, now),
             Err(problem) => {
                 self.on_invalid_entry(&row.key, &problem.to_string());
                 Vec::new()
@@ -40,17 +40,17 @@
     fn on_vanished(
         &mut self,
         row: &Row,
-        news: &RowChanges,
+        row_changes: &RowChanges,
         now: Instant,
     ) {
-        let until = self.vanished_until(&news.before, now);
+        let until = self.vanished_until(&row_changes.before, now);
         if let Some(target) = self.targets.get_mut(&*row.key) {
             // A leaving target is out of use already.
             target.vanished_until.get_or_insert(until);
             note!(
                 Event::TargetVanished,
                 target = row.key,
-                source = news.source
+                source = row_changes.source
             );
         }
     }
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -131,7 +131,7 @@
     /// Shards of the customers' quotas that are counted here, by hash slot.
     pub(super) ledgers: BTreeMap<usize, HeldLedger>,
     /// Concurrency slots at targets of plain services that are allocated here, by service.
-    pub(super) places: BTreeMap<String, AllocatedSlots>,
+    pub(super) allocated_slots: BTreeMap<String, AllocatedSlots>,
     /// Notices that targets publish of themselves.
     pub(super) notices: KnownNotices,
 }
@@ -203,7 +203,7 @@
             published_known_hosts: 0,
             poison: KnownPoison::default(),
             ledgers: BTreeMap::new(),
-            places: BTreeMap::new(),
+            allocated_slots: BTreeMap::new(),
             notices: KnownNotices::default(),
         }
     }
@@ -533,16 +533,16 @@
 }
 
 fn has_advanced(
-    told: &ReplicaFreshness,
+    published: &ReplicaFreshness,
     current: &ReplicaFreshness,
 ) -> bool {
-    let differs = |told: &TableFreshness, current: &TableFreshness| {
-        let step = match (told.confirmed_at, current.confirmed_at) {
-            (Some(told), Some(current)) => current.saturating_duration_since(told),
+    let differs = |published: &TableFreshness, current: &TableFreshness| {
+        let step = match (published.confirmed_at, current.confirmed_at) {
+            (Some(published), Some(current)) => current.saturating_duration_since(published),
             (None, Some(_)) => MIN_FRESHNESS_STEP,
             _ => Duration::ZERO,
         };
-        told.store_failed != current.store_failed || step >= MIN_FRESHNESS_STEP
+        published.store_failed != current.store_failed || step >= MIN_FRESHNESS_STEP
     };
-    differs(&told.declared, &current.declared) || differs(&told.targets, &current.targets)
+    differs(&published.declared, &current.declared) || differs(&published.targets, &current.targets)
 }
