--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -123,7 +123,7 @@
         want: &Want,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let may_order = self.holding.held_engine(&want.target, now).is_some();
+        let may_order = self.assignment.held_engine(&want.target, now).is_some();
         if may_order && self.allocators.contains_key(&want.target) {
             return self.at_desk(&want.target, now, |desk| desk.on_want(from, want, now));
         }
@@ -145,7 +145,7 @@
         query: &EngineQuery,
         now: Instant,
     ) -> Option<ControlAction> {
-        self.holding.held_engine(&query.target, now)?;
+        self.assignment.held_engine(&query.target, now)?;
         let desk = self.allocators.get_mut(&query.target)?;
         let placement = desk.on_query(from, query, now);
         let standing = EngineStanding {
@@ -284,7 +284,7 @@
         now: Instant,
     ) -> Option<ControlAction> {
         let address = self.targets.get(target).map(|target| target.record.address);
-        let held = self.holding.held_engine(target, now);
+        let held = self.assignment.held_engine(target, now);
         let (Some(held), Some(address), true) = (held, address, self.is_usable(target)) else {
             if let Some(desk) = self.allocators.get_mut(target) {
                 desk.on_order_cancelled();
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -75,7 +75,7 @@
         &self,
         now: Instant,
     ) {
-        let holds = self.holding.lease().holds(now);
+        let holds = self.assignment.lease().holds(now);
         metrics().lease_held.set(i64::from(holds));
         metrics().engines_held.set(self.allocators.len() as i64);
         let adapters: usize = self
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -63,26 +63,26 @@
         commit: Option<Commit>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let term = self.holding.lease().term();
+        let term = self.assignment.lease().term();
         match commit {
             Some(Commit::Done { version }) => {
-                self.holding.on_renewed(sent, Some(version), now);
+                self.assignment.on_renewed(sent, Some(version), now);
                 note!(Event::SessionRenewed, row_version = version);
             }
             Some(Commit::Conflict { rows }) => {
                 note!(Event::SessionNotRenewed, cause = "conflict");
-                self.holding.on_renewal_conflict(&rows, now);
+                self.assignment.on_renewal_conflict(&rows, now);
             }
             Some(Commit::TurnedAway) => {
                 note!(Event::SessionNotRenewed, cause = "turned_away");
-                self.holding.on_renewed(sent, None, now);
+                self.assignment.on_renewed(sent, None, now);
             }
             None => {
                 note!(Event::SessionNotRenewed, cause = "no_reply");
-                self.holding.on_renewed(sent, None, now);
+                self.assignment.on_renewed(sent, None, now);
             }
         }
-        let new_term = self.holding.lease().term();
+        let new_term = self.assignment.lease().term();
         if new_term == term {
             return Vec::new();
         }
@@ -99,7 +99,7 @@
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         let rows = rows.map(|batch| batch.rows);
-        self.holding.on_table_read(rows.as_deref(), term, now);
+        self.assignment.on_table_read(rows.as_deref(), term, now);
         for row in rows.iter().flatten() {
             let value = row.value.as_deref().unwrap_or_default();
             if HostRow::peer_of(&row.key).is_none() {
@@ -142,11 +142,13 @@
                 for TakenEngine { target, fence } in engines {
                     note!(Event::TargetTaken, target = target, fence = fence);
                 }
-                self.holding.on_taken(engines, version, term);
+                self.assignment.on_taken(engines, version, term);
             }
-            Some(Commit::Conflict { rows }) => self.holding.on_take_conflict(engines, &rows, now),
-            Some(Commit::TurnedAway) => self.holding.on_take_rejected(engines, now),
-            None => self.holding.on_take_outcome_unknown(now),
+            Some(Commit::Conflict { rows }) => {
+                self.assignment.on_take_conflict(engines, &rows, now)
+            }
+            Some(Commit::TurnedAway) => self.assignment.on_take_rejected(engines, now),
+            None => self.assignment.on_take_outcome_unknown(now),
         }
         self.changed = true;
     }
@@ -162,7 +164,7 @@
             host.holds.iter().map(move |held| (held.as_str(), peer))
         });
         let me = self.hosts.me().peer;
-        let mine = self.holding.held(now);
+        let mine = self.assignment.held(now);
         let mine = mine.map(|(target, _)| (target.as_str(), me));
         // What this host knows of itself outweighs what others say.
         told.chain(mine).collect()
@@ -197,9 +199,9 @@
             })
         };
         let wanted = self
-            .holding
+            .assignment
             .decide(&engines, &takers, may_take, open, lease_of, now);
-        let term = self.holding.lease().term();
+        let term = self.assignment.lease().term();
         wanted
             .into_iter()
             .map(|action| match action {
@@ -241,7 +243,7 @@
         now: Instant,
     ) {
         let held: Vec<String> = self
-            .holding
+            .assignment
             .held(now)
             .map(|(target, _)| target.clone())
             .collect();
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -84,7 +84,7 @@
         now: Instant,
     ) -> SlotResponse {
         let hash_slot = shard_lease(shard_for(&wanted.service, 0));
-        if self.holding.held_engine(&hash_slot, now).is_none() {
+        if self.assignment.held_engine(&hash_slot, now).is_none() {
             return SlotResponse::NoTarget;
         }
         let allocated = self
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -38,7 +38,7 @@
         &self,
         now: Instant,
     ) -> Vec<usize> {
-        let held = self.holding.held(now);
+        let held = self.assignment.held(now);
         held.filter_map(|(name, _)| shard_of_lease(name)).collect()
     }
 
@@ -49,7 +49,7 @@
         now: Instant,
     ) {
         for slot in self.held_slots(now) {
-            let Some(held) = self.holding.held_engine(&shard_lease(slot), now) else {
+            let Some(held) = self.assignment.held_engine(&shard_lease(slot), now) else {
                 continue;
             };
             let known = self.ledgers.get(&slot);
@@ -144,7 +144,7 @@
         now: Instant,
     ) -> Option<(Option<BucketLimits>, &mut QuotaLedger)> {
         let slot = slot as usize;
-        let held = self.holding.held_engine(&shard_lease(slot), now)?;
+        let held = self.assignment.held_engine(&shard_lease(slot), now)?;
         let limit = self.routing.customers.named(customer)?.limit;
         let terms = limit.map(|limit| self.bucket_terms(&limit));
         let known = self.ledgers.get_mut(&slot)?;
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -83,7 +83,7 @@
     pub(super) clocks: PeerClocks,
     pub(super) declared: ReplicatedTable,
     pub(super) listed: ReplicatedTable,
-    pub(super) holding: EngineAssignment,
+    pub(super) assignment: EngineAssignment,
     pub(super) allocators: BTreeMap<String, EngineAllocator>,
     /// Unanswered orders of removed allocators, by engine; they may still reach the engine.
     pub(super) unanswered_orders: HashMap<String, UnansweredOrders>,
@@ -173,7 +173,7 @@
             listed: table(settings.bounds.drain),
             hosts,
             clocks: PeerClocks::default(),
-            holding: EngineAssignment::new(row, timings, now),
+            assignment: EngineAssignment::new(row, timings, now),
             settings,
             formats,
             allocators: BTreeMap::new(),
@@ -210,7 +210,7 @@
 
     /// Returns this host's lease, which is checked right before each order is sent.
     pub fn lease(&self) -> SessionLease {
-        self.holding.lease().clone()
+        self.assignment.lease().clone()
     }
 
     /// Returns true if this host accepts requests.
@@ -371,10 +371,10 @@
         &self,
         now: Instant,
     ) -> HostRumor {
-        let holds = self.holding.held(now).map(|(target, _)| target.clone());
+        let holds = self.assignment.held(now).map(|(target, _)| target.clone());
         self.hosts.my_rumor(
             holds.collect(),
-            self.holding.lease_version(),
+            self.assignment.lease_version(),
             self.is_ready(),
         )
     }
