--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -19,7 +19,7 @@
 };
 
 /// Times after the start at which the seeds are queried.
-const JOIN_TIMES: [Duration; 3] = [
+const SEED_QUERY_TIMES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(400),
     Duration::from_millis(1200),
@@ -31,15 +31,18 @@
 impl HostControl {
     /// Queries the seeds for the hosts that they know. Repeated a few times, as all hosts of a site may
     /// start at once.
-    pub(super) fn join(
+    pub(super) fn query_seeds(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
         let passed = now.saturating_duration_since(self.started);
-        if JOIN_TIMES.get(self.joins).is_none_or(|at| passed < *at) {
+        if SEED_QUERY_TIMES
+            .get(self.completed_seed_queries)
+            .is_none_or(|at| passed < *at)
+        {
             return Vec::new();
         }
-        self.joins += 1;
+        self.completed_seed_queries += 1;
         let me = self.hosts.me().peer;
         let seeds = self.settings.seed_peers().filter(|peer| *peer != me);
         let mut actions: Vec<ControlAction> = seeds
@@ -58,8 +61,8 @@
     ) -> Vec<ControlAction> {
         let hosts = hosts.unwrap_or_default();
         if !hosts.iter().any(|host| host.ready) {
-            self.empty_seeds.insert(from);
-            self.read_without_seeds(now);
+            self.seeds_without_ready_hosts.insert(from);
+            self.schedule_first_read(now);
         }
         let mut actions = Vec::new();
         for rumor in &hosts {
@@ -71,13 +74,13 @@
 
     /// Schedules the first read of the store once no seed knows a ready host, which happens when all hosts
     /// start at once.
-    fn read_without_seeds(
+    fn schedule_first_read(
         &mut self,
         now: Instant,
     ) {
         let me = self.hosts.me().peer;
         let mut seeds = self.settings.seed_peers().filter(|peer| *peer != me);
-        if seeds.all(|seed| self.empty_seeds.contains(&seed)) {
+        if seeds.all(|seed| self.seeds_without_ready_hosts.contains(&seed)) {
             let at = now + rand::rng().random_range(Duration::ZERO..FIRST_READ_JITTER);
             self.declared.schedule.on_no_copy(at);
             self.listed.schedule.on_no_copy(at);
@@ -85,7 +88,7 @@
     }
 
     /// Returns rumors of all known hosts, including this one.
-    pub(super) fn hosts_for_host(
+    pub(super) fn known_host_rumors(
         &self,
         now: Instant,
     ) -> Vec<HostRumor> {
@@ -139,7 +142,7 @@
             Message::Ping(ping) => self.on_ping(from, &ping, arrived_after, now),
             Message::Ack(ack) => {
                 self.on_exchange(from, &ack, now);
-                let mut actions = self.on_host_news(&ack.sender, &ack.rumors, now);
+                let mut actions = self.on_rumors(&ack.sender, &ack.rumors, now);
                 actions.extend(self.on_freshness(&ack.sender, &ack.freshness, arrived_after, now));
                 actions.extend(self.on_poison_digest(from, ack.freshness.poison, now));
                 actions
@@ -239,7 +242,7 @@
             ControlRequest::PublishNotices { target, notices } => {
                 self.on_notice_heard(&target, &notices, now)
             }
-            ControlRequest::RequestPermit(ask) => self.want_permit(ask, now),
+            ControlRequest::RequestPermit(ask) => self.request_permit(ask, now),
             ControlRequest::ReleaseSlot { to, ended } if to == me => {
                 self.on_slot_release(&ended);
                 Vec::new()
@@ -256,7 +259,7 @@
                 to,
                 message: Message::ChargeRefund(refund),
             }],
-            ControlRequest::RequestLoan(ask) => self.ask_loan(ask).into_iter().collect(),
+            ControlRequest::RequestLoan(ask) => self.request_loan(ask).into_iter().collect(),
             ControlRequest::GrantLoan { to, loan } => vec![ControlAction::Send {
                 to,
                 message: Message::Loan(loan),
@@ -265,7 +268,7 @@
     }
 
     /// Asks the next host to lend retry quota; each round visits all hosts in a new order.
-    fn ask_loan(
+    fn request_loan(
         &mut self,
         ask: LoanAsk,
     ) -> Option<ControlAction> {
@@ -278,7 +281,7 @@
     }
 
     /// Requests a permit for one request from the host that allocates the target's permits.
-    fn want_permit(
+    fn request_permit(
         &mut self,
         ask: PermitAsk,
         now: Instant,
@@ -320,7 +323,7 @@
         arrived_after: Instant,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut actions = self.on_host_news(&ping.sender, &ping.rumors, now);
+        let mut actions = self.on_rumors(&ping.sender, &ping.rumors, now);
         actions.extend(self.on_freshness(&ping.sender, &ping.freshness, arrived_after, now));
         actions.extend(self.on_poison_digest(from, ping.freshness.poison, now));
         if !ping.one_way {
@@ -361,7 +364,7 @@
         self.clocks.on_exchange(&exchange, now);
     }
 
-    fn on_host_news(
+    fn on_rumors(
         &mut self,
         sender: &HostRumor,
         rumors: &[HostRumor],
@@ -370,11 +373,11 @@
         let known = self.hosts.get(sender.peer.into()).cloned();
         self.hosts.on_heard(sender, now);
         let heard = self.hosts.get(sender.peer.into());
-        let matters = match (&known, heard) {
+        let is_relevant = match (&known, heard) {
             (Some(old), Some(new)) => old.holds != new.holds || old.ready != new.ready,
             _ => true,
         };
-        self.changed |= matters;
+        self.changed |= is_relevant;
         let mut actions = Vec::new();
         for rumor in rumors {
             let wanted = self.hosts.on_rumor(rumor, now);
@@ -390,11 +393,11 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let peer: SocketAddr = request.peer.into();
-        let heard_lately = self.hosts.get(peer).is_some_and(|host| {
+        let was_heard_recently = self.hosts.get(peer).is_some_and(|host| {
             let recent = |at: Instant| now.saturating_duration_since(at).as_millis() < 300;
             host.state.is_up() && host.heard.is_some_and(recent)
         });
-        if heard_lately {
+        if was_heard_recently {
             let vouch = Vouch { peer: request.peer };
             return vec![ControlAction::Send {
                 to: from,
@@ -433,14 +436,14 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut untold = Vec::new();
+        let mut newly_alive = Vec::new();
         for event in self.hosts.take_events() {
             self.changed = true;
             match event {
                 HostEvent::StateChanged { peer, name, state } => {
-                    note!(event_of(state), peer = name, address = peer);
+                    note!(state_event(state), peer = name, address = peer);
                     if state == HostState::Alive && !self.published_holdings.is_empty() {
-                        untold.push(peer);
+                        newly_alive.push(peer);
                     }
                     if state == HostState::Dead {
                         for allocator in self.allocators.values_mut() {
@@ -453,11 +456,11 @@
                 }
             }
         }
-        self.notify_hosts(untold, now)
+        self.notify_hosts(newly_alive, now)
     }
 }
 
-fn event_of(state: HostState) -> Event {
+fn state_event(state: HostState) -> Event {
     match state {
         HostState::Alive => Event::PeerAlive,
         HostState::Leaving => Event::PeerLeaving,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -109,7 +109,7 @@
     /// The view that requests use.
     published: Arc<FleetView>,
     /// Seeds that know no ready host.
-    pub(super) empty_seeds: BTreeSet<SocketAddr>,
+    pub(super) seeds_without_ready_hosts: BTreeSet<SocketAddr>,
     /// Engines held here, as last published to all hosts.
     pub(super) published_holdings: Vec<String>,
     /// Earliest time at which the held engines are published again.
@@ -121,7 +121,7 @@
     next_tick: Instant,
     pub(super) started: Instant,
     /// Completed rounds of queries to the seeds.
-    pub(super) joins: usize,
+    pub(super) completed_seed_queries: usize,
     /// Hosts still to be asked in this round to lend retry quota.
     pub(super) lenders: Vec<SocketAddr>,
     /// Number of known hosts that was last published to requests.
@@ -190,7 +190,7 @@
             published_freshness: ReplicaFreshness::default(),
             next_publish: now,
             published: Arc::default(),
-            empty_seeds: BTreeSet::new(),
+            seeds_without_ready_hosts: BTreeSet::new(),
             published_holdings: Vec::new(),
             next_holdings_publish: now,
             next_load_publish: now,
@@ -198,7 +198,7 @@
             next_allocator_run: now,
             next_tick: now,
             started: now,
-            joins: 0,
+            completed_seed_queries: 0,
             lenders: Vec::new(),
             published_known_hosts: 0,
             poison: KnownPoison::default(),
@@ -323,11 +323,11 @@
             return actions;
         }
         self.next_tick = now + TICK_INTERVAL;
-        actions.extend(self.join(now));
+        actions.extend(self.query_seeds(now));
         actions.extend(self.tick_hosts(now));
         actions.extend(self.start_table_reads(now));
-        self.drop_vanished(now);
-        actions.extend(self.confirm());
+        self.remove_vanished(now);
+        actions.extend(self.take_freshness_update());
         actions.extend(self.tick_engines(now));
         actions.extend(self.tick_poison(now));
         actions.extend(self.tick_notices(now));
@@ -348,7 +348,7 @@
 
     /// Returns the replica freshness to publish if it has advanced enough. While a view is pending it
     /// returns `None`: the view holds the freshness, which must not be published before it.
-    fn confirm(&mut self) -> Option<ControlAction> {
+    fn take_freshness_update(&mut self) -> Option<ControlAction> {
         let replica_freshness = self.replica_freshness();
         if self.changed || !has_advanced(&self.published_freshness, &replica_freshness) {
             return None;
@@ -455,7 +455,7 @@
         }
     }
 
-    fn drop_vanished(
+    fn remove_vanished(
         &mut self,
         now: Instant,
     ) {
--- a/src/process/host/peer_pages.rs
+++ b/src/process/host/peer_pages.rs
@@ -56,7 +56,7 @@
     now: Instant,
 ) -> PeerAnswer {
     if path == HOSTS_PATH {
-        let hosts = control.hosts_for_host(now);
+        let hosts = control.known_host_rumors(now);
         return PeerAnswer::Page(HostsBody { hosts }.encode_to_vec());
     }
     let Some((table, since)) = asked_copy(path, query) else {
