--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -43,10 +43,10 @@
         row_changes: &RowChanges,
         now: Instant,
     ) {
-        let until = self.vanished_until(&row_changes.before, now);
+        let until = self.usable_until(&row_changes.before, now);
         if let Some(target) = self.targets.get_mut(&*row.key) {
             // A leaving target is out of use already.
-            target.vanished_until.get_or_insert(until);
+            target.usable_until.get_or_insert(until);
             note!(
                 Event::TargetVanished,
                 target = row.key,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -438,7 +438,7 @@
     /// The entry may have vanished right after that replica was confirmed, so the drain bound counts from
     /// there. During a store outage entries expire because targets can't renew them; after it, the time
     /// counts from `now`. A failed read counts as an outage only if the replica is older than the bound.
-    pub(super) fn vanished_until(
+    pub(super) fn usable_until(
         &self,
         before: &TableFreshness,
         now: Instant,
@@ -462,7 +462,7 @@
         let gone: Vec<String> = self
             .targets
             .iter()
-            .filter(|(_, target)| target.vanished_until.is_some_and(|until| now >= until))
+            .filter(|(_, target)| target.usable_until.is_some_and(|until| now >= until))
             .map(|(id, _)| id.clone())
             .collect();
         for id in gone {
@@ -488,7 +488,7 @@
             Arc::new(TargetView {
                 record: target.record.clone(),
                 holder,
-                usable_until: target.vanished_until,
+                usable_until: target.usable_until,
             })
         };
         unchanged.cloned().unwrap_or_else(changed)
@@ -529,7 +529,7 @@
 ) -> bool {
     Arc::ptr_eq(&seen.record, &target.record)
         && seen.holder == holder
-        && seen.usable_until == target.vanished_until
+        && seen.usable_until == target.usable_until
 }
 
 fn has_advanced(
--- a/src/process/host/listed_target.rs
+++ b/src/process/host/listed_target.rs
@@ -12,7 +12,7 @@
     /// The last valid entry.
     pub record: Arc<TargetRecord>,
     /// When use of the target ends, if its entry has vanished without notice.
-    pub vanished_until: Option<Instant>,
+    pub usable_until: Option<Instant>,
     /// Set if the current entry is not valid.
     pub is_entry_invalid: bool,
 }
@@ -34,7 +34,7 @@
     pub fn new(record: TargetRecord) -> Self {
         Self {
             record: Arc::new(record),
-            vanished_until: None,
+            usable_until: None,
             is_entry_invalid: false,
         }
     }
