--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -66,8 +66,8 @@
         }
         let mut actions = Vec::new();
         for rumor in &hosts {
-            let wanted = self.hosts.on_rumor(rumor, now);
-            actions.extend(self.host_actions(wanted, now));
+            let requested = self.hosts.on_rumor(rumor, now);
+            actions.extend(self.host_actions(requested, now));
         }
         actions
     }
@@ -119,8 +119,8 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let wanted = self.hosts.on_tick(now);
-        let mut actions = self.host_actions(wanted, now);
+        let requested = self.hosts.on_tick(now);
+        let mut actions = self.host_actions(requested, now);
         actions.extend(self.take_host_events(now));
         // Requests divide the extra retry quota by this number.
         let known = self.hosts.known_count();
@@ -141,7 +141,7 @@
         let mut actions = match message {
             Message::Ping(ping) => self.on_ping(from, &ping, arrived_after, now),
             Message::Ack(ack) => {
-                self.on_exchange(from, &ack, now);
+                self.update_peer_clock(from, &ack, now);
                 let mut actions = self.on_rumors(&ack.sender, &ack.rumors, now);
                 actions.extend(self.on_freshness(&ack.sender, &ack.freshness, arrived_after, now));
                 actions.extend(self.on_poison_digest(from, ack.freshness.poison, now));
@@ -270,29 +270,29 @@
     /// Asks the next host to lend retry quota; each round visits all hosts in a new order.
     fn request_loan(
         &mut self,
-        ask: LoanAsk,
+        request: LoanAsk,
     ) -> Option<ControlAction> {
         if self.lenders.is_empty() {
             self.lenders = self.hosts.pick_up(usize::MAX);
         }
         let to = self.lenders.pop()?;
-        let message = Message::LoanAsk(ask);
+        let message = Message::LoanAsk(request);
         Some(ControlAction::Send { to, message })
     }
 
     /// Requests a permit for one request from the host that allocates the target's permits.
     fn request_permit(
         &mut self,
-        ask: PermitAsk,
+        request: PermitAsk,
         now: Instant,
     ) -> Vec<ControlAction> {
         let me = self.hosts.me().peer;
-        match self.permit_host(&ask.news.target) {
+        match self.permit_host(&request.news.target) {
             Some(to) if to != me => vec![ControlAction::Send {
                 to,
-                message: Message::PermitAsk(ask),
+                message: Message::PermitAsk(request),
             }],
-            _ => self.on_permit_ask(me, &ask, now),
+            _ => self.on_permit_ask(me, &request, now),
         }
     }
 
@@ -345,7 +345,7 @@
     }
 
     /// Updates the clock estimate of a peer from its answer, if it answers a ping of this process.
-    fn on_exchange(
+    fn update_peer_clock(
         &mut self,
         from: SocketAddr,
         ack: &Ack,
@@ -380,8 +380,8 @@
         self.changed |= is_relevant;
         let mut actions = Vec::new();
         for rumor in rumors {
-            let wanted = self.hosts.on_rumor(rumor, now);
-            actions.extend(self.host_actions(wanted, now));
+            let requested = self.hosts.on_rumor(rumor, now);
+            actions.extend(self.host_actions(requested, now));
         }
         actions
     }
@@ -412,10 +412,10 @@
 
     pub(super) fn host_actions(
         &mut self,
-        wanted: Vec<HostAction>,
+        requested: Vec<HostAction>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        wanted
+        requested
             .into_iter()
             .map(|action| match action {
                 HostAction::Ping { peer } => ControlAction::Send {
