--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -48,7 +48,7 @@
     ReadHolders {
         term: u64,
     },
-    Take {
+    TakeEngines {
         engines: Vec<TakenEngine>,
         term: u64,
         transaction: Transaction,
@@ -60,40 +60,40 @@
         term: u64,
         order: Order,
     },
-    AskReport {
+    RequestReport {
         target: String,
         address: SocketAddr,
     },
     /// Publishes a new view to requests.
-    Publish(Arc<FleetView>),
+    PublishView(Arc<FleetView>),
     /// Publishes a newer freshness of the current view to requests.
-    Confirm(ReplicaFreshness),
+    PublishFreshness(ReplicaFreshness),
     /// Answers a request of this host for an adapter.
-    Place(Placement),
-    Load(EngineLoad),
-    Stand(EngineStanding),
-    Borrow(Loan),
-    Charged(ChargeAnswer),
-    PlaceGiven(PlaceGiven),
-    Permit(PermitAnswer),
+    DeliverPlacement(Placement),
+    DeliverLoad(EngineLoad),
+    DeliverEngineStatus(EngineStanding),
+    DeliverLoan(Loan),
+    DeliverChargeAnswer(ChargeAnswer),
+    DeliverSlotResponse(PlaceGiven),
+    DeliverPermitAnswer(PermitAnswer),
     /// Publishes notices of a target, learnt from another host, to requests.
-    TargetNews {
+    DeliverNotices {
         target: String,
         notices: TargetNotices,
     },
     /// Publishes the poison status of a request; `None` if it is under no suspicion.
-    Stands {
+    SetPoisonStatus {
         fingerprint: Fingerprint,
         standing: Option<PoisonStatus>,
     },
     /// Reads the stored requests that crash targets.
     ReadPoison,
     /// Writes what is known of such requests to the store.
-    KeepPoison {
+    WritePoison {
         writes: Vec<RowWrite>,
     },
     /// Passes on another host's request to borrow retry quota.
-    Lend {
+    LendQuota {
         to: SocketAddr,
         ask: LoanAsk,
     },
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -271,7 +271,7 @@
         &self,
         target: &str,
     ) -> Option<ControlAction> {
-        Some(ControlAction::AskReport {
+        Some(ControlAction::RequestReport {
             target: target.to_string(),
             address: self.targets.get(target)?.record.address,
         })
--- a/src/process/host/control_event.rs
+++ b/src/process/host/control_event.rs
@@ -68,7 +68,7 @@
         rows: Option<RowBatch>,
     },
     /// A takeover of engines ended; `None` if its outcome is unknown.
-    Taken {
+    EnginesTaken {
         engines: Vec<TakenEngine>,
         term: u64,
         commit: Option<Commit>,
@@ -78,10 +78,10 @@
         reply: Option<OrderReply>,
     },
     /// An order was not sent because the lease had expired.
-    OrderWithheld {
+    OrderCancelled {
         target: String,
     },
-    Reported {
+    ReportReceived {
         target: String,
         report: Option<TargetReport>,
     },
@@ -107,9 +107,9 @@
             | Self::HoldersRead { .. }
             | Self::PoisonRead { .. } => "store",
             Self::ChangesPulled { .. } | Self::HostsPulled { .. } => "pull",
-            Self::Renewed { .. } | Self::Taken { .. } => "lease",
-            Self::OrderEnded { .. } | Self::OrderWithheld { .. } => "order",
-            Self::Reported { .. } => "report",
+            Self::Renewed { .. } | Self::EnginesTaken { .. } => "lease",
+            Self::OrderEnded { .. } | Self::OrderCancelled { .. } => "order",
+            Self::ReportReceived { .. } => "report",
             Self::SettingsRead(_) | Self::Stop => "process",
         }
     }
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -210,7 +210,7 @@
                 AssignmentAction::Take {
                     engines,
                     transaction,
-                } => ControlAction::Take {
+                } => ControlAction::TakeEngines {
                     engines,
                     term,
                     transaction,
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -100,7 +100,7 @@
                 now.saturating_duration_since(limit.reported_at).as_millis()
             }),
         );
-        let mut actions = vec![ControlAction::TargetNews {
+        let mut actions = vec![ControlAction::DeliverNotices {
             target: news.target.clone(),
             notices,
         }];
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -159,24 +159,24 @@
                 }
                 Vec::new()
             }
-            Message::Placement(placement) => vec![ControlAction::Place(placement)],
-            Message::EngineLoad(load) => vec![ControlAction::Load(load)],
+            Message::Placement(placement) => vec![ControlAction::DeliverPlacement(placement)],
+            Message::EngineLoad(load) => vec![ControlAction::DeliverLoad(load)],
             Message::EngineQuery(query) => self.on_query(from, &query, now).into_iter().collect(),
-            Message::EngineStanding(standing) => vec![ControlAction::Stand(standing)],
-            Message::LoanAsk(ask) => vec![ControlAction::Lend { to: from, ask }],
-            Message::Loan(loan) => vec![ControlAction::Borrow(loan)],
+            Message::EngineStanding(standing) => vec![ControlAction::DeliverEngineStatus(standing)],
+            Message::LoanAsk(ask) => vec![ControlAction::LendQuota { to: from, ask }],
+            Message::Loan(loan) => vec![ControlAction::DeliverLoan(loan)],
             Message::PoisonNews(news) => self.on_poison_news(&news, now),
             Message::ChargeAsk(ask) => vec![self.on_charge_ask(from, &ask, now)],
             Message::PlaceWanted(wanted) => vec![self.on_slot_request(from, &wanted, now)],
-            Message::PlaceGiven(given) => vec![ControlAction::PlaceGiven(given)],
+            Message::PlaceGiven(given) => vec![ControlAction::DeliverSlotResponse(given)],
             Message::TargetNews(news) => self.on_target_news(&news, now),
             Message::PermitAsk(ask) => self.on_permit_ask(from, &ask, now),
-            Message::PermitAnswer(answer) => vec![ControlAction::Permit(answer)],
+            Message::PermitAnswer(answer) => vec![ControlAction::DeliverPermitAnswer(answer)],
             Message::PlaceEnded(ended) => {
                 self.on_slot_release(&ended);
                 Vec::new()
             }
-            Message::ChargeAnswer(answer) => vec![ControlAction::Charged(answer)],
+            Message::ChargeAnswer(answer) => vec![ControlAction::DeliverChargeAnswer(answer)],
             Message::ChargeRefund(refund) => {
                 self.on_charge_refund(&refund, now);
                 Vec::new()
@@ -306,12 +306,12 @@
             return ControlAction::Send { to, message };
         }
         match message {
-            Message::Placement(placement) => ControlAction::Place(placement),
-            Message::EngineLoad(load) => ControlAction::Load(load),
-            Message::EngineStanding(standing) => ControlAction::Stand(standing),
-            Message::ChargeAnswer(answer) => ControlAction::Charged(answer),
-            Message::PlaceGiven(given) => ControlAction::PlaceGiven(given),
-            Message::PermitAnswer(answer) => ControlAction::Permit(answer),
+            Message::Placement(placement) => ControlAction::DeliverPlacement(placement),
+            Message::EngineLoad(load) => ControlAction::DeliverLoad(load),
+            Message::EngineStanding(standing) => ControlAction::DeliverEngineStatus(standing),
+            Message::ChargeAnswer(answer) => ControlAction::DeliverChargeAnswer(answer),
+            Message::PlaceGiven(given) => ControlAction::DeliverSlotResponse(given),
+            Message::PermitAnswer(answer) => ControlAction::DeliverPermitAnswer(answer),
             message => ControlAction::Send { to, message },
         }
     }
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -184,7 +184,7 @@
             matters.then(|| row_of(&told))
         });
         let writes: Vec<_> = kept.collect();
-        (!writes.is_empty()).then_some(ControlAction::KeepPoison { writes })
+        (!writes.is_empty()).then_some(ControlAction::WritePoison { writes })
     }
 
     /// Looks at what is due: the first read of the store, and records that are old.
@@ -262,7 +262,7 @@
         }
         let mut actions = self.note_standings(&changed, "store");
         if !old.is_empty() {
-            actions.push(ControlAction::KeepPoison { writes: old });
+            actions.push(ControlAction::WritePoison { writes: old });
         }
         actions
     }
@@ -284,7 +284,7 @@
                 targets_ended = record.map_or(0, |record| record.crash_count()),
                 source = source,
             );
-            actions.push(ControlAction::Stands {
+            actions.push(ControlAction::SetPoisonStatus {
                 fingerprint: *fingerprint,
                 standing,
             });
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -154,7 +154,7 @@
             ControlAction::PullHosts { from } => self.copies.pull_hosts(from),
             ControlAction::Renew { transaction } => self.renew(transaction),
             ControlAction::ReadHolders { term } => self.read_holders(term),
-            ControlAction::Take {
+            ControlAction::TakeEngines {
                 engines,
                 term,
                 transaction,
@@ -165,26 +165,32 @@
                 term,
                 order,
             } => self.order(target, address, term, order),
-            ControlAction::AskReport { target, address } => self.ask_report(target, address),
-            ControlAction::Publish(view) => self.tell_traffic(TrafficInput::View(view)),
-            ControlAction::Confirm(confirmation) => {
+            ControlAction::RequestReport { target, address } => self.ask_report(target, address),
+            ControlAction::PublishView(view) => self.tell_traffic(TrafficInput::View(view)),
+            ControlAction::PublishFreshness(confirmation) => {
                 self.tell_traffic(TrafficInput::Confirmed(confirmation));
             }
-            ControlAction::Place(placement) => {
+            ControlAction::DeliverPlacement(placement) => {
                 self.tell_traffic(TrafficInput::Placement(placement));
             }
-            ControlAction::Load(load) => self.tell_traffic(TrafficInput::Load(load)),
-            ControlAction::Stand(standing) => {
+            ControlAction::DeliverLoad(load) => self.tell_traffic(TrafficInput::Load(load)),
+            ControlAction::DeliverEngineStatus(standing) => {
                 self.tell_traffic(TrafficInput::Standing(standing));
             }
-            ControlAction::PlaceGiven(given) => self.tell_traffic(TrafficInput::PlaceGiven(given)),
-            ControlAction::Permit(answer) => self.tell_traffic(TrafficInput::Permit(answer)),
-            ControlAction::TargetNews { target, notices } => {
+            ControlAction::DeliverSlotResponse(given) => {
+                self.tell_traffic(TrafficInput::PlaceGiven(given))
+            }
+            ControlAction::DeliverPermitAnswer(answer) => {
+                self.tell_traffic(TrafficInput::Permit(answer))
+            }
+            ControlAction::DeliverNotices { target, notices } => {
                 self.tell_traffic(TrafficInput::TargetNews { target, notices });
             }
-            ControlAction::Charged(answer) => self.tell_traffic(TrafficInput::Charged(answer)),
-            ControlAction::Borrow(loan) => self.tell_traffic(TrafficInput::Borrowed(loan)),
-            ControlAction::Stands {
+            ControlAction::DeliverChargeAnswer(answer) => {
+                self.tell_traffic(TrafficInput::Charged(answer))
+            }
+            ControlAction::DeliverLoan(loan) => self.tell_traffic(TrafficInput::Borrowed(loan)),
+            ControlAction::SetPoisonStatus {
                 fingerprint,
                 standing,
             } => self.tell_traffic(TrafficInput::Stands {
@@ -192,8 +198,8 @@
                 standing,
             }),
             ControlAction::ReadPoison => self.read_poison(),
-            ControlAction::KeepPoison { writes } => self.keep_poison(writes),
-            ControlAction::Lend { to, ask } => {
+            ControlAction::WritePoison { writes } => self.keep_poison(writes),
+            ControlAction::LendQuota { to, ask } => {
                 self.tell_traffic(TrafficInput::LoanAsked { to, ask });
             }
         }
@@ -274,7 +280,7 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         spawn_local(async move {
             let commit = committed(store.commit(&transaction).await);
-            let _ = events.send(ControlEvent::Taken {
+            let _ = events.send(ControlEvent::EnginesTaken {
                 engines,
                 term,
                 commit,
@@ -300,7 +306,7 @@
             let call = formats.order_call(&order);
             // The last moment before the order leaves.
             if !lease.holds_in(term, Instant::now() + LEASE_MARGIN) {
-                let _ = events.send(ControlEvent::OrderWithheld { target });
+                let _ = events.send(ControlEvent::OrderCancelled { target });
                 return;
             }
             let limit = CallLimit::whole(ORDER_LIMIT);
@@ -333,7 +339,7 @@
             let reply = calls.call(address, &call, &expect, limit).await;
             let report = reply.ok();
             let report = report.and_then(|reply| formats.report_reply(&reply).ok());
-            let _ = events.send(ControlEvent::Reported { target, report });
+            let _ = events.send(ControlEvent::ReportReceived { target, report });
         });
     }
 }
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -279,7 +279,7 @@
             ControlEvent::HostsPulled { from, hosts } => self.on_hosts_pulled(from, hosts, now),
             ControlEvent::Renewed { sent, commit } => self.on_renewed(sent, commit, now),
             ControlEvent::HoldersRead { term, rows } => self.on_holders_read(term, rows, now),
-            ControlEvent::Taken {
+            ControlEvent::EnginesTaken {
                 engines,
                 term,
                 commit,
@@ -288,13 +288,13 @@
                 Vec::new()
             }
             ControlEvent::OrderEnded { target, reply } => self.on_order_ended(&target, reply, now),
-            ControlEvent::OrderWithheld { target } => {
+            ControlEvent::OrderCancelled { target } => {
                 if let Some(allocator) = self.allocators.get_mut(&target) {
                     allocator.on_order_cancelled();
                 }
                 Vec::new()
             }
-            ControlEvent::Reported { target, report } => {
+            ControlEvent::ReportReceived { target, report } => {
                 self.at_desk(&target, now, |allocator| allocator.on_report(report, now))
             }
             ControlEvent::PoisonRead { rows } => self.on_poison_read(rows, now),
@@ -307,7 +307,7 @@
             self.next_publish = now + PUBLISH_INTERVAL + PUBLISH_INTERVAL_PER_TARGET * targets;
             self.published_freshness = self.replica_freshness();
             self.published = Arc::new(self.view(now));
-            actions.push(ControlAction::Publish(self.published.clone()));
+            actions.push(ControlAction::PublishView(self.published.clone()));
         }
         actions
     }
@@ -354,7 +354,7 @@
             return None;
         }
         self.published_freshness = replica_freshness;
-        Some(ControlAction::Confirm(replica_freshness))
+        Some(ControlAction::PublishFreshness(replica_freshness))
     }
 
     fn on_stop(
