--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -42,12 +42,15 @@
     PullHosts {
         from: SocketAddr,
     },
+    /// Renews this host's lease.
     Renew {
         transaction: Transaction,
     },
+    /// Reads the table of engine holders in this lease term.
     ReadHolders {
         term: u64,
     },
+    /// Records this host as the holder of engines.
     TakeEngines {
         engines: Vec<TakenEngine>,
         term: u64,
@@ -60,6 +63,7 @@
         term: u64,
         order: Order,
     },
+    /// Requests a report of its loaded adapters and orders from an engine.
     RequestReport {
         target: String,
         address: SocketAddr,
@@ -68,20 +72,26 @@
     PublishView(Arc<FleetView>),
     /// Publishes a newer freshness of the current view to requests.
     PublishFreshness(ReplicaFreshness),
-    /// Answers a request of this host for an adapter.
+    /// Delivers where an adapter was placed to this host's own requests.
     DeliverPlacement(Placement),
+    /// Delivers the load of an engine to this host's own requests.
     DeliverLoad(EngineLoad),
+    /// Delivers the answer to an engine query to this host's own requests.
     DeliverEngineStatus(EngineStanding),
+    /// Delivers borrowed retry quota.
     DeliverLoan(Loan),
+    /// Delivers the answer to a charge on a customer's quota.
     DeliverChargeAnswer(ChargeAnswer),
+    /// Delivers the answer to a request for a concurrency slot.
     DeliverSlotResponse(PlaceGiven),
+    /// Delivers the answer to a request for a permit.
     DeliverPermitAnswer(PermitAnswer),
-    /// Publishes notices of a target, learnt from another host, to requests.
+    /// Delivers notices of a target that another host received.
     DeliverNotices {
         target: String,
         notices: TargetNotices,
     },
-    /// Publishes the poison status of a request; `None` if it is under no suspicion.
+    /// Sets the poison status of a request; `None` clears it.
     SetPoisonStatus {
         fingerprint: Fingerprint,
         standing: Option<PoisonStatus>,
@@ -92,7 +102,7 @@
     WritePoison {
         writes: Vec<RowWrite>,
     },
-    /// Passes on another host's request to borrow retry quota.
+    /// Answers another host's request to borrow retry quota.
     LendQuota {
         to: SocketAddr,
         ask: LoanAsk,
