--- a/src/process/host/listed_target.rs
+++ b/src/process/host/listed_target.rs
@@ -49,8 +49,10 @@
     ) -> EntryOrder {
         match (self.record.started, record.started) {
             (Some(_), None) => EntryOrder::MissingIncarnation,
-            (Some(known), Some(told)) if told < known => EntryOrder::Stale,
-            (Some(known), Some(told)) if told > known => EntryOrder::Restarted { before: known },
+            (Some(known), Some(reported)) if reported < known => EntryOrder::Stale,
+            (Some(known), Some(reported)) if reported > known => {
+                EntryOrder::Restarted { before: known }
+            }
             (Some(_), Some(_)) if self.is_leaving() && record.state == TargetState::Ready => {
                 EntryOrder::Stale
             }
