--- a/src/process/host/control_event.rs
+++ b/src/process/host/control_event.rs
@@ -37,13 +37,13 @@
     /// A read of a table's changes ended; `None` if it failed.
     ChangesRead {
         table: TableName,
-        asked: Instant,
+        requested_at: Instant,
         reply: Option<RowsReply>,
     },
     /// A read of a complete table ended; `None` if it failed.
     TableRead {
         table: TableName,
-        asked: Instant,
+        requested_at: Instant,
         rows: Option<RowBatch>,
     },
     /// A pull of changes from another host's replica ended; `None` if it failed.
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -73,7 +73,7 @@
     pub(super) fn on_changes_read(
         &mut self,
         table: TableName,
-        asked: Instant,
+        requested_at: Instant,
         reply: Option<RowsReply>,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -91,7 +91,7 @@
         let rows = self
             .table_mut(table)
             .replica
-            .apply_changes(batch, asked, fingerprint_of);
+            .apply_changes(batch, requested_at, fingerprint_of);
         let row_changes = RowChanges {
             rows: &rows,
             source: "store",
@@ -105,7 +105,7 @@
     pub(super) fn on_table_read(
         &mut self,
         table: TableName,
-        asked: Instant,
+        requested_at: Instant,
         rows: Option<RowBatch>,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -118,7 +118,7 @@
         let rows = self
             .table_mut(table)
             .replica
-            .apply_whole(rows, asked, fingerprint_of);
+            .apply_whole(rows, requested_at, fingerprint_of);
         let row_changes = RowChanges {
             rows: &rows,
             source: "store",
--- a/src/process/host/copy_reader.rs
+++ b/src/process/host/copy_reader.rs
@@ -70,7 +70,7 @@
             tell_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
             let _ = events.send(ControlEvent::ChangesRead {
                 table,
-                asked: transfer.begun(),
+                requested_at: transfer.begun(),
                 reply: reply.ok(),
             });
         });
@@ -88,7 +88,7 @@
             tell_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
             let _ = events.send(ControlEvent::TableRead {
                 table,
-                asked: transfer.begun(),
+                requested_at: transfer.begun(),
                 rows: rows.ok(),
             });
         });
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -265,12 +265,14 @@
             ControlEvent::Request(request) => self.on_request(request, now),
             ControlEvent::ChangesRead {
                 table,
-                asked,
+                requested_at,
                 reply,
-            } => self.on_changes_read(table, asked, reply, now),
-            ControlEvent::TableRead { table, asked, rows } => {
-                self.on_table_read(table, asked, rows, now)
-            }
+            } => self.on_changes_read(table, requested_at, reply, now),
+            ControlEvent::TableRead {
+                table,
+                requested_at,
+                rows,
+            } => self.on_table_read(table, requested_at, rows, now),
             ControlEvent::ChangesPulled {
                 table,
                 from,
