--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for the engines held here: their desks, and the orders to them.
+//! Control-thread handling of the engines held by this host: their allocators and the orders sent to them.
 
 use {
     super::{ControlAction, HostControl},
@@ -21,11 +21,11 @@
     std::net::SocketAddr,
 };
 
-/// Hosts up to which all are told where adapters stand and how busy engines are.
+/// Up to this number of hosts, placements and engine loads are sent to all of them.
 const MAX_ANNOUNCED: usize = MAX_BROADCAST_HOSTS;
 
 impl HostControl {
-    /// Leases, takeovers, and the desks of the engines held here.
+    /// Processes leases and takeovers, and runs the allocators of the engines held here.
     pub(super) fn tick_engines(
         &mut self,
         now: Instant,
@@ -42,7 +42,7 @@
         actions
     }
 
-    /// Lets each desk decide what has become due.
+    /// Runs each allocator's due decisions.
     pub(super) fn tick_desks(
         &mut self,
         now: Instant,
@@ -54,8 +54,8 @@
         actions
     }
 
-    /// The engines held here, those for which the most urgent adapters wait first: all share what may
-    /// be loaded at once.
+    /// Returns the engines held here, ordered by their most urgent pending load, since all share one limit of
+    /// concurrent loads.
     fn desks_by_urgency(&self) -> Vec<String> {
         let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
             .desks
@@ -69,7 +69,7 @@
             .collect()
     }
 
-    /// Lets a desk decide, and carries its decisions on.
+    /// Calls `decide` on the allocator of an engine and converts the resulting actions.
     pub(super) fn at_desk(
         &mut self,
         target: &str,
@@ -87,7 +87,7 @@
         actions
     }
 
-    /// An order was answered, or not.
+    /// Handles the reply to an order; `None` if the engine did not reply.
     pub(super) fn on_order_ended(
         &mut self,
         target: &str,
@@ -103,13 +103,13 @@
         }
         let mut actions = self.at_desk(target, now, |desk| desk.on_order_end(reply, now));
         if self.shared.limiter.borrow().has_room() {
-            // What waits at another engine may be loaded now.
+            // A load pending at another engine may start now.
             actions.extend(self.tick_desks(now));
         }
         actions
     }
 
-    /// When a desk has something to decide without being told anything.
+    /// Returns the earliest deadline of all allocators.
     pub(super) fn next_desk_due(&self) -> Option<Instant> {
         self.desks
             .values()
@@ -138,7 +138,7 @@
         vec![self.send(from, Message::Placement(placement))]
     }
 
-    /// A host asks how an engine stands; only its holder answers.
+    /// Answers a host's query for the state of an engine; `None` if this host does not hold the engine.
     pub(super) fn on_query(
         &mut self,
         from: SocketAddr,
@@ -155,7 +155,7 @@
         Some(self.send(from, Message::EngineStanding(standing)))
     }
 
-    /// The configuration may name other sizes.
+    /// Applies the engine sizes of the current configuration.
     pub(super) fn set_engine_specs(
         &mut self,
         _now: Instant,
@@ -174,8 +174,7 @@
         }
     }
 
-    /// Tells the hosts that use an engine how busy it is, if that has changed; on a large site they ask
-    /// instead.
+    /// Sends changed engine loads to the hosts that use the engine; on a large site, hosts query them instead.
     pub(super) fn tell_loads(
         &mut self,
         now: Instant,
@@ -248,7 +247,7 @@
         }
     }
 
-    /// Tells every host of a small site, and the interested ones of a large one.
+    /// Sends a placement to every host of a small site, or only to the interested hosts of a large one.
     fn announce(
         &self,
         interested_hosts: &[SocketAddr],
@@ -309,7 +308,7 @@
     }
 }
 
-/// How busy an engine is, as one host is told.
+/// Returns the load of an engine without the share of the receiving host.
 fn load_for(
     target: &str,
     desk: &EngineAllocator,
@@ -324,7 +323,7 @@
     }
 }
 
-/// An order that changes something gets a line; looks do not.
+/// Logs an order unless it is a probe.
 fn tell_order(
     target: &str,
     order: &PlannedOrder,
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -1,5 +1,4 @@
-//! The control thread's part for who gives orders to which engine: leases, takeovers, and the news of
-//! them.
+//! Control-thread handling of engine assignment: leases, takeovers and their publication.
 
 use {
     super::{ControlAction, HostControl, control_tables::quoted},
@@ -23,26 +22,25 @@
     },
 };
 
-/// Hosts know one another when none has become known for so long.
+/// Host discovery counts as complete once no new host has been seen for this long.
 const SETTLED: Duration = Duration::from_millis(400);
 
-/// The same for a host that has just started. When a whole site starts, hosts become known in steps with
-/// pauses of some 0.4 s between them: of 195 hosts 119 drew themselves from the few that they knew by
-/// then and took leases, where 12 are needed; each costs the store some four calls.
+/// Replaces `SETTLED` shortly after the start: while a site starts, discovery proceeds in bursts, and a host that
+/// knows only a few others would take over engines needlessly.
 const FIRST_SETTLED: Duration = Duration::from_millis(1_200);
 
-/// A host that has just started looks up what it held before once none has become known for so long.
+/// A starting host looks up its earlier assignments once no new host has been seen for this long.
 const NEARLY_SETTLED: Duration = Duration::from_millis(100);
 
-/// Time between two tellings of the engines held here, at the least.
+/// Minimum time between two publications of the engines held here.
 const HOLDS_PAUSE: Duration = Duration::from_millis(100);
 
-/// A process counts as just started for so long.
+/// Time after its start during which a process counts as starting.
 const STARTING: Duration = Duration::from_secs(3);
 
 impl HostControl {
-    /// Tells all hosts at once when this one holds other engines than before: rumors take seconds on
-    /// a large site, and requests wait for the holders.
+    /// Sends the engines held here to all hosts when they change, since rumors take seconds on a large site and
+    /// requests wait for the holder.
     pub(super) fn tell_holds(
         &mut self,
         now: Instant,
@@ -87,7 +85,7 @@
             return Vec::new();
         }
         note!(Event::SessionOpened, term = new_term);
-        // Requests wait for the engines' holders: nothing is left to the next look at everything.
+        // Requests wait for the engines' holders, so don't wait for the next tick.
         self.tick_engines(now)
     }
 
@@ -151,7 +149,7 @@
         self.changed = true;
     }
 
-    /// The hosts that give orders to engines, as far as they answer, by engine.
+    /// Returns the reachable holder of each engine.
     pub(super) fn holders(
         &self,
         now: Instant,
@@ -164,7 +162,7 @@
         let me = self.hosts.me().peer;
         let mine = self.holding.held(now);
         let mine = mine.map(|(target, _)| (target.as_str(), me));
-        // What this host knows of itself outweighs what others say.
+        // This host's own assignments take precedence over the other hosts' claims.
         told.chain(mine).collect()
     }
 
@@ -182,7 +180,7 @@
         let may_take = self.hosts.is_settled(NEARLY_SETTLED, now)
             && is_starting
             && drawn.contains(&self.hosts.me().peer);
-        // Nobody takes anything before the hosts have got to know one another.
+        // No takeovers before host discovery has completed.
         let takers = match self.hosts.is_settled(settled, now) {
             true => drawn,
             false => Arc::default(),
@@ -217,10 +215,9 @@
             .collect()
     }
 
-    /// The engines there are, and the slots of customers' use where any is limited, with the key by which they are shared
-    /// out. They are put together anew only
-    /// when targets or the configuration have changed: it is looked at twenty times a second, and at 3,000
-    /// engines each time cost 1.5 ms, a quarter of what a small host's processor gives.
+    /// Returns all engines, and all quota shards if any customer is limited, with their assignment keys.
+    ///
+    /// Cached until targets or the configuration change, since every tick reads it.
     pub(super) fn engine_keys(&mut self) -> Arc<BTreeMap<String, String>> {
         if let Some(engines) = &self.engines {
             return engines.clone();
@@ -235,7 +232,7 @@
         engines
     }
 
-    /// Opens a desk for each engine held here, and closes those of others.
+    /// Creates an allocator for each engine newly held here and removes those of engines no longer held.
     pub(super) fn open_desks(
         &mut self,
         now: Instant,
@@ -284,7 +281,7 @@
     }
 }
 
-/// A line for a row that should name an engine's holder and can't be read.
+/// Logs a holder row that can't be parsed.
 fn tell_unreadable_holder(row: &Row) {
     let value = row.value.as_deref();
     let (Some(value), Some(_)) = (value, HolderRow::target_of(&row.key)) else {
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -1,5 +1,5 @@
-//! The control thread's part for what targets say of themselves: news of it between hosts, and leave to send to those that
-//! take only so many requests a second.
+//! Control-thread handling of target notices: their distribution between hosts, and permits to send to rate-limited
+//! targets.
 
 use {
     super::{ControlAction, HostControl, listed_target::ListedTarget},
@@ -18,21 +18,21 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// News of a target is told to all so many times, since messages are lost.
+/// Number of times a notice is broadcast, since datagrams can be lost.
 const TELLINGS: u32 = 3;
 
-/// Time between two of them.
+/// Time between two broadcasts of the same notice.
 const TELLING_PAUSE: Duration = Duration::from_millis(300);
 
-/// A host that is not the one to count says so, and is not asked again for so long: by then all know the same hosts.
+/// Retry delay returned by a host that does not issue the target's permits.
 const NOT_COUNTED_PAUSE: Duration = Duration::from_millis(100);
 
-/// What targets have said of themselves, as this host knows it, and what it counts for the others.
+/// Target notices known to this host, and the permits that it issues.
 #[derive(Debug, Default)]
 pub(super) struct KnownNotices {
     book: NoticeRegistry,
     desk: PermitAllocator,
-    /// News that all hosts are still to be told of.
+    /// Notices with broadcasts left.
     untold: Vec<Telling>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl KnownNotices {
-    /// True if a target has said in an answer that it leaves; the list may say so much later, or still tell otherwise.
+    /// Returns true if a response of the target announced that it is leaving; its list entry may lag behind.
     pub fn says_leaving(
         &self,
         id: &str,
@@ -56,7 +56,7 @@
 }
 
 impl HostControl {
-    /// An answer to a request of this host says something new of its target.
+    /// Handles notices from a response to a request of this host.
     pub(super) fn on_notice_heard(
         &mut self,
         target: &str,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Another host tells of a target.
+    /// Merges a target's notices received from another host.
     pub(super) fn on_target_news(
         &mut self,
         news: &TargetNews,
@@ -104,14 +104,14 @@
             target: news.target.clone(),
             notices,
         }];
-        // Whoever hears of a target tells the host that counts for it, and that one all others.
+        // Hosts report notices to the target's permit host, which broadcasts them.
         if self.permit_host(&news.target) == Some(self.hosts.me().peer) {
             actions.extend(self.tell_notices(&news.target, &notices, now));
         }
         actions
     }
 
-    /// A host asks for leave to send one request to a target.
+    /// Answers a host's request for a permit to send one request to a target.
     pub(super) fn on_permit_ask(
         &mut self,
         from: SocketAddr,
@@ -149,12 +149,12 @@
         let limit = known.and_then(|known| known.limit);
         match limit.and_then(|limit| limit.rate_at(now)) {
             Some(rate) => self.notices.desk.request(&news.target, start, rate, now),
-            // The limit is over; whoever asks has not heard of it.
+            // The limit has ended, and the requesting host does not know it yet.
             None => Ok(()),
         }
     }
 
-    /// Where this host asks for leave to send to a target.
+    /// Returns the host that issues permits for a target.
     pub(super) fn permit_host(
         &self,
         target: &str,
@@ -176,14 +176,14 @@
             return false;
         }
         if notices.leaving {
-            // It is no longer seen by requests, and gets no orders.
+            // A leaving target is removed from the published view and from the assignable engines.
             self.changed = true;
             self.engines = None;
         }
         true
     }
 
-    /// Tells all hosts of a target, a few times.
+    /// Broadcasts a target's notices to all hosts, `TELLINGS` times.
     fn tell_notices(
         &mut self,
         target: &str,
@@ -201,7 +201,7 @@
         self.tick_notices(now)
     }
 
-    /// Tells what is due to be told.
+    /// Sends the broadcasts that are due.
     pub(super) fn tick_notices(
         &mut self,
         now: Instant,
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -1,5 +1,5 @@
-//! The control thread's part for requests that end targets: it joins what this host's requests, other hosts and the store
-//! tell, and hands on what is news.
+//! Control-thread handling of poison requests (requests that crash targets): merges reports of this host's requests, of
+//! other hosts and of the store, and distributes the changes.
 
 use {
     super::{
@@ -23,48 +23,47 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Records in one datagram: with 8 strikes and 32 cleared ends each, 0.4 kB, it stays below the size of a packet.
+/// Maximum number of records in one datagram; a record takes up to 0.4 kB, and a datagram must fit into a packet.
 const PAGE: usize = 3;
 
-/// Datagrams with records for a host that knows others than this one, at each exchange with it.
+/// Maximum number of datagrams sent to a host whose digest differs.
 const PAGES: usize = 10;
 
-/// A process reads what the store keeps so long after its start, unless another host has told it by then: the
-/// seeds have answered by then.
+/// Minimum time from start to the first read of the store; skipped if another host has sent its records by then.
 const FIRST_READ: Duration = Duration::from_millis(300);
 
-/// The first reads of hosts that start together are spread over this time for each host known, so that most hear from
-/// another one first. 300 hosts take 2.7 s, less than the time within which they must know.
+/// Jitter of the first read for each known host: of hosts that start together, most get the records from another host
+/// first.
 const READ_SPREAD: Duration = Duration::from_millis(9);
 
-/// Pause before the store is asked again after a failed read.
+/// Delay before a failed read of the store is retried.
 const READ_PAUSE: Duration = Duration::from_secs(2);
 
-/// Pause between two looks for records that are old.
+/// Time between two evictions of expired records.
 const DROP_PERIOD: Duration = Duration::from_secs(5);
 
-/// A request is kept in the store from so many strikes on: with fewer, a loss of all hosts costs one target at most.
+/// Minimum number of crashes for which a request is stored; with fewer, losing the record costs at most one target.
 const KEPT_STRIKES: usize = 2;
 
-/// What this host knows of requests that end targets, and how it came to it.
+/// Poison records known to this host, and the state of their synchronization.
 #[derive(Debug, Default)]
 pub(super) struct KnownPoison {
     pub ledger: PoisonLedger,
-    /// What the store or another host knows is known here, too.
+    /// True once the records of the store or of a synchronized host have been merged.
     pub is_known: bool,
     next_read: Option<Instant>,
     next_drop: Option<Instant>,
-    /// The last record told to a host that knows others.
+    /// The last record sent to a host whose digest differed; the next page starts after it.
     told: Option<Fingerprint>,
 }
 
 impl HostControl {
-    /// What this host is known by to know, once it knows what others do.
+    /// Returns the digest of the known records; `None` until they have been synchronized.
     pub(super) fn poison_digest(&self) -> Option<u64> {
         self.poison.is_known.then(|| self.poison.ledger.digest())
     }
 
-    /// A need of this host's own requests, or of an operator.
+    /// Handles a report from this host's requests or from an operator.
     pub fn on_poison_report(
         &mut self,
         report: PoisonReport,
@@ -103,7 +102,7 @@
         changed
     }
 
-    /// Another host tells what it knows.
+    /// Merges the records sent by another host.
     pub(super) fn on_poison_news(
         &mut self,
         news: &PoisonNews,
@@ -129,14 +128,14 @@
         changed
     }
 
-    /// Another host has told by a digest what it knows: it gets what this host knows if that differs.
+    /// Sends a page of records to a host whose digest differs from this host's.
     pub(super) fn on_poison_digest(
         &mut self,
         from: SocketAddr,
         digest: Option<u64>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        // Whoever knows all tells this host, too, as soon as it sees its digest.
+        // A synchronized host sends its records in turn when it sees this host's digest.
         self.poison.is_known |= digest.is_some();
         if digest == Some(self.poison.ledger.digest()) || self.poison.ledger.is_empty() {
             return Vec::new();
@@ -148,7 +147,7 @@
         news.map(send).collect()
     }
 
-    /// Tells all hosts at once: news on the way by digests alone would cost a target for each step.
+    /// Sends changed records to all hosts at once: spread by digests alone, they could cost a target at each hop.
     fn tell_all_poison(
         &mut self,
         changed: &[Fingerprint],
@@ -171,7 +170,7 @@
         actions
     }
 
-    /// Keeps in the store what must outlive all hosts.
+    /// Stores the records that must survive the loss of all hosts.
     fn keep(
         &self,
         changed: &[Fingerprint],
@@ -187,7 +186,7 @@
         (!writes.is_empty()).then_some(ControlAction::KeepPoison { writes })
     }
 
-    /// Looks at what is due: the first read of the store, and records that are old.
+    /// Evicts expired records and triggers the first read of the store when due.
     pub(super) fn tick_poison(
         &mut self,
         now: Instant,
@@ -202,11 +201,11 @@
             return actions;
         }
         if self.settings.first_start {
-            // The store keeps nothing yet.
+            // The store is still empty.
             self.poison.is_known = true;
             return actions;
         }
-        // How many hosts there are becomes clear in the first moments.
+        // The jitter depends on the number of hosts, which discovery has to find first.
         if now < self.started + FIRST_READ {
             return actions;
         }
@@ -222,13 +221,13 @@
         actions
     }
 
-    /// Drawn by chance, the longer the more hosts there are.
+    /// Returns a random delay whose maximum grows with the number of known hosts.
     fn read_delay(&self) -> Duration {
         let hosts = u32::try_from(self.hosts.known_count()).unwrap_or(u32::MAX);
         rand::rng().random_range(Duration::ZERO..READ_SPREAD * hosts.max(1))
     }
 
-    /// The store's rows were read, or could not be.
+    /// Merges the rows read from the store; `None` if the read failed.
     pub(super) fn on_poison_read(
         &mut self,
         rows: Option<RowBatch>,
@@ -267,7 +266,7 @@
         actions
     }
 
-    /// Writes down how requests stand now, and tells this host's requests.
+    /// Logs the current status of changed requests and publishes it to this host's traffic thread.
     fn note_standings(
         &self,
         changed: &[Fingerprint],
@@ -327,7 +326,7 @@
     }
 }
 
-/// What an entry tells; `None` if it names no request.
+/// Converts an entry from its wire format; `None` if its fingerprint is invalid.
 fn told_of(entry: &PoisonEntry) -> Option<PoisonUpdate> {
     let strike = |strike: &PoisonStrike| CrashEvidence {
         end: CrashId::from_number(strike.end),
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for customers' use: the parts of it that are counted here, and the answers to those who ask.
+//! Control-thread handling of customer quotas: the ledgers of the shards held by this host, and the replies to charges.
 
 use {
     super::{ControlAction, HostControl},
@@ -17,15 +17,15 @@
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
 
-/// A part of customers' use that this host counts.
+/// The ledger of a quota shard held by this host.
 pub(super) struct HeldLedger {
-    /// Another fence means that another host may have counted meanwhile.
+    /// Fence of the assignment; if it changes, another host may have held the shard in between.
     fence: u64,
     ledger: QuotaLedger,
 }
 
 impl HostControl {
-    /// Slots in which use is counted: none where no customer has a limit.
+    /// Returns the number of quota shards, or 0 if no customer has a limit.
     pub(super) fn slot_count(&self) -> usize {
         match self.routing.customers.any_limited() {
             true => QUOTA_SHARDS,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The slots that this host holds now.
+    /// Returns the shards that this host holds.
     pub(super) fn held_slots(
         &self,
         now: Instant,
@@ -42,8 +42,8 @@
         held.filter_map(|(name, _)| shard_of_lease(name)).collect()
     }
 
-    /// Begins to count where this host has become the holder. It begins with nothing: what the holder before let be
-    /// spent is not known.
+    /// Opens a ledger for each shard newly held by this host. Ledgers start empty, as the previous holder's charges are
+    /// unknown.
     pub(super) fn open_ledgers(
         &mut self,
         now: Instant,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The hosts that hold the slots.
+    /// Returns the holder of each shard.
     pub(super) fn slot_holders(
         &self,
         holders: &HashMap<&str, SocketAddr>,
@@ -75,7 +75,7 @@
         (0..self.slot_count()).map(holder).collect()
     }
 
-    /// A host asks whether a customer may use more.
+    /// Answers a host's request to charge a customer's quota.
     pub(super) fn on_charge_ask(
         &mut self,
         from: SocketAddr,
@@ -102,7 +102,7 @@
         self.send(from, Message::ChargeAnswer(answer))
     }
 
-    /// Some of what was granted is not used.
+    /// Refunds the unused part of a charge.
     pub(super) fn on_charge_refund(
         &mut self,
         refund: &ChargeRefund,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// What is granted, or the time after which it could be; `None` if the customer's use is not counted here.
+    /// Returns the granted amount or the delay until a retry; `None` if this host does not hold the customer's shard.
     fn charge(
         &mut self,
         ask: &ChargeAsk,
@@ -131,12 +131,12 @@
         let (terms, ledger) = self.account(ask.slot, &ask.customer, now)?;
         Some(match terms {
             Some(terms) => ledger.charge(&ask.customer, &terms, charge, now),
-            // Its limit was lifted; whoever asks has not heard of it.
+            // The limit was removed, and the requesting host does not know it yet.
             None => Ok(charge.need),
         })
     }
 
-    /// The ledger of a slot that this host holds, and the terms of a customer's bucket in it, if it has a limit.
+    /// Returns the limits of a customer's bucket, if any, and the shard's ledger; `None` if the shard is not held here.
     fn account(
         &mut self,
         slot: u32,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Rounded up: who comes back sooner finds too little.
+/// Converts to milliseconds, rounded up so that a retry does not come too early.
 fn whole_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis() + 1).unwrap_or(u32::MAX)
 }
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -1,4 +1,4 @@
-//! Carries the control thread's actions out, and brings back how they ended.
+//! Executes the control thread's actions and feeds their results back as events.
 
 use {
     super::{
@@ -32,23 +32,21 @@
     tokio::task::spawn_local,
 };
 
-/// Longest time for an engine's answer to an order; engines answer within some milliseconds.
 const ORDER_LIMIT: Duration = Duration::from_millis(120);
 
-/// Longest time for an engine's report.
 const REPORT_LIMIT: Duration = Duration::from_millis(400);
 
-/// Rows that the store takes in one transaction.
+/// Maximum number of rows that the store accepts in one transaction.
 const MAX_WRITES: usize = 100;
 
-/// Tries to keep rows, and the pause between them: an outage of the store lasts seconds to a minute.
+/// Attempts to write poison rows, and the delay between them; together they outlast a store outage of a minute.
 const KEEP_TRIES: u32 = 30;
 const KEEP_PAUSE: Duration = Duration::from_secs(2);
 
-/// An order is not sent so shortly before the lease ends.
+/// Minimum remaining lease time for sending an order.
 const LEASE_MARGIN: Duration = Duration::from_millis(200);
 
-/// Runs the control thread's decisions against the world.
+/// Event loop of the control thread: passes events to [`HostControl`] and executes the resulting actions.
 pub struct ControlRunner {
     control: Rc<RefCell<HostControl>>,
     formats: Arc<dyn Formats>,
@@ -97,12 +95,12 @@
         }
     }
 
-    /// Where events go that come from elsewhere.
+    /// Returns the sender for external events.
     pub fn events(&self) -> flume::Sender<ControlEvent> {
         self.events.clone()
     }
 
-    /// Runs until the process ends.
+    /// Runs until the event or request channel is closed.
     pub async fn run(self) {
         let mut watch = WakeWatch::new(Instant::now());
         loop {
@@ -125,7 +123,7 @@
                 },
                 _ = sleep_until(wake) => {
                     if wake > looked {
-                        // What had arrived by then would have come first.
+                        // Datagrams that had arrived by then would have been received first.
                         self.socket.note_drained(looked);
                     }
                     ControlEvent::Tick
@@ -245,8 +243,8 @@
         });
     }
 
-    /// Writes rows, again and again until the store takes them or they are no longer worth it: hosts know without the store,
-    /// which only stands for a loss of all of them.
+    /// Writes poison rows to the store, retrying on failure. Giving up is safe: hosts keep the records in memory, and the
+    /// store only covers the loss of all hosts.
     fn keep_poison(
         &self,
         writes: Vec<RowWrite>,
@@ -298,7 +296,7 @@
         spawn_local(async move {
             let expect = expect_line(&formats, &target);
             let call = formats.order_call(&order);
-            // The last moment before the order leaves.
+            // The lease is checked as late as possible before sending.
             if !lease.holds_in(term, Instant::now() + LEASE_MARGIN) {
                 let _ = events.send(ControlEvent::OrderWithheld { target });
                 return;
@@ -338,7 +336,7 @@
     }
 }
 
-/// Commits rows, however often the store fails; false if it failed too often.
+/// Commits a transaction with up to `KEEP_TRIES` attempts; returns true on success.
 async fn keep_group(
     store: &StoreClient,
     transaction: &Transaction,
@@ -352,7 +350,7 @@
     false
 }
 
-/// How a transaction ended; `None` if that is not known.
+/// Returns the outcome of a transaction; `None` if it is unknown whether it was committed.
 fn committed(outcome: Result<Commit, StoreFailure>) -> Option<Commit> {
     match outcome {
         Ok(commit) => Some(commit),
@@ -361,7 +359,7 @@
     }
 }
 
-/// The header line that lets only one target answer.
+/// Returns the header line that names the only target that may answer a call.
 fn expect_line(
     formats: &Arc<dyn Formats>,
     target: &str,
--- a/src/process/host/drawn_takers.rs
+++ b/src/process/host/drawn_takers.rs
@@ -3,26 +3,25 @@
     std::{cmp::Reverse, net::SocketAddr, sync::Arc},
 };
 
-/// Hosts that take engines, at the least.
+/// Minimum number of hosts that take over engines.
 const LEAST_TAKERS: usize = 8;
 
-/// Engines for each host that takes some, on a large site.
+/// Number of engines per host that takes over engines, on a large site.
 const ENGINES_PER_TAKER: usize = 7;
 
-/// By this word hosts are drawn that take engines.
+/// Rendezvous-hash key that selects the hosts that take over engines.
 const TAKERS: &str = "takers";
 
-/// The hosts that take engines: all of a small site, and enough of a large one.
+/// Cache of the hosts that take over engines: all of a small site, a subset of a large one.
 ///
-/// They are kept until hosts or the number of engines change: drawn from 300 hosts twenty times a second,
-/// their ranks alone took 3% of what hosts used (profile of 80 hosts).
+/// Rebuilt when hosts or the number of engines change.
 #[derive(Debug, Default)]
 pub struct DrawnTakers {
     from: Option<DrawnFrom>,
     drawn: Arc<[SocketAddr]>,
 }
 
-/// What they were drawn from.
+/// Cache key: the inputs of the last selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct DrawnFrom {
     epoch: u64,
@@ -31,7 +30,7 @@
 }
 
 impl DrawnTakers {
-    /// Those for so many engines.
+    /// Returns the selected hosts for a number of engines.
     pub fn for_engines(
         &mut self,
         engines: usize,
--- a/src/process/host/ended_targets.rs
+++ b/src/process/host/ended_targets.rs
@@ -4,10 +4,10 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// A target that is gone is remembered for so long: its entry may be written seconds late.
+/// Time for which a removed target is retained; its list entry may be written seconds late.
 const MEMORY: Duration = Duration::from_secs(60);
 
-/// Targets that are no longer used. An entry that was written late must not list again what has left.
+/// Recently removed targets, retained so that a late list entry does not add them again.
 #[derive(Debug, Default)]
 pub struct EndedTargets {
     by_id: HashMap<String, EndedTarget>,
@@ -20,7 +20,7 @@
 }
 
 impl EndedTargets {
-    /// A target is no longer used.
+    /// Records a removed target and evicts expired ones.
     pub fn note(
         &mut self,
         id: String,
--- a/src/process/host/open_engines.rs
+++ b/src/process/host/open_engines.rs
@@ -6,20 +6,17 @@
     },
 };
 
-/// Engines by id, with the key by which they are shared out.
+/// Assignment keys by engine id.
 type Engines = Arc<BTreeMap<String, String>>;
 
-/// The engines that no other host claims that answers, kept until engines, hosts or their claims change.
-///
-/// They are looked at twenty times a second. Put together each time, the claims of 3,000 engines and the look at
-/// each engine took a fifth of what the busiest small hosts used (profile of 80 hosts).
+/// Cache of the engines that no other reachable host claims, rebuilt when engines, hosts or claims change.
 #[derive(Debug, Default)]
 pub struct OpenEngines {
     of: Option<Seen>,
     open: Engines,
 }
 
-/// What the engines were found among.
+/// Cache key: the inputs of the last computation.
 #[derive(Debug)]
 struct Seen {
     engines: Engines,
@@ -27,7 +24,7 @@
 }
 
 impl OpenEngines {
-    /// Those among these engines.
+    /// Returns the unclaimed ones of `engines`.
     pub fn among(
         &mut self,
         engines: &Engines,
--- a/src/process/host/poison_rows.rs
+++ b/src/process/host/poison_rows.rs
@@ -1,4 +1,4 @@
-//! Requests that end targets, as the store keeps them: what is known must outlive a loss of all hosts.
+//! Store rows of poison records, which must survive the loss of all hosts.
 
 use {
     crate::{
@@ -9,19 +9,19 @@
     std::time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// The table of these rows; a row's key is the request's fingerprint.
+/// Table of poison records, keyed by request fingerprint.
 pub(super) const POISON_TABLE: &str = "coveproxy-poison";
 
 /// The value of a row.
 #[derive(Debug, Serialize, Deserialize)]
 struct PoisonRow {
-    /// Its age is as of the time of writing.
+    /// The record, with its age at the time of writing.
     told: PoisonUpdate,
-    /// Unix second of the last strike, by the writer's time of day: ages must outlive the writer, and are of hours.
+    /// Unix time of the last crash in seconds, by the writer's wall clock.
     struck_s: u64,
 }
 
-/// The write that keeps what is known of a request.
+/// Returns the write that stores a record.
 pub(super) fn row_of(told: &PoisonUpdate) -> RowWrite {
     let row = PoisonRow {
         told: told.clone(),
@@ -29,12 +29,12 @@
     };
     RowWrite {
         row: RowKey::new(POISON_TABLE, &told.fingerprint.to_string()),
-        // Plain fields, all of which have a JSON form.
+        // Serialization can't fail: all fields have a JSON form.
         value: serde_json::to_vec(&row).ok(),
     }
 }
 
-/// The write that removes what was known of a request.
+/// Returns the write that deletes a record.
 pub(super) fn removal_of(fingerprint: &Fingerprint) -> RowWrite {
     RowWrite {
         row: RowKey::new(POISON_TABLE, &fingerprint.to_string()),
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a row tells, as old as it is by now.
+/// Parses a row's value and computes the record's current age.
 pub(super) fn poison_of(value: &[u8]) -> Result<PoisonUpdate, serde_json::Error> {
     let row: PoisonRow = serde_json::from_slice(value)?;
     Ok(PoisonUpdate {
