--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -2,8 +2,8 @@
     super::{
         ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
         control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::HeldLedger,
-        drawn_takers::DrawnTakers, ended_targets::EndedTargets, listed_target::ListedTarget,
-        open_engines::OpenEngines,
+        ended_targets::EndedTargets, listed_target::ListedTarget, open_engines::OpenEngines,
+        taker_selection::TakerSelection,
     },
     crate::{
         clock::Instant,
@@ -99,7 +99,7 @@
     pub(super) engines: Option<Arc<BTreeMap<String, String>>>,
     /// Those that no other host claims that answers.
     pub(super) open_engines: OpenEngines,
-    pub(super) takers: DrawnTakers,
+    pub(super) takers: TakerSelection,
     pub(super) routing: Arc<RoutingTable>,
     /// Of adapters that have more than one version, by `MODEL/ADAPTER`.
     pub(super) versions: Arc<HashMap<String, VersionHistory>>,
@@ -185,7 +185,7 @@
             ended_targets: EndedTargets::default(),
             engines: None,
             open_engines: OpenEngines::default(),
-            takers: DrawnTakers::default(),
+            takers: TakerSelection::default(),
             routing: Arc::default(),
             versions: Arc::default(),
             changed: true,
--- a/src/process/host/mod.rs
+++ b/src/process/host/mod.rs
@@ -17,7 +17,6 @@
 mod copy_reader;
 mod copy_server;
 mod copy_transfer;
-mod drawn_takers;
 mod ended_targets;
 mod host_control;
 mod host_process;
@@ -29,6 +28,7 @@
 mod poison_rows;
 mod public_pages;
 mod send_allowance;
+mod taker_selection;
 mod traffic;
 mod wake_watch;
 
--- a/src/process/host/drawn_takers.rs
+++ b/src/process/host/taker_selection.rs
@@ -16,7 +16,7 @@
 ///
 /// Rebuilt when hosts or the number of engines change.
 #[derive(Debug, Default)]
-pub struct DrawnTakers {
+pub struct TakerSelection {
     from: Option<DrawnFrom>,
     drawn: Arc<[SocketAddr]>,
 }
@@ -29,7 +29,7 @@
     engines: usize,
 }
 
-impl DrawnTakers {
+impl TakerSelection {
     /// Returns the selected hosts for a number of engines.
     pub fn for_engines(
         &mut self,
