--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -186,7 +186,7 @@
             false => Arc::default(),
         };
         let hosts = &self.hosts;
-        let open_engines = &mut self.open_engines;
+        let open_engines = &mut self.unclaimed_engines;
         let open = || open_engines.among(&engines, hosts);
         let lease_of = |peer| {
             hosts.get(peer).map(|host| KnownLease {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -2,8 +2,8 @@
     super::{
         ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
         control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::HeldLedger,
-        ended_targets::EndedTargets, listed_target::ListedTarget, open_engines::OpenEngines,
-        taker_selection::TakerSelection,
+        ended_targets::EndedTargets, listed_target::ListedTarget, taker_selection::TakerSelection,
+        unclaimed_engines::UnclaimedEngines,
     },
     crate::{
         clock::Instant,
@@ -98,7 +98,7 @@
     /// The engines among them; `None` once targets or the configuration have changed.
     pub(super) engines: Option<Arc<BTreeMap<String, String>>>,
     /// Those that no other host claims that answers.
-    pub(super) open_engines: OpenEngines,
+    pub(super) open_engines: UnclaimedEngines,
     pub(super) takers: TakerSelection,
     pub(super) routing: Arc<RoutingTable>,
     /// Of adapters that have more than one version, by `MODEL/ADAPTER`.
@@ -184,7 +184,7 @@
             targets: BTreeMap::new(),
             ended_targets: EndedTargets::default(),
             engines: None,
-            open_engines: OpenEngines::default(),
+            open_engines: UnclaimedEngines::default(),
             takers: TakerSelection::default(),
             routing: Arc::default(),
             versions: Arc::default(),
--- a/src/process/host/mod.rs
+++ b/src/process/host/mod.rs
@@ -22,7 +22,6 @@
 mod host_process;
 mod kept_calls;
 mod listed_target;
-mod open_engines;
 mod peer_answer;
 mod peer_pages;
 mod poison_rows;
@@ -30,6 +29,7 @@
 mod send_allowance;
 mod taker_selection;
 mod traffic;
+mod unclaimed_engines;
 mod wake_watch;
 
 pub use {
--- a/src/process/host/open_engines.rs
+++ b/src/process/host/unclaimed_engines.rs
@@ -11,7 +11,7 @@
 
 /// Cache of the engines that no other reachable host claims, rebuilt when engines, hosts or claims change.
 #[derive(Debug, Default)]
-pub struct OpenEngines {
+pub struct UnclaimedEngines {
     of: Option<Seen>,
     open: Engines,
 }
@@ -23,7 +23,7 @@
     epoch: u64,
 }
 
-impl OpenEngines {
+impl UnclaimedEngines {
     /// Returns the unclaimed ones of `engines`.
     pub fn among(
         &mut self,
