--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -187,7 +187,7 @@
         };
         let hosts = &self.hosts;
         let open_engines = &mut self.unclaimed_engines;
-        let open = || open_engines.among(&engines, hosts);
+        let engines = || open_engines.unclaimed_among(&engines, hosts);
         let lease_of = |peer| {
             hosts.get(peer).map(|host| KnownLease {
                 version: host.lease_version,
@@ -196,7 +196,7 @@
         };
         let wanted = self
             .holding
-            .decide(&engines, &takers, may_take, open, lease_of, now);
+            .decide(&engines, &takers, may_take, engines, lease_of, now);
         let term = self.holding.lease().term();
         wanted
             .into_iter()
--- a/src/process/host/unclaimed_engines.rs
+++ b/src/process/host/unclaimed_engines.rs
@@ -12,34 +12,34 @@
 /// Cache of the engines that no other reachable host claims, rebuilt when engines, hosts or claims change.
 #[derive(Debug, Default)]
 pub struct UnclaimedEngines {
-    of: Option<Seen>,
-    open: Engines,
+    cached_for: Option<CacheKey>,
+    engines: Engines,
 }
 
 /// Cache key: the inputs of the last computation.
 #[derive(Debug)]
-struct Seen {
+struct CacheKey {
     engines: Engines,
     epoch: u64,
 }
 
 impl UnclaimedEngines {
     /// Returns the unclaimed ones of `engines`.
-    pub fn among(
+    pub fn unclaimed_among(
         &mut self,
         engines: &Engines,
         hosts: &HostTable,
     ) -> Engines {
         let epoch = hosts.holds_epoch();
-        let is_same = |seen: &Seen| seen.epoch == epoch && Arc::ptr_eq(&seen.engines, engines);
-        if !self.of.as_ref().is_some_and(is_same) {
-            self.open = Arc::new(unclaimed(engines, hosts));
-            self.of = Some(Seen {
+        let is_same = |key: &CacheKey| key.epoch == epoch && Arc::ptr_eq(&key.engines, engines);
+        if !self.cached_for.as_ref().is_some_and(is_same) {
+            self.engines = Arc::new(unclaimed(engines, hosts));
+            self.cached_for = Some(CacheKey {
                 engines: engines.clone(),
                 epoch,
             });
         }
-        self.open.clone()
+        self.engines.clone()
     }
 }
 
@@ -52,9 +52,10 @@
         .flat_map(|host| &host.holds)
         .map(String::as_str)
         .collect();
-    let open = engines
+    let engines = engines
         .iter()
         .filter(|(target, _)| !claimed.contains(target.as_str()));
-    open.map(|(target, key)| (target.clone(), key.clone()))
+    engines
+        .map(|(target, key)| (target.clone(), key.clone()))
         .collect()
 }
