--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -2,8 +2,8 @@
     super::{
         ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
         control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::HeldLedger,
-        ended_targets::EndedTargets, listed_target::ListedTarget, taker_selection::TakerSelection,
-        unclaimed_engines::UnclaimedEngines,
+        listed_target::ListedTarget, removed_targets::RemovedTargets,
+        taker_selection::TakerSelection, unclaimed_engines::UnclaimedEngines,
     },
     crate::{
         clock::Instant,
@@ -94,7 +94,7 @@
     pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
     /// Targets that are no longer used, since entries of theirs may come late.
-    pub(super) ended_targets: EndedTargets,
+    pub(super) ended_targets: RemovedTargets,
     /// The engines among them; `None` once targets or the configuration have changed.
     pub(super) engines: Option<Arc<BTreeMap<String, String>>>,
     /// Those that no other host claims that answers.
@@ -182,7 +182,7 @@
             late_orders: HashMap::new(),
             shared: SharedAllocatorState::new(policy),
             targets: BTreeMap::new(),
-            ended_targets: EndedTargets::default(),
+            ended_targets: RemovedTargets::default(),
             engines: None,
             open_engines: UnclaimedEngines::default(),
             takers: TakerSelection::default(),
--- a/src/process/host/ended_targets.rs
+++ b/src/process/host/removed_targets.rs
@@ -9,7 +9,7 @@
 
 /// Recently removed targets, retained so that a late list entry does not add them again.
 #[derive(Debug, Default)]
-pub struct EndedTargets {
+pub struct RemovedTargets {
     by_id: HashMap<String, EndedTarget>,
 }
 
@@ -19,7 +19,7 @@
     at: Instant,
 }
 
-impl EndedTargets {
+impl RemovedTargets {
     /// Records a removed target and evicts expired ones.
     pub fn note(
         &mut self,
