--- a/src/process/host/removed_targets.rs
+++ b/src/process/host/removed_targets.rs
@@ -5,18 +5,18 @@
 };
 
 /// Time for which a removed target is retained; its list entry may be written seconds late.
-const MEMORY: Duration = Duration::from_secs(60);
+const RETENTION_TTL: Duration = Duration::from_secs(60);
 
 /// Recently removed targets, retained so that a late list entry does not add them again.
 #[derive(Debug, Default)]
 pub struct RemovedTargets {
-    by_id: HashMap<String, EndedTarget>,
+    by_id: HashMap<String, RemovedTarget>,
 }
 
 #[derive(Debug)]
-struct EndedTarget {
+struct RemovedTarget {
     target: ListedTarget,
-    at: Instant,
+    removed_at: Instant,
 }
 
 impl RemovedTargets {
@@ -28,14 +28,20 @@
         now: Instant,
     ) {
         self.by_id
-            .retain(|_, ended| now.saturating_duration_since(ended.at) < MEMORY);
-        self.by_id.insert(id, EndedTarget { target, at: now });
+            .retain(|_, removed| now.saturating_duration_since(removed.removed_at) < RETENTION_TTL);
+        self.by_id.insert(
+            id,
+            RemovedTarget {
+                target,
+                removed_at: now,
+            },
+        );
     }
 
     pub fn get(
         &self,
         id: &str,
     ) -> Option<&ListedTarget> {
-        self.by_id.get(id).map(|ended| &ended.target)
+        self.by_id.get(id).map(|removed| &removed.target)
     }
 }
