--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -186,8 +186,8 @@
             false => Arc::default(),
         };
         let hosts = &self.hosts;
-        let open_engines = &mut self.unclaimed_engines;
-        let engines = || open_engines.unclaimed_among(&engines, hosts);
+        let open_engines = &mut self.open_engines;
+        let unclaimed = || open_engines.unclaimed_among(&engines, hosts);
         let lease_of = |peer| {
             hosts.get(peer).map(|host| KnownLease {
                 version: host.lease_version,
@@ -196,7 +196,7 @@
         };
         let wanted = self
             .holding
-            .decide(&engines, &takers, may_take, engines, lease_of, now);
+            .decide(&engines, &takers, may_take, unclaimed, lease_of, now);
         let term = self.holding.lease().term();
         wanted
             .into_iter()
--- a/src/process/host/unclaimed_engines.rs
+++ b/src/process/host/unclaimed_engines.rs
@@ -52,10 +52,10 @@
         .flat_map(|host| &host.holds)
         .map(String::as_str)
         .collect();
-    let engines = engines
+    let unclaimed = engines
         .iter()
         .filter(|(target, _)| !claimed.contains(target.as_str()));
-    engines
+    unclaimed
         .map(|(target, key)| (target.clone(), key.clone()))
         .collect()
 }
