--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -31,32 +31,32 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = self.decide_holding(now);
-        self.open_desks(now);
+        self.sync_allocators(now);
         self.open_ledgers(now);
         let engines = self.engine_keys().len() - self.slot_count();
         let mut base_loads = self.shared.base_loads.borrow_mut();
         base_loads.set_share(self.desks.len(), engines, now);
         drop(base_loads);
         actions.extend(self.tell_holds(now));
-        actions.extend(self.tick_desks(now));
+        actions.extend(self.tick_allocators(now));
         actions
     }
 
     /// Runs each allocator's due decisions.
-    pub(super) fn tick_desks(
+    pub(super) fn tick_allocators(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        for target in self.desks_by_urgency() {
-            actions.extend(self.at_desk(&target, now, |desk| desk.on_tick(now)));
+        for target in self.allocators_by_urgency() {
+            actions.extend(self.with_allocator(&target, now, |desk| desk.on_tick(now)));
         }
         actions
     }
 
     /// Returns the engines held here, ordered by their most urgent pending load, since all share one limit of
     /// concurrent loads.
-    fn desks_by_urgency(&self) -> Vec<String> {
+    fn allocators_by_urgency(&self) -> Vec<String> {
         let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
             .desks
             .iter()
@@ -70,7 +70,7 @@
     }
 
     /// Calls `decide` on the allocator of an engine and converts the resulting actions.
-    pub(super) fn at_desk(
+    pub(super) fn with_allocator(
         &mut self,
         target: &str,
         now: Instant,
@@ -82,7 +82,7 @@
         let wanted = decide(desk);
         let mut actions = Vec::new();
         for action in wanted {
-            actions.extend(self.desk_action(target, action, now));
+            actions.extend(self.execute_allocator_action(target, action, now));
         }
         actions
     }
@@ -101,16 +101,16 @@
                 note!(Event::OrderRefused, target = target, reply = reply.word());
             }
         }
-        let mut actions = self.at_desk(target, now, |desk| desk.on_order_end(reply, now));
+        let mut actions = self.with_allocator(target, now, |desk| desk.on_order_end(reply, now));
         if self.shared.limiter.borrow().has_room() {
             // A load pending at another engine may start now.
-            actions.extend(self.tick_desks(now));
+            actions.extend(self.tick_allocators(now));
         }
         actions
     }
 
     /// Returns the earliest deadline of all allocators.
-    pub(super) fn next_desk_due(&self) -> Option<Instant> {
+    pub(super) fn next_allocator_deadline(&self) -> Option<Instant> {
         self.desks
             .values()
             .filter_map(EngineAllocator::next_deadline)
@@ -125,7 +125,7 @@
     ) -> Vec<ControlAction> {
         let may_order = self.holding.held_engine(&want.target, now).is_some();
         if may_order && self.desks.contains_key(&want.target) {
-            return self.at_desk(&want.target, now, |desk| desk.on_want(from, want, now));
+            return self.with_allocator(&want.target, now, |desk| desk.on_want(from, want, now));
         }
         let placement = Placement {
             target: want.target.clone(),
@@ -204,7 +204,7 @@
         service.is_some_and(|service| service.engine.is_some())
     }
 
-    fn desk_action(
+    fn execute_allocator_action(
         &mut self,
         target: &str,
         action: AllocatorAction,
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -233,7 +233,7 @@
     }
 
     /// Creates an allocator for each engine newly held here and removes those of engines no longer held.
-    pub(super) fn open_desks(
+    pub(super) fn sync_allocators(
         &mut self,
         now: Instant,
     ) {
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -93,7 +93,7 @@
         }
         self.list(record, source);
         let started = self.targets[&id].record.started;
-        self.at_desk(&id, now, |desk| desk.on_incarnation(started, now))
+        self.with_allocator(&id, now, |desk| desk.on_incarnation(started, now))
     }
 
     fn list(
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -242,7 +242,7 @@
     ) -> Instant {
         let tick = self.next_tick;
         // A desk that is due but may do nothing must not take the whole processor.
-        let due = self.next_desk_due().unwrap_or(tick);
+        let due = self.next_allocator_deadline().unwrap_or(tick);
         let due = due.max(self.next_desks);
         let publish = match self.changed {
             true => self.next_publish,
@@ -297,7 +297,7 @@
                 Vec::new()
             }
             ControlEvent::Reported { target, report } => {
-                self.at_desk(&target, now, |desk| desk.on_report(report, now))
+                self.with_allocator(&target, now, |desk| desk.on_report(report, now))
             }
             ControlEvent::PoisonRead { rows } => self.on_poison_read(rows, now),
             ControlEvent::SettingsRead(_) => Vec::new(),
@@ -321,7 +321,7 @@
         let mut actions = Vec::new();
         self.next_desks = now + DESK_PAUSE;
         if now < self.next_tick {
-            actions.extend(self.tick_desks(now));
+            actions.extend(self.tick_allocators(now));
             return actions;
         }
         self.next_tick = now + TICK;
