--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -49,7 +49,7 @@
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         for target in self.allocators_by_urgency() {
-            actions.extend(self.with_allocator(&target, now, |desk| desk.on_tick(now)));
+            actions.extend(self.with_allocator(&target, now, |allocator| allocator.on_tick(now)));
         }
         actions
     }
@@ -60,7 +60,7 @@
         let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
             .desks
             .iter()
-            .map(|(target, desk)| (target, desk.first_pending()))
+            .map(|(target, allocator)| (target, allocator.first_pending()))
             .collect();
         desks.sort_by_key(|(_, first)| (first.is_none(), *first));
         desks
@@ -76,10 +76,10 @@
         now: Instant,
         decide: impl FnOnce(&mut EngineAllocator) -> Vec<AllocatorAction>,
     ) -> Vec<ControlAction> {
-        let Some(desk) = self.desks.get_mut(target) else {
+        let Some(allocator) = self.desks.get_mut(target) else {
             return Vec::new();
         };
-        let wanted = decide(desk);
+        let wanted = decide(allocator);
         let mut actions = Vec::new();
         for action in wanted {
             actions.extend(self.execute_allocator_action(target, action, now));
@@ -101,7 +101,8 @@
                 note!(Event::OrderRefused, target = target, reply = reply.word());
             }
         }
-        let mut actions = self.with_allocator(target, now, |desk| desk.on_order_end(reply, now));
+        let mut actions =
+            self.with_allocator(target, now, |allocator| allocator.on_order_end(reply, now));
         if self.shared.limiter.borrow().has_room() {
             // A load pending at another engine may start now.
             actions.extend(self.tick_allocators(now));
@@ -125,7 +126,9 @@
     ) -> Vec<ControlAction> {
         let may_order = self.holding.held_engine(&want.target, now).is_some();
         if may_order && self.desks.contains_key(&want.target) {
-            return self.with_allocator(&want.target, now, |desk| desk.on_want(from, want, now));
+            return self.with_allocator(&want.target, now, |allocator| {
+                allocator.on_want(from, want, now)
+            });
         }
         let placement = Placement {
             target: want.target.clone(),
@@ -146,10 +149,10 @@
         now: Instant,
     ) -> Option<ControlAction> {
         self.holding.held_engine(&query.target, now)?;
-        let desk = self.desks.get_mut(&query.target)?;
-        let placement = desk.on_query(from, query, now);
+        let allocator = self.desks.get_mut(&query.target)?;
+        let placement = allocator.on_query(from, query, now);
         let standing = EngineStanding {
-            load: load_for(&query.target, desk, from),
+            load: load_for(&query.target, allocator, from),
             placement,
         };
         Some(self.send(from, Message::EngineStanding(standing)))
@@ -160,7 +163,7 @@
         &mut self,
         _now: Instant,
     ) {
-        for (target, desk) in &mut self.desks {
+        for (target, allocator) in &mut self.desks {
             let service = self
                 .targets
                 .get(target)
@@ -169,7 +172,7 @@
                 .and_then(|service| self.routing.service(service))
                 .and_then(|service| service.engine.clone());
             if let Some(spec) = spec {
-                desk.set_spec(spec);
+                allocator.set_spec(spec);
             }
         }
     }
@@ -184,9 +187,9 @@
             return Vec::new();
         }
         let mut news = Vec::new();
-        for (target, desk) in &self.desks {
-            for host in desk.usage().hosts() {
-                news.push((host, load_for(target, desk, host)));
+        for (target, allocator) in &self.desks {
+            for host in allocator.usage().hosts() {
+                news.push((host, load_for(target, allocator, host)));
             }
         }
         news.retain(|(host, load)| self.told_loads.should_publish(*host, load, now));
@@ -285,8 +288,8 @@
         let address = self.targets.get(target).map(|target| target.record.address);
         let held = self.holding.held_engine(target, now);
         let (Some(held), Some(address), true) = (held, address, self.is_usable(target)) else {
-            if let Some(desk) = self.desks.get_mut(target) {
-                desk.on_order_cancelled();
+            if let Some(allocator) = self.desks.get_mut(target) {
+                allocator.on_order_cancelled();
             }
             return None;
         };
@@ -311,10 +314,10 @@
 /// Returns the load of an engine without the share of the receiving host.
 fn load_for(
     target: &str,
-    desk: &EngineAllocator,
+    allocator: &EngineAllocator,
     host: SocketAddr,
 ) -> EngineLoad {
-    let others = desk.usage().excluding(host);
+    let others = allocator.usage().excluding(host);
     EngineLoad {
         target: target.to_string(),
         in_flight: others.in_flight,
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -250,9 +250,9 @@
             .collect();
         for target in lost {
             note!(Event::TargetLost, target = target);
-            if let Some(desk) = self.desks.remove(&target) {
+            if let Some(allocator) = self.desks.remove(&target) {
                 self.late_orders
-                    .insert(target.clone(), desk.into_unanswered_orders(now));
+                    .insert(target.clone(), allocator.into_unanswered_orders(now));
             }
             self.shared.remove_engine(&target);
             self.changed = true;
@@ -269,13 +269,13 @@
             let Some(spec) = service.and_then(|service| service.engine.clone()) else {
                 continue;
             };
-            let mut desk = EngineAllocator::new(&target, spec, self.shared.clone(), now);
-            desk.on_incarnation(listed.record.started, now);
-            desk.set_unanswered_orders(self.late_orders.remove(&target).unwrap_or_default());
+            let mut allocator = EngineAllocator::new(&target, spec, self.shared.clone(), now);
+            allocator.on_incarnation(listed.record.started, now);
+            allocator.set_unanswered_orders(self.late_orders.remove(&target).unwrap_or_default());
             for (adapter, versions) in self.versions.iter() {
-                desk.on_newest_version(adapter, versions.newest());
+                allocator.on_newest_version(adapter, versions.newest());
             }
-            self.desks.insert(target, desk);
+            self.desks.insert(target, allocator);
             self.changed = true;
         }
     }
