--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -37,7 +37,7 @@
         let mut base_loads = self.shared.base_loads.borrow_mut();
         base_loads.set_share(self.desks.len(), engines, now);
         drop(base_loads);
-        actions.extend(self.tell_holds(now));
+        actions.extend(self.publish_holdings(now));
         actions.extend(self.tick_allocators(now));
         actions
     }
@@ -152,7 +152,7 @@
         let allocator = self.desks.get_mut(&query.target)?;
         let placement = allocator.on_query(from, query, now);
         let standing = EngineStanding {
-            load: load_for(&query.target, allocator, from),
+            load: load_excluding(&query.target, allocator, from),
             placement,
         };
         Some(self.send(from, Message::EngineStanding(standing)))
@@ -178,7 +178,7 @@
     }
 
     /// Sends changed engine loads to the hosts that use the engine; on a large site, hosts query them instead.
-    pub(super) fn tell_loads(
+    pub(super) fn publish_loads(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -189,7 +189,7 @@
         let mut news = Vec::new();
         for (target, allocator) in &self.desks {
             for host in allocator.usage().hosts() {
-                news.push((host, load_for(target, allocator, host)));
+                news.push((host, load_excluding(target, allocator, host)));
             }
         }
         news.retain(|(host, load)| self.told_loads.should_publish(*host, load, now));
@@ -293,7 +293,7 @@
             }
             return None;
         };
-        tell_order(target, &order, held.fence);
+        log_order(target, &order, held.fence);
         Some(ControlAction::Order {
             target: target.to_string(),
             address,
@@ -312,7 +312,7 @@
 }
 
 /// Returns the load of an engine without the share of the receiving host.
-fn load_for(
+fn load_excluding(
     target: &str,
     allocator: &EngineAllocator,
     host: SocketAddr,
@@ -327,7 +327,7 @@
 }
 
 /// Logs an order unless it is a probe.
-fn tell_order(
+fn log_order(
     target: &str,
     order: &PlannedOrder,
     fence: u64,
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -41,7 +41,7 @@
 impl HostControl {
     /// Sends the engines held here to all hosts when they change, since rumors take seconds on a large site and
     /// requests wait for the holder.
-    pub(super) fn tell_holds(
+    pub(super) fn publish_holdings(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -101,13 +101,13 @@
         for row in rows.iter().flatten() {
             let value = row.value.as_deref().unwrap_or_default();
             if HostRow::peer_of(&row.key).is_none() {
-                tell_unreadable_holder(row);
+                log_unreadable_holder(row);
                 continue;
             }
             let host = match serde_json::from_slice::<HostRow>(value) {
                 Ok(host) => host,
                 Err(problem) => {
-                    tell_unreadable(row, &problem);
+                    log_unreadable_row(row, &problem);
                     continue;
                 }
             };
@@ -282,17 +282,17 @@
 }
 
 /// Logs a holder row that can't be parsed.
-fn tell_unreadable_holder(row: &Row) {
+fn log_unreadable_holder(row: &Row) {
     let value = row.value.as_deref();
     let (Some(value), Some(_)) = (value, HolderRow::target_of(&row.key)) else {
         return;
     };
     if let Err(problem) = serde_json::from_slice::<HolderRow>(value) {
-        tell_unreadable(row, &problem);
+        log_unreadable_row(row, &problem);
     }
 }
 
-fn tell_unreadable(
+fn log_unreadable_row(
     row: &Row,
     problem: &serde_json::Error,
 ) {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -335,7 +335,7 @@
         actions.extend(self.tick_notices(now));
         if now >= self.next_loads {
             self.next_loads = now + LOAD_PERIOD;
-            actions.extend(self.tell_loads(now));
+            actions.extend(self.publish_loads(now));
             self.set_gauges(now);
         }
         actions
