--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -245,7 +245,7 @@
                 );
                 Vec::new()
             }
-            AllocatorAction::RequestReport => self.ask_report(target).into_iter().collect(),
+            AllocatorAction::RequestReport => self.request_report(target).into_iter().collect(),
             AllocatorAction::Order(order) => self.order(target, order, now).into_iter().collect(),
         }
     }
@@ -269,7 +269,7 @@
             .collect()
     }
 
-    fn ask_report(
+    fn request_report(
         &self,
         target: &str,
     ) -> Option<ControlAction> {
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -163,7 +163,7 @@
                 term,
                 order,
             } => self.order(target, address, term, order),
-            ControlAction::AskReport { target, address } => self.ask_report(target, address),
+            ControlAction::AskReport { target, address } => self.request_report(target, address),
             ControlAction::Publish(view) => self.tell_traffic(TrafficInput::View(view)),
             ControlAction::Confirm(confirmation) => {
                 self.tell_traffic(TrafficInput::Confirmed(confirmation));
@@ -314,7 +314,7 @@
         });
     }
 
-    fn ask_report(
+    fn request_report(
         &self,
         target: String,
         address: SocketAddr,
