--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -199,7 +199,7 @@
             .collect()
     }
 
-    pub(super) fn is_engine(
+    pub(super) fn is_engine_service(
         &self,
         service: &str,
     ) -> bool {
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -224,7 +224,7 @@
         }
         let engines = self.targets.iter();
         let engines = engines
-            .filter(|(_, target)| self.is_engine(&target.record.service))
+            .filter(|(_, target)| self.is_engine_service(&target.record.service))
             .map(|(id, target)| (id.clone(), target.record.address.to_string()));
         let slots = (0..self.slot_count()).map(|slot| (shard_lease(slot), shard_lease(slot)));
         let engines: Arc<BTreeMap<String, String>> = Arc::new(engines.chain(slots).collect());
