--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -22,7 +22,7 @@
 };
 
 /// Up to this number of hosts, placements and engine loads are sent to all of them.
-const MAX_ANNOUNCED: usize = MAX_BROADCAST_HOSTS;
+const MAX_ANNOUNCE_HOSTS: usize = MAX_BROADCAST_HOSTS;
 
 impl HostControl {
     /// Processes leases and takeovers, and runs the allocators of the engines held here.
@@ -79,9 +79,9 @@
         let Some(allocator) = self.desks.get_mut(target) else {
             return Vec::new();
         };
-        let wanted = decide(allocator);
+        let allocator_actions = decide(allocator);
         let mut actions = Vec::new();
-        for action in wanted {
+        for action in allocator_actions {
             actions.extend(self.execute_allocator_action(target, action, now));
         }
         actions
@@ -124,8 +124,8 @@
         want: &Want,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let may_order = self.holding.held_engine(&want.target, now).is_some();
-        if may_order && self.desks.contains_key(&want.target) {
+        let is_holder = self.holding.held_engine(&want.target, now).is_some();
+        if is_holder && self.desks.contains_key(&want.target) {
             return self.with_allocator(&want.target, now, |allocator| {
                 allocator.on_want(from, want, now)
             });
@@ -182,19 +182,20 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        if self.hosts.up_count() > MAX_ANNOUNCED {
+        if self.hosts.up_count() > MAX_ANNOUNCE_HOSTS {
             self.told_loads.clear();
             return Vec::new();
         }
-        let mut news = Vec::new();
+        let mut loads = Vec::new();
         for (target, allocator) in &self.desks {
             for host in allocator.usage().hosts() {
-                news.push((host, load_excluding(target, allocator, host)));
+                loads.push((host, load_excluding(target, allocator, host)));
             }
         }
-        news.retain(|(host, load)| self.told_loads.should_publish(*host, load, now));
+        loads.retain(|(host, load)| self.told_loads.should_publish(*host, load, now));
         self.told_loads.evict_expired(now);
-        news.into_iter()
+        loads
+            .into_iter()
             .map(|(host, load)| self.send(host, Message::EngineLoad(load)))
             .collect()
     }
@@ -260,7 +261,7 @@
         let up = self.hosts.hosts().filter(|host| host.state.is_up());
         let mut receivers: Vec<SocketAddr> = up.map(|host| host.identity.peer).collect();
         receivers.push(me);
-        if receivers.len() > MAX_ANNOUNCED {
+        if receivers.len() > MAX_ANNOUNCE_HOSTS {
             receivers = interested_hosts.to_vec();
         }
         receivers
