--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -30,10 +30,10 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut actions = self.decide_holding(now);
+        let mut actions = self.decide_assignment(now);
         self.sync_allocators(now);
         self.open_ledgers(now);
-        let engines = self.engine_keys().len() - self.slot_count();
+        let engines = self.assignment_keys().len() - self.slot_count();
         let mut base_loads = self.shared.base_loads.borrow_mut();
         base_loads.set_share(self.desks.len(), engines, now);
         drop(base_loads);
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -166,11 +166,11 @@
         told.chain(mine).collect()
     }
 
-    pub(super) fn decide_holding(
+    pub(super) fn decide_assignment(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let engines = self.engine_keys();
+        let engines = self.assignment_keys();
         let drawn = self.takers.for_engines(engines.len(), &self.hosts);
         let is_starting = now.saturating_duration_since(self.started) < STARTING;
         let settled = match is_starting {
@@ -218,7 +218,7 @@
     /// Returns all engines, and all quota shards if any customer is limited, with their assignment keys.
     ///
     /// Cached until targets or the configuration change, since every tick reads it.
-    pub(super) fn engine_keys(&mut self) -> Arc<BTreeMap<String, String>> {
+    pub(super) fn assignment_keys(&mut self) -> Arc<BTreeMap<String, String>> {
         if let Some(engines) = &self.engines {
             return engines.clone();
         }
