--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -23,20 +23,20 @@
 };
 
 /// Host discovery counts as complete once no new host has been seen for this long.
-const SETTLED: Duration = Duration::from_millis(400);
+const DISCOVERY_QUIET_TIME: Duration = Duration::from_millis(400);
 
-/// Replaces `SETTLED` shortly after the start: while a site starts, discovery proceeds in bursts, and a host that
+/// Replaces `DISCOVERY_QUIET_TIME` shortly after the start: while a site starts, discovery proceeds in bursts, and a host that
 /// knows only a few others would take over engines needlessly.
-const FIRST_SETTLED: Duration = Duration::from_millis(1_200);
+const STARTUP_DISCOVERY_QUIET_TIME: Duration = Duration::from_millis(1_200);
 
 /// A starting host looks up its earlier assignments once no new host has been seen for this long.
-const NEARLY_SETTLED: Duration = Duration::from_millis(100);
+const LOOKUP_QUIET_TIME: Duration = Duration::from_millis(100);
 
 /// Minimum time between two publications of the engines held here.
-const HOLDS_PAUSE: Duration = Duration::from_millis(100);
+const HOLDINGS_PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after its start during which a process counts as starting.
-const STARTING: Duration = Duration::from_secs(3);
+const STARTUP_WINDOW: Duration = Duration::from_secs(3);
 
 impl HostControl {
     /// Sends the engines held here to all hosts when they change, since rumors take seconds on a large site and
@@ -51,7 +51,7 @@
             return Vec::new();
         }
         self.told_holds = holds;
-        self.next_holds = now + HOLDS_PAUSE;
+        self.next_holds = now + HOLDINGS_PUBLISH_INTERVAL;
         self.tell_all(now)
     }
 
@@ -172,12 +172,12 @@
     ) -> Vec<ControlAction> {
         let engines = self.assignment_keys();
         let drawn = self.takers.for_engines(engines.len(), &self.hosts);
-        let is_starting = now.saturating_duration_since(self.started) < STARTING;
+        let is_starting = now.saturating_duration_since(self.started) < STARTUP_WINDOW;
         let settled = match is_starting {
-            true => FIRST_SETTLED,
-            false => SETTLED,
+            true => STARTUP_DISCOVERY_QUIET_TIME,
+            false => DISCOVERY_QUIET_TIME,
         };
-        let may_take = self.hosts.is_settled(NEARLY_SETTLED, now)
+        let may_take = self.hosts.is_settled(LOOKUP_QUIET_TIME, now)
             && is_starting
             && drawn.contains(&self.hosts.me().peer);
         // No takeovers before host discovery has completed.
