--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -106,8 +106,8 @@
             }
             let host = match serde_json::from_slice::<HostRow>(value) {
                 Ok(host) => host,
-                Err(problem) => {
-                    log_unreadable_row(row, &problem);
+                Err(error) => {
+                    log_unreadable_row(row, &error);
                     continue;
                 }
             };
@@ -155,15 +155,15 @@
         now: Instant,
     ) -> HashMap<&str, SocketAddr> {
         let up = self.hosts.hosts().filter(|host| host.state.is_up());
-        let told = up.flat_map(|host| {
+        let claimed = up.flat_map(|host| {
             let peer = host.identity.peer;
             host.holds.iter().map(move |held| (held.as_str(), peer))
         });
         let me = self.hosts.me().peer;
-        let mine = self.holding.held(now);
-        let mine = mine.map(|(target, _)| (target.as_str(), me));
+        let own = self.holding.held(now);
+        let own = own.map(|(target, _)| (target.as_str(), me));
         // This host's own assignments take precedence over the other hosts' claims.
-        told.chain(mine).collect()
+        claimed.chain(own).collect()
     }
 
     pub(super) fn decide_assignment(
@@ -171,18 +171,18 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let engines = self.assignment_keys();
-        let drawn = self.takers.for_engines(engines.len(), &self.hosts);
+        let selected = self.takers.for_engines(engines.len(), &self.hosts);
         let is_starting = now.saturating_duration_since(self.started) < STARTUP_WINDOW;
-        let settled = match is_starting {
+        let quiet_time = match is_starting {
             true => STARTUP_DISCOVERY_QUIET_TIME,
             false => DISCOVERY_QUIET_TIME,
         };
-        let may_take = self.hosts.is_settled(LOOKUP_QUIET_TIME, now)
+        let is_likely_taker = self.hosts.is_settled(LOOKUP_QUIET_TIME, now)
             && is_starting
-            && drawn.contains(&self.hosts.me().peer);
+            && selected.contains(&self.hosts.me().peer);
         // No takeovers before host discovery has completed.
-        let takers = match self.hosts.is_settled(settled, now) {
-            true => drawn,
+        let takers = match self.hosts.is_settled(quiet_time, now) {
+            true => selected,
             false => Arc::default(),
         };
         let hosts = &self.hosts;
@@ -194,9 +194,9 @@
                 known_since: host.lease_known_since,
             })
         };
-        let wanted = self
-            .holding
-            .decide(&engines, &takers, may_take, unclaimed, lease_of, now);
+        let wanted =
+            self.holding
+                .decide(&engines, &takers, is_likely_taker, unclaimed, lease_of, now);
         let term = self.holding.lease().term();
         wanted
             .into_iter()
@@ -257,7 +257,8 @@
             self.shared.remove_engine(&target);
             self.changed = true;
         }
-        self.late_orders.retain(|_, late| !late.all_expired(now));
+        self.late_orders
+            .retain(|_, orders| !orders.all_expired(now));
         for target in held {
             if self.desks.contains_key(&target) {
                 continue;
@@ -287,18 +288,18 @@
     let (Some(value), Some(_)) = (value, HolderRow::target_of(&row.key)) else {
         return;
     };
-    if let Err(problem) = serde_json::from_slice::<HolderRow>(value) {
-        log_unreadable_row(row, &problem);
+    if let Err(error) = serde_json::from_slice::<HolderRow>(value) {
+        log_unreadable_row(row, &error);
     }
 }
 
 fn log_unreadable_row(
     row: &Row,
-    problem: &serde_json::Error,
+    error: &serde_json::Error,
 ) {
     note!(
         Event::RowUnreadable,
         row = quoted(&row.key),
-        problem = quoted(problem)
+        problem = quoted(error)
     );
 }
