--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -33,7 +33,7 @@
         let mut actions = self.decide_assignment(now);
         self.sync_allocators(now);
         self.open_ledgers(now);
-        let engines = self.assignment_keys().len() - self.slot_count();
+        let engines = self.assignment_keys().len() - self.shard_count();
         let mut base_loads = self.shared.base_loads.borrow_mut();
         base_loads.set_share(self.desks.len(), engines, now);
         drop(base_loads);
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -45,7 +45,7 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let slots = self.held_slots(now).into_iter().map(shard_lease);
+        let slots = self.held_shards(now).into_iter().map(shard_lease);
         let holds: Vec<String> = self.desks.keys().cloned().chain(slots).collect();
         if self.told_holds == holds || now < self.next_holds {
             return Vec::new();
@@ -226,7 +226,7 @@
         let engines = engines
             .filter(|(_, target)| self.is_engine_service(&target.record.service))
             .map(|(id, target)| (id.clone(), target.record.address.to_string()));
-        let slots = (0..self.slot_count()).map(|slot| (shard_lease(slot), shard_lease(slot)));
+        let slots = (0..self.shard_count()).map(|slot| (shard_lease(slot), shard_lease(slot)));
         let engines: Arc<BTreeMap<String, String>> = Arc::new(engines.chain(slots).collect());
         self.engines = Some(engines.clone());
         engines
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -18,7 +18,7 @@
 };
 
 /// The ledger of a quota shard held by this host.
-pub(super) struct HeldLedger {
+pub(super) struct ShardLedger {
     /// Fence of the assignment; if it changes, another host may have held the shard in between.
     fence: u64,
     ledger: QuotaLedger,
@@ -26,7 +26,7 @@
 
 impl HostControl {
     /// Returns the number of quota shards, or 0 if no customer has a limit.
-    pub(super) fn slot_count(&self) -> usize {
+    pub(super) fn shard_count(&self) -> usize {
         match self.routing.customers.any_limited() {
             true => QUOTA_SHARDS,
             false => 0,
@@ -34,7 +34,7 @@
     }
 
     /// Returns the shards that this host holds.
-    pub(super) fn held_slots(
+    pub(super) fn held_shards(
         &self,
         now: Instant,
     ) -> Vec<usize> {
@@ -48,7 +48,7 @@
         &mut self,
         now: Instant,
     ) {
-        for slot in self.held_slots(now) {
+        for slot in self.held_shards(now) {
             let Some(held) = self.holding.held_engine(&shard_lease(slot), now) else {
                 continue;
             };
@@ -57,7 +57,7 @@
                 continue;
             }
             note!(Event::QuotaCounted, slot = slot, fence = held.fence);
-            let ledger = HeldLedger {
+            let ledger = ShardLedger {
                 fence: held.fence,
                 ledger: QuotaLedger::new(self.settings.bounds.quota_window, now),
             };
@@ -67,12 +67,12 @@
     }
 
     /// Returns the holder of each shard.
-    pub(super) fn slot_holders(
+    pub(super) fn shard_holders(
         &self,
         holders: &HashMap<&str, SocketAddr>,
     ) -> Vec<Option<SocketAddr>> {
         let holder = |slot| holders.get(shard_lease(slot).as_str()).copied();
-        (0..self.slot_count()).map(holder).collect()
+        (0..self.shard_count()).map(holder).collect()
     }
 
     /// Answers a host's request to charge a customer's quota.
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
-        control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::HeldLedger,
+        control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::ShardLedger,
         listed_target::ListedTarget, removed_targets::RemovedTargets,
         taker_selection::TakerSelection, unclaimed_engines::UnclaimedEngines,
     },
@@ -131,7 +131,7 @@
     /// Requests that end targets.
     pub(super) poison: KnownPoison,
     /// The parts of customers' use that are counted here, by slot.
-    pub(super) ledgers: BTreeMap<usize, HeldLedger>,
+    pub(super) ledgers: BTreeMap<usize, ShardLedger>,
     /// Places at targets of the plain services that are given out here.
     pub(super) places: BTreeMap<String, GivenPlaces>,
     /// What targets say of themselves.
@@ -516,7 +516,7 @@
             routing: self.routing.clone(),
             targets: targets.collect(),
             versions: self.versions.clone(),
-            hash_slot_holders: self.slot_holders(&holders),
+            hash_slot_holders: self.shard_holders(&holders),
             hosts: self.hosts.up_count(),
             known_hosts: self.hosts.known_count(),
             freshness: self.told_confirmation,
