--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -97,7 +97,7 @@
         match outcome {
             None => answer.not_counted = true,
             Some(Ok(granted)) => answer.granted = granted.floor() as u32,
-            Some(Err(come_back)) => answer.come_back_ms = whole_millis(come_back),
+            Some(Err(retry_after)) => answer.come_back_ms = round_up_millis(retry_after),
         }
         self.send(from, Message::ChargeAnswer(answer))
     }
@@ -108,7 +108,7 @@
         refund: &ChargeRefund,
         now: Instant,
     ) {
-        let Some((terms, ledger)) = self.account(refund.slot, &refund.customer, now) else {
+        let Some((terms, ledger)) = self.customer_ledger(refund.slot, &refund.customer, now) else {
             return;
         };
         if let Some(terms) = terms {
@@ -128,7 +128,7 @@
             need: f64::from(ask.need),
             prefetch: f64::from(ask.ahead),
         };
-        let (terms, ledger) = self.account(ask.slot, &ask.customer, now)?;
+        let (terms, ledger) = self.customer_ledger(ask.slot, &ask.customer, now)?;
         Some(match terms {
             Some(terms) => ledger.charge(&ask.customer, &terms, charge, now),
             // The limit was removed, and the requesting host does not know it yet.
@@ -137,7 +137,7 @@
     }
 
     /// Returns the limits of a customer's bucket, if any, and the shard's ledger; `None` if the shard is not held here.
-    fn account(
+    fn customer_ledger(
         &mut self,
         slot: u32,
         customer: &str,
@@ -146,12 +146,12 @@
         let slot = slot as usize;
         let held = self.holding.held_engine(&shard_lease(slot), now)?;
         let limit = self.routing.customers.named(customer)?.limit;
-        let terms = limit.map(|limit| self.bucket_terms(&limit));
+        let terms = limit.map(|limit| self.bucket_limits(&limit));
         let known = self.ledgers.get_mut(&slot)?;
         (known.fence == held.fence).then_some((terms, &mut known.ledger))
     }
 
-    fn bucket_terms(
+    fn bucket_limits(
         &self,
         limit: &UseLimit,
     ) -> BucketLimits {
@@ -166,6 +166,6 @@
 }
 
 /// Converts to milliseconds, rounded up so that a retry does not come too early.
-fn whole_millis(time: Duration) -> u32 {
+fn round_up_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis() + 1).unwrap_or(u32::MAX)
 }
