--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -120,8 +120,8 @@
                 lease_version: row.version,
                 ..Default::default()
             };
-            let wanted = self.hosts.on_named(&rumor, now);
-            actions.extend(self.host_actions(wanted, now));
+            let host_actions = self.hosts.on_named(&rumor, now);
+            actions.extend(self.host_actions(host_actions, now));
         }
         self.changed = true;
         actions.extend(self.tick_engines(now));
@@ -194,11 +194,11 @@
                 known_since: host.lease_known_since,
             })
         };
-        let wanted =
+        let assignment_actions =
             self.holding
                 .decide(&engines, &takers, is_likely_taker, unclaimed, lease_of, now);
         let term = self.holding.lease().term();
-        wanted
+        assignment_actions
             .into_iter()
             .map(|action| match action {
                 AssignmentAction::Renew { transaction } => ControlAction::Renew { transaction },
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -48,20 +48,20 @@
         &mut self,
         now: Instant,
     ) {
-        for slot in self.held_shards(now) {
-            let Some(held) = self.holding.held_engine(&shard_lease(slot), now) else {
+        for shard in self.held_shards(now) {
+            let Some(held) = self.holding.held_engine(&shard_lease(shard), now) else {
                 continue;
             };
-            let known = self.ledgers.get(&slot);
-            if known.is_some_and(|known| known.fence == held.fence) {
+            let held_ledger = self.ledgers.get(&shard);
+            if held_ledger.is_some_and(|entry| entry.fence == held.fence) {
                 continue;
             }
-            note!(Event::QuotaCounted, slot = slot, fence = held.fence);
+            note!(Event::QuotaCounted, slot = shard, fence = held.fence);
             let ledger = ShardLedger {
                 fence: held.fence,
                 ledger: QuotaLedger::new(self.settings.bounds.quota_window, now),
             };
-            self.ledgers.insert(slot, ledger);
+            self.ledgers.insert(shard, ledger);
             self.changed = true;
         }
     }
@@ -71,7 +71,7 @@
         &self,
         holders: &HashMap<&str, SocketAddr>,
     ) -> Vec<Option<SocketAddr>> {
-        let holder = |slot| holders.get(shard_lease(slot).as_str()).copied();
+        let holder = |shard| holders.get(shard_lease(shard).as_str()).copied();
         (0..self.shard_count()).map(holder).collect()
     }
 
@@ -79,19 +79,21 @@
     pub(super) fn on_charge_ask(
         &mut self,
         from: SocketAddr,
-        ask: &ChargeAsk,
+        request: &ChargeAsk,
         now: Instant,
     ) -> ControlAction {
-        let outcome = self.charge(ask, now);
-        let word = match &outcome {
+        let outcome = self.charge(request, now);
+        let outcome_label = match &outcome {
             None => "not_counted",
             Some(Ok(_)) => "granted",
             Some(Err(_)) => "over",
         };
-        let labels = StateLabels { state: word };
+        let labels = StateLabels {
+            state: outcome_label,
+        };
         metrics().quota_charges.get_or_create(&labels).inc();
         let mut answer = ChargeAnswer {
-            id: ask.id,
+            id: request.id,
             ..ChargeAnswer::default()
         };
         match outcome {
@@ -108,29 +110,30 @@
         refund: &ChargeRefund,
         now: Instant,
     ) {
-        let Some((terms, ledger)) = self.customer_ledger(refund.slot, &refund.customer, now) else {
+        let Some((limits, ledger)) = self.customer_ledger(refund.slot, &refund.customer, now)
+        else {
             return;
         };
-        if let Some(terms) = terms {
+        if let Some(limits) = limits {
             let amount = f64::from(refund.amount);
-            ledger.refund(&refund.customer, &terms, refund.id, amount, now);
+            ledger.refund(&refund.customer, &limits, refund.id, amount, now);
         }
     }
 
     /// Returns the granted amount or the delay until a retry; `None` if this host does not hold the customer's shard.
     fn charge(
         &mut self,
-        ask: &ChargeAsk,
+        request: &ChargeAsk,
         now: Instant,
     ) -> Option<Result<f64, Duration>> {
         let charge = Charge {
-            id: ask.id,
-            need: f64::from(ask.need),
-            prefetch: f64::from(ask.ahead),
+            id: request.id,
+            need: f64::from(request.need),
+            prefetch: f64::from(request.ahead),
         };
-        let (terms, ledger) = self.customer_ledger(ask.slot, &ask.customer, now)?;
-        Some(match terms {
-            Some(terms) => ledger.charge(&ask.customer, &terms, charge, now),
+        let (limits, ledger) = self.customer_ledger(request.slot, &request.customer, now)?;
+        Some(match limits {
+            Some(limits) => ledger.charge(&request.customer, &limits, charge, now),
             // The limit was removed, and the requesting host does not know it yet.
             None => Ok(charge.need),
         })
@@ -139,16 +142,16 @@
     /// Returns the limits of a customer's bucket, if any, and the shard's ledger; `None` if the shard is not held here.
     fn customer_ledger(
         &mut self,
-        slot: u32,
+        shard: u32,
         customer: &str,
         now: Instant,
     ) -> Option<(Option<BucketLimits>, &mut QuotaLedger)> {
-        let slot = slot as usize;
-        let held = self.holding.held_engine(&shard_lease(slot), now)?;
+        let shard = shard as usize;
+        let held = self.holding.held_engine(&shard_lease(shard), now)?;
         let limit = self.routing.customers.named(customer)?.limit;
-        let terms = limit.map(|limit| self.bucket_limits(&limit));
-        let known = self.ledgers.get_mut(&slot)?;
-        (known.fence == held.fence).then_some((terms, &mut known.ledger))
+        let limits = limit.map(|limit| self.bucket_limits(&limit));
+        let held_ledger = self.ledgers.get_mut(&shard)?;
+        (held_ledger.fence == held.fence).then_some((limits, &mut held_ledger.ledger))
     }
 
     fn bucket_limits(
@@ -156,12 +159,12 @@
         limit: &UseLimit,
     ) -> BucketLimits {
         let bounds = &self.settings.bounds;
-        let terms = QuotaPolicy {
+        let policy = QuotaPolicy {
             window: bounds.quota_window,
             tolerance: bounds.quota_over,
             slack: bounds.quota_slack,
         };
-        terms.bucket(limit)
+        policy.bucket(limit)
     }
 }
 
