--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -47,7 +47,7 @@
 
 /// Poison records known to this host, and the state of their synchronization.
 #[derive(Debug, Default)]
-pub(super) struct KnownPoison {
+pub(super) struct PoisonState {
     pub ledger: PoisonLedger,
     /// True once the records of the store or of a synchronized host have been merged.
     pub is_known: bool,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
-        control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::ShardLedger,
+        control_places::GivenPlaces, control_poison::PoisonState, control_quotas::ShardLedger,
         listed_target::ListedTarget, removed_targets::RemovedTargets,
         taker_selection::TakerSelection, unclaimed_engines::UnclaimedEngines,
     },
@@ -129,7 +129,7 @@
     /// Hosts known over a long time, as requests were last told.
     pub(super) told_known_hosts: usize,
     /// Requests that end targets.
-    pub(super) poison: KnownPoison,
+    pub(super) poison: PoisonState,
     /// The parts of customers' use that are counted here, by slot.
     pub(super) ledgers: BTreeMap<usize, ShardLedger>,
     /// Places at targets of the plain services that are given out here.
@@ -203,7 +203,7 @@
             joins: 0,
             lenders: Vec::new(),
             told_known_hosts: 0,
-            poison: KnownPoison::default(),
+            poison: PoisonState::default(),
             ledgers: BTreeMap::new(),
             places: BTreeMap::new(),
             notices: KnownNotices::default(),
