--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -24,35 +24,35 @@
 };
 
 /// Maximum number of records in one datagram; a record takes up to 0.4 kB, and a datagram must fit into a packet.
-const PAGE: usize = 3;
+const RECORDS_PER_DATAGRAM: usize = 3;
 
 /// Maximum number of datagrams sent to a host whose digest differs.
-const PAGES: usize = 10;
+const MAX_DATAGRAMS_PER_EXCHANGE: usize = 10;
 
 /// Minimum time from start to the first read of the store; skipped if another host has sent its records by then.
-const FIRST_READ: Duration = Duration::from_millis(300);
+const FIRST_READ_DELAY: Duration = Duration::from_millis(300);
 
 /// Jitter of the first read for each known host: of hosts that start together, most get the records from another host
 /// first.
-const READ_SPREAD: Duration = Duration::from_millis(9);
+const FIRST_READ_JITTER_PER_HOST: Duration = Duration::from_millis(9);
 
 /// Delay before a failed read of the store is retried.
-const READ_PAUSE: Duration = Duration::from_secs(2);
+const READ_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Time between two evictions of expired records.
-const DROP_PERIOD: Duration = Duration::from_secs(5);
+const EVICTION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Minimum number of crashes for which a request is stored; with fewer, losing the record costs at most one target.
-const KEPT_STRIKES: usize = 2;
+const MIN_STORED_CRASHES: usize = 2;
 
 /// Poison records known to this host, and the state of their synchronization.
 #[derive(Debug, Default)]
 pub(super) struct PoisonState {
     pub ledger: PoisonLedger,
     /// True once the records of the store or of a synchronized host have been merged.
-    pub is_known: bool,
+    pub is_synchronized: bool,
     next_read: Option<Instant>,
-    next_drop: Option<Instant>,
+    next_eviction: Option<Instant>,
     /// The last record sent to a host whose digest differed; the next page starts after it.
     told: Option<Fingerprint>,
 }
@@ -60,7 +60,9 @@
 impl HostControl {
     /// Returns the digest of the known records; `None` until they have been synchronized.
     pub(super) fn poison_digest(&self) -> Option<u64> {
-        self.poison.is_known.then(|| self.poison.ledger.digest())
+        self.poison
+            .is_synchronized
+            .then(|| self.poison.ledger.digest())
     }
 
     /// Handles a report from this host's requests or from an operator.
@@ -136,13 +138,17 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         // A synchronized host sends its records in turn when it sees this host's digest.
-        self.poison.is_known |= digest.is_some();
+        self.poison.is_synchronized |= digest.is_some();
         if digest == Some(self.poison.ledger.digest()) || self.poison.ledger.is_empty() {
             return Vec::new();
         }
-        let page = self.poison.ledger.page(self.poison.told, PAGE * PAGES, now);
+        let page = self.poison.ledger.page(
+            self.poison.told,
+            RECORDS_PER_DATAGRAM * MAX_DATAGRAMS_PER_EXCHANGE,
+            now,
+        );
         self.poison.told = page.last().map(|told| told.fingerprint);
-        let news = page.chunks(PAGE).map(news_of);
+        let news = page.chunks(RECORDS_PER_DATAGRAM).map(news_of);
         let send = |message| ControlAction::Send { to: from, message };
         news.map(send).collect()
     }
@@ -164,7 +170,7 @@
         let told: Vec<PoisonUpdate> = told.collect();
         let mut actions = Vec::new();
         for to in self.hosts.pick_up(usize::MAX) {
-            let news = told.chunks(PAGE).map(news_of);
+            let news = told.chunks(RECORDS_PER_DATAGRAM).map(news_of);
             actions.extend(news.map(|message| ControlAction::Send { to, message }));
         }
         actions
@@ -179,7 +185,7 @@
         let kept = changed.iter().filter_map(|fingerprint| {
             let record = self.poison.ledger.get(fingerprint)?;
             let told = record.to_update(*fingerprint, now);
-            let matters = record.crash_count() >= KEPT_STRIKES || !told.cleared.is_empty();
+            let matters = record.crash_count() >= MIN_STORED_CRASHES || !told.cleared.is_empty();
             matters.then(|| row_of(&told))
         });
         let writes: Vec<_> = kept.collect();
@@ -192,30 +198,30 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        if self.poison.next_drop.is_none_or(|at| now >= at) {
-            self.poison.next_drop = Some(now + DROP_PERIOD);
+        if self.poison.next_eviction.is_none_or(|at| now >= at) {
+            self.poison.next_eviction = Some(now + EVICTION_INTERVAL);
             let dropped = self.poison.ledger.evict_expired(now);
             actions.extend(self.note_standings(&dropped, "age"));
         }
-        if self.poison.is_known {
+        if self.poison.is_synchronized {
             return actions;
         }
         if self.settings.first_start {
             // The store is still empty.
-            self.poison.is_known = true;
+            self.poison.is_synchronized = true;
             return actions;
         }
         // The jitter depends on the number of hosts, which discovery has to find first.
-        if now < self.started + FIRST_READ {
+        if now < self.started + FIRST_READ_DELAY {
             return actions;
         }
         let due = match self.poison.next_read {
             Some(due) => due,
-            None => self.started + FIRST_READ + self.read_delay(),
+            None => self.started + FIRST_READ_DELAY + self.read_delay(),
         };
         self.poison.next_read = Some(due);
         if now >= due {
-            self.poison.next_read = Some(now + READ_PAUSE);
+            self.poison.next_read = Some(now + READ_RETRY_DELAY);
             actions.push(ControlAction::ReadPoison);
         }
         actions
@@ -224,7 +230,7 @@
     /// Returns a random delay whose maximum grows with the number of known hosts.
     fn read_delay(&self) -> Duration {
         let hosts = u32::try_from(self.hosts.known_count()).unwrap_or(u32::MAX);
-        rand::rng().random_range(Duration::ZERO..READ_SPREAD * hosts.max(1))
+        rand::rng().random_range(Duration::ZERO..FIRST_READ_JITTER_PER_HOST * hosts.max(1))
     }
 
     /// Merges the rows read from the store; `None` if the read failed.
@@ -236,7 +242,7 @@
         let Some(batch) = rows else {
             return Vec::new();
         };
-        self.poison.is_known = true;
+        self.poison.is_synchronized = true;
         let mut told = Vec::new();
         let mut old = Vec::new();
         for row in &batch.rows {
