--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -72,28 +72,28 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let changed = match report {
-            PoisonReport::Crashed { evidence } => self.strike(&evidence, now),
+            PoisonReport::Crashed { evidence } => self.record_crashes(&evidence, now),
             PoisonReport::Cleared { fingerprint } => match self.poison.ledger.clear(&fingerprint) {
                 true => vec![fingerprint],
                 false => Vec::new(),
             },
         };
-        let mut actions = self.tell_all_poison(&changed, now);
-        actions.extend(self.keep(&changed, now));
-        actions.extend(self.note_standings(&changed, "here"));
+        let mut actions = self.broadcast_poison(&changed, now);
+        actions.extend(self.store_records(&changed, now));
+        actions.extend(self.publish_statuses(&changed, "here"));
         actions
     }
 
-    fn strike(
+    fn record_crashes(
         &mut self,
         strikes: &[(Fingerprint, CrashEvidence)],
         now: Instant,
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
-        for (fingerprint, strike) in strikes {
+        for (fingerprint, record_crashes) in strikes {
             let told = PoisonUpdate {
                 fingerprint: *fingerprint,
-                strikes: vec![*strike],
+                strikes: vec![*record_crashes],
                 cleared: Vec::new(),
                 age: Duration::ZERO,
             };
@@ -110,13 +110,13 @@
         news: &PoisonNews,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let told = news.entries.iter().filter_map(told_of);
+        let told = news.entries.iter().filter_map(update_from_wire);
         let told: Vec<PoisonUpdate> = told.collect();
-        let changed = self.join_poison(&told, now);
-        self.note_standings(&changed, "host")
+        let changed = self.merge_poison(&told, now);
+        self.publish_statuses(&changed, "host")
     }
 
-    fn join_poison(
+    fn merge_poison(
         &mut self,
         told: &[PoisonUpdate],
         now: Instant,
@@ -142,19 +142,19 @@
         if digest == Some(self.poison.ledger.digest()) || self.poison.ledger.is_empty() {
             return Vec::new();
         }
-        let page = self.poison.ledger.page(
+        let updates = self.poison.ledger.updates(
             self.poison.told,
             RECORDS_PER_DATAGRAM * MAX_DATAGRAMS_PER_EXCHANGE,
             now,
         );
-        self.poison.told = page.last().map(|told| told.fingerprint);
-        let news = page.chunks(RECORDS_PER_DATAGRAM).map(news_of);
+        self.poison.told = updates.last().map(|told| told.fingerprint);
+        let news = updates.chunks(RECORDS_PER_DATAGRAM).map(to_message);
         let send = |message| ControlAction::Send { to: from, message };
         news.map(send).collect()
     }
 
     /// Sends changed records to all hosts at once: spread by digests alone, they could cost a target at each hop.
-    fn tell_all_poison(
+    fn broadcast_poison(
         &mut self,
         changed: &[Fingerprint],
         now: Instant,
@@ -170,14 +170,14 @@
         let told: Vec<PoisonUpdate> = told.collect();
         let mut actions = Vec::new();
         for to in self.hosts.pick_up(usize::MAX) {
-            let news = told.chunks(RECORDS_PER_DATAGRAM).map(news_of);
+            let news = told.chunks(RECORDS_PER_DATAGRAM).map(to_message);
             actions.extend(news.map(|message| ControlAction::Send { to, message }));
         }
         actions
     }
 
     /// Stores the records that must survive the loss of all hosts.
-    fn keep(
+    fn store_records(
         &self,
         changed: &[Fingerprint],
         now: Instant,
@@ -185,8 +185,8 @@
         let kept = changed.iter().filter_map(|fingerprint| {
             let record = self.poison.ledger.get(fingerprint)?;
             let told = record.to_update(*fingerprint, now);
-            let matters = record.crash_count() >= MIN_STORED_CRASHES || !told.cleared.is_empty();
-            matters.then(|| row_of(&told))
+            let must_store = record.crash_count() >= MIN_STORED_CRASHES || !told.cleared.is_empty();
+            must_store.then(|| row_of(&told))
         });
         let writes: Vec<_> = kept.collect();
         (!writes.is_empty()).then_some(ControlAction::KeepPoison { writes })
@@ -200,8 +200,8 @@
         let mut actions = Vec::new();
         if self.poison.next_eviction.is_none_or(|at| now >= at) {
             self.poison.next_eviction = Some(now + EVICTION_INTERVAL);
-            let dropped = self.poison.ledger.evict_expired(now);
-            actions.extend(self.note_standings(&dropped, "age"));
+            let evicted = self.poison.ledger.evict_expired(now);
+            actions.extend(self.publish_statuses(&evicted, "age"));
         }
         if self.poison.is_synchronized {
             return actions;
@@ -217,7 +217,7 @@
         }
         let due = match self.poison.next_read {
             Some(due) => due,
-            None => self.started + FIRST_READ_DELAY + self.read_delay(),
+            None => self.started + FIRST_READ_DELAY + self.read_jitter(),
         };
         self.poison.next_read = Some(due);
         if now >= due {
@@ -228,7 +228,7 @@
     }
 
     /// Returns a random delay whose maximum grows with the number of known hosts.
-    fn read_delay(&self) -> Duration {
+    fn read_jitter(&self) -> Duration {
         let hosts = u32::try_from(self.hosts.known_count()).unwrap_or(u32::MAX);
         rand::rng().random_range(Duration::ZERO..FIRST_READ_JITTER_PER_HOST * hosts.max(1))
     }
@@ -244,36 +244,36 @@
         };
         self.poison.is_synchronized = true;
         let mut told = Vec::new();
-        let mut old = Vec::new();
+        let mut expired = Vec::new();
         for row in &batch.rows {
             match row.value.as_deref().map(poison_of) {
                 Some(Ok(poison)) => told.push(poison),
-                Some(Err(problem)) => {
+                Some(Err(error)) => {
                     note!(
                         Event::RowUnreadable,
                         table = POISON_TABLE,
                         row = quoted(&row.key),
-                        problem = quoted(&problem)
+                        problem = quoted(&error)
                     );
                 }
                 None => {}
             }
         }
-        let changed = self.join_poison(&told, now);
+        let changed = self.merge_poison(&told, now);
         for poison in &told {
             if self.poison.ledger.get(&poison.fingerprint).is_none() {
-                old.push(removal_of(&poison.fingerprint));
+                expired.push(removal_of(&poison.fingerprint));
             }
         }
-        let mut actions = self.note_standings(&changed, "store");
-        if !old.is_empty() {
-            actions.push(ControlAction::KeepPoison { writes: old });
+        let mut actions = self.publish_statuses(&changed, "store");
+        if !expired.is_empty() {
+            actions.push(ControlAction::KeepPoison { writes: expired });
         }
         actions
     }
 
     /// Logs the current status of changed requests and publishes it to this host's traffic thread.
-    fn note_standings(
+    fn publish_statuses(
         &self,
         changed: &[Fingerprint],
         source: &str,
@@ -312,10 +312,10 @@
     }
 }
 
-fn news_of(told: &[PoisonUpdate]) -> Message {
+fn to_message(told: &[PoisonUpdate]) -> Message {
     let entries = told.iter().map(|told| PoisonEntry {
         fingerprint: told.fingerprint.as_bytes().to_vec(),
-        strikes: told.strikes.iter().map(strike_to_wire).collect(),
+        strikes: told.strikes.iter().map(evidence_to_wire).collect(),
         cleared: told.cleared.iter().map(|end| end.number()).collect(),
         age_s: u32::try_from(told.age.as_secs()).unwrap_or(u32::MAX),
     });
@@ -324,24 +324,24 @@
     })
 }
 
-fn strike_to_wire(strike: &CrashEvidence) -> PoisonStrike {
+fn evidence_to_wire(record_crashes: &CrashEvidence) -> PoisonStrike {
     PoisonStrike {
-        end: strike.end.number(),
-        alone: strike.alone,
-        begun: strike.begun,
+        end: record_crashes.end.number(),
+        alone: record_crashes.alone,
+        begun: record_crashes.begun,
     }
 }
 
 /// Converts an entry from its wire format; `None` if its fingerprint is invalid.
-fn told_of(entry: &PoisonEntry) -> Option<PoisonUpdate> {
-    let strike = |strike: &PoisonStrike| CrashEvidence {
-        end: CrashId::from_number(strike.end),
-        alone: strike.alone,
-        begun: strike.begun,
+fn update_from_wire(entry: &PoisonEntry) -> Option<PoisonUpdate> {
+    let record_crashes = |record_crashes: &PoisonStrike| CrashEvidence {
+        end: CrashId::from_number(record_crashes.end),
+        alone: record_crashes.alone,
+        begun: record_crashes.begun,
     };
     Some(PoisonUpdate {
         fingerprint: Fingerprint::from_bytes(&entry.fingerprint)?,
-        strikes: entry.strikes.iter().map(strike).collect(),
+        strikes: entry.strikes.iter().map(record_crashes).collect(),
         cleared: entry
             .cleared
             .iter()
