--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -5,7 +5,7 @@
     super::{
         ControlAction, HostControl,
         control_tables::quoted,
-        poison_rows::{POISON_TABLE, poison_of, removal_of, row_of},
+        poison_rows::{POISON_TABLE, delete_write, parse_row, store_write},
     },
     crate::{
         clock::Instant,
@@ -186,7 +186,7 @@
             let record = self.poison.ledger.get(fingerprint)?;
             let told = record.to_update(*fingerprint, now);
             let must_store = record.crash_count() >= MIN_STORED_CRASHES || !told.cleared.is_empty();
-            must_store.then(|| row_of(&told))
+            must_store.then(|| store_write(&told))
         });
         let writes: Vec<_> = kept.collect();
         (!writes.is_empty()).then_some(ControlAction::KeepPoison { writes })
@@ -246,7 +246,7 @@
         let mut told = Vec::new();
         let mut expired = Vec::new();
         for row in &batch.rows {
-            match row.value.as_deref().map(poison_of) {
+            match row.value.as_deref().map(parse_row) {
                 Some(Ok(poison)) => told.push(poison),
                 Some(Err(error)) => {
                     note!(
@@ -262,7 +262,7 @@
         let changed = self.merge_poison(&told, now);
         for poison in &told {
             if self.poison.ledger.get(&poison.fingerprint).is_none() {
-                expired.push(removal_of(&poison.fingerprint));
+                expired.push(delete_write(&poison.fingerprint));
             }
         }
         let mut actions = self.publish_statuses(&changed, "store");
--- a/src/process/host/poison_rows.rs
+++ b/src/process/host/poison_rows.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the write that stores a record.
-pub(super) fn row_of(told: &PoisonUpdate) -> RowWrite {
+pub(super) fn store_write(told: &PoisonUpdate) -> RowWrite {
     let row = PoisonRow {
         told: told.clone(),
         struck_s: unix_seconds().saturating_sub(told.age.as_secs()),
@@ -35,7 +35,7 @@
 }
 
 /// Returns the write that deletes a record.
-pub(super) fn removal_of(fingerprint: &Fingerprint) -> RowWrite {
+pub(super) fn delete_write(fingerprint: &Fingerprint) -> RowWrite {
     RowWrite {
         row: RowKey::new(POISON_TABLE, &fingerprint.to_string()),
         value: None,
@@ -43,7 +43,7 @@
 }
 
 /// Parses a row's value and computes the record's current age.
-pub(super) fn poison_of(value: &[u8]) -> Result<PoisonUpdate, serde_json::Error> {
+pub(super) fn parse_row(value: &[u8]) -> Result<PoisonUpdate, serde_json::Error> {
     let row: PoisonRow = serde_json::from_slice(value)?;
     Ok(PoisonUpdate {
         age: Duration::from_secs(unix_seconds().saturating_sub(row.struck_s)),
