--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -54,7 +54,7 @@
     next_read: Option<Instant>,
     next_eviction: Option<Instant>,
     /// The last record sent to a host whose digest differed; the next page starts after it.
-    told: Option<Fingerprint>,
+    last_sent: Option<Fingerprint>,
 }
 
 impl HostControl {
@@ -86,18 +86,18 @@
 
     fn record_crashes(
         &mut self,
-        strikes: &[(Fingerprint, CrashEvidence)],
+        evidence: &[(Fingerprint, CrashEvidence)],
         now: Instant,
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
-        for (fingerprint, record_crashes) in strikes {
-            let told = PoisonUpdate {
+        for (fingerprint, evidence) in evidence {
+            let update = PoisonUpdate {
                 fingerprint: *fingerprint,
-                strikes: vec![*record_crashes],
+                strikes: vec![*evidence],
                 cleared: Vec::new(),
                 age: Duration::ZERO,
             };
-            if self.poison.ledger.merge(&told, now) {
+            if self.poison.ledger.merge(&update, now) {
                 changed.push(*fingerprint);
             }
         }
@@ -110,21 +110,21 @@
         news: &PoisonNews,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let told = news.entries.iter().filter_map(update_from_wire);
-        let told: Vec<PoisonUpdate> = told.collect();
-        let changed = self.merge_poison(&told, now);
+        let updates = news.entries.iter().filter_map(update_from_wire);
+        let updates: Vec<PoisonUpdate> = updates.collect();
+        let changed = self.merge_poison(&updates, now);
         self.publish_statuses(&changed, "host")
     }
 
     fn merge_poison(
         &mut self,
-        told: &[PoisonUpdate],
+        updates: &[PoisonUpdate],
         now: Instant,
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
-        for told in told {
-            if self.poison.ledger.merge(told, now) {
-                changed.push(told.fingerprint);
+        for update in updates {
+            if self.poison.ledger.merge(update, now) {
+                changed.push(update.fingerprint);
             }
         }
         changed
@@ -142,15 +142,15 @@
         if digest == Some(self.poison.ledger.digest()) || self.poison.ledger.is_empty() {
             return Vec::new();
         }
-        let updates = self.poison.ledger.updates(
-            self.poison.told,
+        let updates = self.poison.ledger.page(
+            self.poison.last_sent,
             RECORDS_PER_DATAGRAM * MAX_DATAGRAMS_PER_EXCHANGE,
             now,
         );
-        self.poison.told = updates.last().map(|told| told.fingerprint);
-        let news = updates.chunks(RECORDS_PER_DATAGRAM).map(to_message);
+        self.poison.last_sent = updates.last().map(|update| update.fingerprint);
+        let messages = updates.chunks(RECORDS_PER_DATAGRAM).map(to_message);
         let send = |message| ControlAction::Send { to: from, message };
-        news.map(send).collect()
+        messages.map(send).collect()
     }
 
     /// Sends changed records to all hosts at once: spread by digests alone, they could cost a target at each hop.
@@ -163,15 +163,15 @@
             return Vec::new();
         }
         let ledger = &self.poison.ledger;
-        let told = changed.iter().filter_map(|fingerprint| {
+        let updates = changed.iter().filter_map(|fingerprint| {
             let record = ledger.get(fingerprint)?;
             Some(record.to_update(*fingerprint, now))
         });
-        let told: Vec<PoisonUpdate> = told.collect();
+        let updates: Vec<PoisonUpdate> = updates.collect();
         let mut actions = Vec::new();
         for to in self.hosts.pick_up(usize::MAX) {
-            let news = told.chunks(RECORDS_PER_DATAGRAM).map(to_message);
-            actions.extend(news.map(|message| ControlAction::Send { to, message }));
+            let messages = updates.chunks(RECORDS_PER_DATAGRAM).map(to_message);
+            actions.extend(messages.map(|message| ControlAction::Send { to, message }));
         }
         actions
     }
@@ -182,13 +182,14 @@
         changed: &[Fingerprint],
         now: Instant,
     ) -> Option<ControlAction> {
-        let kept = changed.iter().filter_map(|fingerprint| {
+        let writes = changed.iter().filter_map(|fingerprint| {
             let record = self.poison.ledger.get(fingerprint)?;
-            let told = record.to_update(*fingerprint, now);
-            let must_store = record.crash_count() >= MIN_STORED_CRASHES || !told.cleared.is_empty();
-            must_store.then(|| store_write(&told))
+            let update = record.to_update(*fingerprint, now);
+            let must_store =
+                record.crash_count() >= MIN_STORED_CRASHES || !update.cleared.is_empty();
+            must_store.then(|| store_write(&update))
         });
-        let writes: Vec<_> = kept.collect();
+        let writes: Vec<_> = writes.collect();
         (!writes.is_empty()).then_some(ControlAction::KeepPoison { writes })
     }
 
@@ -243,11 +244,11 @@
             return Vec::new();
         };
         self.poison.is_synchronized = true;
-        let mut told = Vec::new();
-        let mut expired = Vec::new();
+        let mut updates = Vec::new();
+        let mut deletions = Vec::new();
         for row in &batch.rows {
             match row.value.as_deref().map(parse_row) {
-                Some(Ok(poison)) => told.push(poison),
+                Some(Ok(update)) => updates.push(update),
                 Some(Err(error)) => {
                     note!(
                         Event::RowUnreadable,
@@ -259,15 +260,15 @@
                 None => {}
             }
         }
-        let changed = self.merge_poison(&told, now);
-        for poison in &told {
-            if self.poison.ledger.get(&poison.fingerprint).is_none() {
-                expired.push(delete_write(&poison.fingerprint));
+        let changed = self.merge_poison(&updates, now);
+        for update in &updates {
+            if self.poison.ledger.get(&update.fingerprint).is_none() {
+                deletions.push(delete_write(&update.fingerprint));
             }
         }
         let mut actions = self.publish_statuses(&changed, "store");
-        if !expired.is_empty() {
-            actions.push(ControlAction::KeepPoison { writes: expired });
+        if !deletions.is_empty() {
+            actions.push(ControlAction::KeepPoison { writes: deletions });
         }
         actions
     }
@@ -280,18 +281,18 @@
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         for fingerprint in changed {
-            let standing = self.poison.ledger.status(fingerprint);
+            let status = self.poison.ledger.status(fingerprint);
             let record = self.poison.ledger.get(fingerprint);
             note!(
                 Event::PoisonStanding,
                 fingerprint = fingerprint,
-                standing = PoisonStatus::word(standing),
+                standing = PoisonStatus::word(status),
                 targets_ended = record.map_or(0, |record| record.crash_count()),
                 source = source,
             );
             actions.push(ControlAction::Stands {
                 fingerprint: *fingerprint,
-                standing,
+                standing: status,
             });
         }
         if !changed.is_empty() {
@@ -301,47 +302,47 @@
     }
 
     fn set_poison_gauges(&self) {
-        for standing in [PoisonStatus::Suspected, PoisonStatus::Rejected] {
+        for status in [PoisonStatus::Suspected, PoisonStatus::Rejected] {
             let labels = StateLabels {
-                state: PoisonStatus::word(Some(standing)),
+                state: PoisonStatus::word(Some(status)),
             };
-            let count = self.poison.ledger.count(standing);
+            let count = self.poison.ledger.count(status);
             let gauge = metrics().poison.get_or_create(&labels).clone();
             gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         }
     }
 }
 
-fn to_message(told: &[PoisonUpdate]) -> Message {
-    let entries = told.iter().map(|told| PoisonEntry {
-        fingerprint: told.fingerprint.as_bytes().to_vec(),
-        strikes: told.strikes.iter().map(evidence_to_wire).collect(),
-        cleared: told.cleared.iter().map(|end| end.number()).collect(),
-        age_s: u32::try_from(told.age.as_secs()).unwrap_or(u32::MAX),
+fn to_message(updates: &[PoisonUpdate]) -> Message {
+    let entries = updates.iter().map(|update| PoisonEntry {
+        fingerprint: update.fingerprint.as_bytes().to_vec(),
+        strikes: update.strikes.iter().map(evidence_to_wire).collect(),
+        cleared: update.cleared.iter().map(|end| end.number()).collect(),
+        age_s: u32::try_from(update.age.as_secs()).unwrap_or(u32::MAX),
     });
     Message::PoisonNews(PoisonNews {
         entries: entries.collect(),
     })
 }
 
-fn evidence_to_wire(record_crashes: &CrashEvidence) -> PoisonStrike {
+fn evidence_to_wire(evidence: &CrashEvidence) -> PoisonStrike {
     PoisonStrike {
-        end: record_crashes.end.number(),
-        alone: record_crashes.alone,
-        begun: record_crashes.begun,
+        end: evidence.end.number(),
+        alone: evidence.alone,
+        begun: evidence.begun,
     }
 }
 
 /// Converts an entry from its wire format; `None` if its fingerprint is invalid.
 fn update_from_wire(entry: &PoisonEntry) -> Option<PoisonUpdate> {
-    let record_crashes = |record_crashes: &PoisonStrike| CrashEvidence {
-        end: CrashId::from_number(record_crashes.end),
-        alone: record_crashes.alone,
-        begun: record_crashes.begun,
+    let evidence_from_wire = |evidence: &PoisonStrike| CrashEvidence {
+        end: CrashId::from_number(evidence.end),
+        alone: evidence.alone,
+        begun: evidence.begun,
     };
     Some(PoisonUpdate {
         fingerprint: Fingerprint::from_bytes(&entry.fingerprint)?,
-        strikes: entry.strikes.iter().map(record_crashes).collect(),
+        strikes: entry.strikes.iter().map(evidence_from_wire).collect(),
         cleared: entry
             .cleared
             .iter()
--- a/src/process/host/poison_rows.rs
+++ b/src/process/host/poison_rows.rs
@@ -16,19 +16,21 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct PoisonRow {
     /// The record, with its age at the time of writing.
-    told: PoisonUpdate,
+    #[serde(rename = "told")]
+    update: PoisonUpdate,
     /// Unix time of the last crash in seconds, by the writer's wall clock.
-    struck_s: u64,
+    #[serde(rename = "struck_s")]
+    crashed_at_s: u64,
 }
 
 /// Returns the write that stores a record.
-pub(super) fn store_write(told: &PoisonUpdate) -> RowWrite {
+pub(super) fn store_write(update: &PoisonUpdate) -> RowWrite {
     let row = PoisonRow {
-        told: told.clone(),
-        struck_s: unix_seconds().saturating_sub(told.age.as_secs()),
+        update: update.clone(),
+        crashed_at_s: unix_seconds().saturating_sub(update.age.as_secs()),
     };
     RowWrite {
-        row: RowKey::new(POISON_TABLE, &told.fingerprint.to_string()),
+        row: RowKey::new(POISON_TABLE, &update.fingerprint.to_string()),
         // Serialization can't fail: all fields have a JSON form.
         value: serde_json::to_vec(&row).ok(),
     }
@@ -46,8 +48,8 @@
 pub(super) fn parse_row(value: &[u8]) -> Result<PoisonUpdate, serde_json::Error> {
     let row: PoisonRow = serde_json::from_slice(value)?;
     Ok(PoisonUpdate {
-        age: Duration::from_secs(unix_seconds().saturating_sub(row.struck_s)),
-        ..row.told
+        age: Duration::from_secs(unix_seconds().saturating_sub(row.crashed_at_s)),
+        ..row.update
     })
 }
 
