--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -29,7 +29,7 @@
 
 /// Target notices known to this host, and the permits that it issues.
 #[derive(Debug, Default)]
-pub(super) struct KnownNotices {
+pub(super) struct NoticeState {
     book: NoticeRegistry,
     desk: PermitAllocator,
     /// Notices with broadcasts left.
@@ -44,9 +44,9 @@
     due: Instant,
 }
 
-impl KnownNotices {
+impl NoticeState {
     /// Returns true if a response of the target announced that it is leaving; its list entry may lag behind.
-    pub fn says_leaving(
+    pub fn has_announced_leaving(
         &self,
         id: &str,
         target: &ListedTarget,
@@ -57,7 +57,7 @@
 
 impl HostControl {
     /// Handles notices from a response to a request of this host.
-    pub(super) fn on_notice_heard(
+    pub(super) fn on_response_notices(
         &mut self,
         target: &str,
         notices: &TargetNotices,
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -237,7 +237,7 @@
                 message: Message::PlaceWanted(wanted),
             }],
             ControlRequest::PublishNotices { target, notices } => {
-                self.on_notice_heard(&target, &notices, now)
+                self.on_response_notices(&target, &notices, now)
             }
             ControlRequest::RequestPermit(ask) => self.want_permit(ask, now),
             ControlRequest::ReleaseSlot { to, ended } if to == me => {
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -94,7 +94,9 @@
             let targets = self.targets.iter();
             let targets = targets
                 .filter(|(_, target)| target.record.service == wanted.service)
-                .filter(|(id, target)| target.is_usable() && !self.notices.says_leaving(id, target))
+                .filter(|(id, target)| {
+                    target.is_usable() && !self.notices.has_announced_leaving(id, target)
+                })
                 .map(|(id, target)| (id.as_str(), target.record.slots));
             given.places.set_targets(targets);
         }
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -143,7 +143,7 @@
             return false;
         };
         listed.is_usable()
-            && !self.notices.says_leaving(target, listed)
+            && !self.notices.has_announced_leaving(target, listed)
             && !self.is_own_address(listed.record.address)
     }
 
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
+        ControlAction, ControlEvent, TableName, control_notices::NoticeState,
         control_places::GivenPlaces, control_poison::PoisonState, control_quotas::ShardLedger,
         listed_target::ListedTarget, removed_targets::RemovedTargets,
         taker_selection::TakerSelection, unclaimed_engines::UnclaimedEngines,
@@ -135,7 +135,7 @@
     /// Places at targets of the plain services that are given out here.
     pub(super) places: BTreeMap<String, GivenPlaces>,
     /// What targets say of themselves.
-    pub(super) notices: KnownNotices,
+    pub(super) notices: NoticeState,
 }
 
 impl HostControl {
@@ -206,7 +206,7 @@
             poison: PoisonState::default(),
             ledgers: BTreeMap::new(),
             places: BTreeMap::new(),
-            notices: KnownNotices::default(),
+            notices: NoticeState::default(),
         }
     }
 
@@ -507,7 +507,9 @@
             .targets
             .iter()
             .filter(|(_, target)| !own.contains(&target.record.address))
-            .filter(|(id, target)| target.is_usable() && !self.notices.says_leaving(id, target))
+            .filter(|(id, target)| {
+                target.is_usable() && !self.notices.has_announced_leaving(id, target)
+            })
             .map(|(id, target)| {
                 let holder = holders.get(id.as_str()).copied();
                 (id.clone(), self.target_view(id, target, holder))
