--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -19,13 +19,13 @@
 };
 
 /// Number of times a notice is broadcast, since datagrams can be lost.
-const TELLINGS: u32 = 3;
+const BROADCAST_COUNT: u32 = 3;
 
 /// Time between two broadcasts of the same notice.
-const TELLING_PAUSE: Duration = Duration::from_millis(300);
+const BROADCAST_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Retry delay returned by a host that does not issue the target's permits.
-const NOT_COUNTED_PAUSE: Duration = Duration::from_millis(100);
+const WRONG_HOST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Target notices known to this host, and the permits that it issues.
 #[derive(Debug, Default)]
@@ -33,11 +33,11 @@
     book: NoticeRegistry,
     desk: PermitAllocator,
     /// Notices with broadcasts left.
-    untold: Vec<Telling>,
+    pending_broadcasts: Vec<NoticeBroadcast>,
 }
 
 #[derive(Debug)]
-struct Telling {
+struct NoticeBroadcast {
     target: String,
     notices: TargetNotices,
     left: u32,
@@ -63,7 +63,7 @@
         notices: &TargetNotices,
         now: Instant,
     ) -> Vec<ControlAction> {
-        if !self.take_notices(target, notices, now) {
+        if !self.merge_notices(target, notices, now) {
             return Vec::new();
         }
         match self.permit_host(target) {
@@ -75,7 +75,7 @@
                     message,
                 }]
             }
-            _ => self.tell_notices(target, notices, now),
+            _ => self.broadcast_notices(target, notices, now),
         }
     }
 
@@ -86,7 +86,7 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let notices = news.notices(now);
-        if !self.take_notices(&news.target, &notices, now) {
+        if !self.merge_notices(&news.target, &notices, now) {
             return Vec::new();
         }
         let limit = notices.limit;
@@ -106,7 +106,7 @@
         }];
         // Hosts report notices to the target's permit host, which broadcasts them.
         if self.permit_host(&news.target) == Some(self.hosts.me().peer) {
-            actions.extend(self.tell_notices(&news.target, &notices, now));
+            actions.extend(self.broadcast_notices(&news.target, &notices, now));
         }
         actions
     }
@@ -142,7 +142,7 @@
         now: Instant,
     ) -> Result<(), Duration> {
         if self.permit_host(&news.target) != Some(self.hosts.me().peer) {
-            return Err(NOT_COUNTED_PAUSE);
+            return Err(WRONG_HOST_RETRY_DELAY);
         }
         let start = news.notices(now).start;
         let known = self.notices.book.get(&news.target, start);
@@ -166,7 +166,7 @@
         permit_host(target, peers.chain(me))
     }
 
-    fn take_notices(
+    fn merge_notices(
         &mut self,
         target: &str,
         notices: &TargetNotices,
@@ -183,19 +183,19 @@
         true
     }
 
-    /// Broadcasts a target's notices to all hosts, `TELLINGS` times.
-    fn tell_notices(
+    /// Broadcasts a target's notices to all hosts, `BROADCAST_COUNT` times.
+    fn broadcast_notices(
         &mut self,
         target: &str,
         notices: &TargetNotices,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let untold = &mut self.notices.untold;
-        untold.retain(|telling| telling.target != target);
-        untold.push(Telling {
+        let pending_broadcasts = &mut self.notices.pending_broadcasts;
+        pending_broadcasts.retain(|broadcast| broadcast.target != target);
+        pending_broadcasts.push(NoticeBroadcast {
             target: target.to_string(),
             notices: *notices,
-            left: TELLINGS,
+            left: BROADCAST_COUNT,
             due: now,
         });
         self.tick_notices(now)
@@ -206,20 +206,23 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut untold = std::mem::take(&mut self.notices.untold);
+        let mut pending_broadcasts = std::mem::take(&mut self.notices.pending_broadcasts);
         let mut actions = Vec::new();
-        for telling in untold.iter_mut().filter(|telling| telling.due <= now) {
-            telling.left -= 1;
-            telling.due = now + TELLING_PAUSE;
-            let news = TargetNews::of(&telling.target, &telling.notices, now);
+        for broadcast in pending_broadcasts
+            .iter_mut()
+            .filter(|broadcast| broadcast.due <= now)
+        {
+            broadcast.left -= 1;
+            broadcast.due = now + BROADCAST_INTERVAL;
+            let news = TargetNews::of(&broadcast.target, &broadcast.notices, now);
             let up = self.hosts.hosts().filter(|host| host.state.is_up());
             actions.extend(up.map(|host| ControlAction::Send {
                 to: host.identity.peer,
                 message: Message::TargetNews(news.clone()),
             }));
         }
-        untold.retain(|telling| telling.left > 0);
-        self.notices.untold = untold;
+        pending_broadcasts.retain(|broadcast| broadcast.left > 0);
+        self.notices.pending_broadcasts = pending_broadcasts;
         actions
     }
 }
