--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -30,8 +30,8 @@
 /// Target notices known to this host, and the permits that it issues.
 #[derive(Debug, Default)]
 pub(super) struct NoticeState {
-    book: NoticeRegistry,
-    desk: PermitAllocator,
+    registry: NoticeRegistry,
+    allocator: PermitAllocator,
     /// Notices with broadcasts left.
     pending_broadcasts: Vec<NoticeBroadcast>,
 }
@@ -40,7 +40,7 @@
 struct NoticeBroadcast {
     target: String,
     notices: TargetNotices,
-    left: u32,
+    remaining: u32,
     due: Instant,
 }
 
@@ -51,7 +51,7 @@
         id: &str,
         target: &ListedTarget,
     ) -> bool {
-        self.book.is_leaving(id, target.record.started)
+        self.registry.is_leaving(id, target.record.started)
     }
 }
 
@@ -67,11 +67,11 @@
             return Vec::new();
         }
         match self.permit_host(target) {
-            Some(counting_host) if counting_host != self.hosts.me().peer => {
+            Some(permit_peer) if permit_peer != self.hosts.me().peer => {
                 let news = TargetNews::of(target, notices, now);
                 let message = Message::TargetNews(news);
                 vec![ControlAction::Send {
-                    to: counting_host,
+                    to: permit_peer,
                     message,
                 }]
             }
@@ -115,28 +115,28 @@
     pub(super) fn on_permit_ask(
         &mut self,
         from: SocketAddr,
-        ask: &PermitAsk,
+        request: &PermitAsk,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut actions = self.on_target_news(&ask.news, now);
-        let outcome = self.permit(&ask.news, now);
+        let mut actions = self.on_target_news(&request.news, now);
+        let outcome = self.allocate_permit(&request.news, now);
         let state = match &outcome {
             Ok(()) => "granted",
             Err(_) => "denied",
         };
         let labels = StateLabels { state };
         metrics().permits.get_or_create(&labels).inc();
-        let pause = outcome.err().unwrap_or_default();
+        let retry_delay = outcome.err().unwrap_or_default();
         let answer = PermitAnswer {
-            id: ask.id,
+            id: request.id,
             granted: outcome.is_ok(),
-            ask_again_ms: u32::try_from(pause.as_millis() + 1).unwrap_or(u32::MAX),
+            ask_again_ms: u32::try_from(retry_delay.as_millis() + 1).unwrap_or(u32::MAX),
         };
         actions.push(self.send(from, Message::PermitAnswer(answer)));
         actions
     }
 
-    fn permit(
+    fn allocate_permit(
         &mut self,
         news: &TargetNews,
         now: Instant,
@@ -145,10 +145,13 @@
             return Err(WRONG_HOST_RETRY_DELAY);
         }
         let start = news.notices(now).start;
-        let known = self.notices.book.get(&news.target, start);
+        let known = self.notices.registry.get(&news.target, start);
         let limit = known.and_then(|known| known.limit);
         match limit.and_then(|limit| limit.rate_at(now)) {
-            Some(rate) => self.notices.desk.request(&news.target, start, rate, now),
+            Some(rate) => self
+                .notices
+                .allocator
+                .request(&news.target, start, rate, now),
             // The limit has ended, and the requesting host does not know it yet.
             None => Ok(()),
         }
@@ -172,7 +175,7 @@
         notices: &TargetNotices,
         now: Instant,
     ) -> bool {
-        if !self.notices.book.merge(target, notices, now) {
+        if !self.notices.registry.merge(target, notices, now) {
             return false;
         }
         if notices.leaving {
@@ -195,7 +198,7 @@
         pending_broadcasts.push(NoticeBroadcast {
             target: target.to_string(),
             notices: *notices,
-            left: BROADCAST_COUNT,
+            remaining: BROADCAST_COUNT,
             due: now,
         });
         self.tick_notices(now)
@@ -212,7 +215,7 @@
             .iter_mut()
             .filter(|broadcast| broadcast.due <= now)
         {
-            broadcast.left -= 1;
+            broadcast.remaining -= 1;
             broadcast.due = now + BROADCAST_INTERVAL;
             let news = TargetNews::of(&broadcast.target, &broadcast.notices, now);
             let up = self.hosts.hosts().filter(|host| host.state.is_up());
@@ -221,7 +224,7 @@
                 message: Message::TargetNews(news.clone()),
             }));
         }
-        pending_broadcasts.retain(|broadcast| broadcast.left > 0);
+        pending_broadcasts.retain(|broadcast| broadcast.remaining > 0);
         self.notices.pending_broadcasts = pending_broadcasts;
         actions
     }
