--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -32,19 +32,19 @@
     tokio::task::spawn_local,
 };
 
-const ORDER_LIMIT: Duration = Duration::from_millis(120);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(120);
 
-const REPORT_LIMIT: Duration = Duration::from_millis(400);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Maximum number of rows that the store accepts in one transaction.
-const MAX_WRITES: usize = 100;
+const MAX_ROWS_PER_TRANSACTION: usize = 100;
 
 /// Attempts to write poison rows, and the delay between them; together they outlast a store outage of a minute.
-const KEEP_TRIES: u32 = 30;
-const KEEP_PAUSE: Duration = Duration::from_secs(2);
+const STORE_MAX_ATTEMPTS: u32 = 30;
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Minimum remaining lease time for sending an order.
-const LEASE_MARGIN: Duration = Duration::from_millis(200);
+const MIN_REMAINING_LEASE: Duration = Duration::from_millis(200);
 
 /// Event loop of the control thread: passes events to [`HostControl`] and executes the resulting actions.
 pub struct ControlRunner {
@@ -251,7 +251,7 @@
     ) {
         let store = self.store.clone();
         spawn_local(async move {
-            for group in writes.chunks(MAX_WRITES) {
+            for group in writes.chunks(MAX_ROWS_PER_TRANSACTION) {
                 let transaction = Transaction {
                     expected: Vec::new(),
                     writes: group.to_vec(),
@@ -297,11 +297,11 @@
             let expect = expect_line(&formats, &target);
             let call = formats.order_call(&order);
             // The lease is checked as late as possible before sending.
-            if !lease.holds_in(term, Instant::now() + LEASE_MARGIN) {
+            if !lease.holds_in(term, Instant::now() + MIN_REMAINING_LEASE) {
                 let _ = events.send(ControlEvent::OrderWithheld { target });
                 return;
             }
-            let limit = CallLimit::whole(ORDER_LIMIT);
+            let limit = CallLimit::whole(ORDER_TIMEOUT);
             let reply = calls.call(address, &call, &expect, limit).await;
             let reply = reply.ok();
             let reply = reply.and_then(|reply| formats.order_reply(reply.status).ok());
@@ -327,7 +327,7 @@
         spawn_local(async move {
             let expect = expect_line(&formats, &target);
             let call = formats.report_call();
-            let limit = CallLimit::whole(REPORT_LIMIT);
+            let limit = CallLimit::whole(REPORT_TIMEOUT);
             let reply = calls.call(address, &call, &expect, limit).await;
             let report = reply.ok();
             let report = report.and_then(|reply| formats.report_reply(&reply).ok());
@@ -336,16 +336,16 @@
     }
 }
 
-/// Commits a transaction with up to `KEEP_TRIES` attempts; returns true on success.
+/// Commits a transaction with up to `STORE_MAX_ATTEMPTS` attempts; returns true on success.
 async fn keep_group(
     store: &StoreClient,
     transaction: &Transaction,
 ) -> bool {
-    for _ in 0..KEEP_TRIES {
+    for _ in 0..STORE_MAX_ATTEMPTS {
         if let Ok(Commit::Done { .. }) = store.commit(transaction).await {
             return true;
         }
-        tokio::time::sleep(KEEP_PAUSE).await;
+        tokio::time::sleep(STORE_RETRY_DELAY).await;
     }
     false
 }
