--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -102,10 +102,10 @@
 
     /// Runs until the event or request channel is closed.
     pub async fn run(self) {
-        let mut watch = WakeWatch::new(Instant::now());
+        let mut wake_watch = WakeWatch::new(Instant::now());
         loop {
-            let looked = Instant::now();
-            let wake = self.control.borrow().next_wake(looked);
+            let waiting_since = Instant::now();
+            let wake = self.control.borrow().next_wake(waiting_since);
             let event = tokio::select! {
                 biased;
                 event = self.inbox.recv_async() => match event {
@@ -122,23 +122,23 @@
                     arrived_after: self.socket.drained_at(),
                 },
                 _ = sleep_until(wake) => {
-                    if wake > looked {
+                    if wake > waiting_since {
                         // Datagrams that had arrived by then would have been received first.
-                        self.socket.note_drained(looked);
+                        self.socket.note_drained(waiting_since);
                     }
                     ControlEvent::Tick
                 }
             };
-            let (kind, begun) = (event.kind(), Instant::now());
-            let actions = self.control.borrow_mut().on(event, begun);
+            let (kind, started_at) = (event.kind(), Instant::now());
+            let actions = self.control.borrow_mut().on(event, started_at);
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
-            tell_wake(&mut watch, kind, begun);
+            tell_wake(&mut wake_watch, kind, started_at);
         }
     }
 
-    fn carry_out(
+    fn execute(
         &self,
         action: ControlAction,
     ) {
@@ -164,40 +164,42 @@
                 order,
             } => self.order(target, address, term, order),
             ControlAction::AskReport { target, address } => self.request_report(target, address),
-            ControlAction::Publish(view) => self.tell_traffic(TrafficInput::View(view)),
+            ControlAction::Publish(view) => self.send_to_traffic(TrafficInput::View(view)),
             ControlAction::Confirm(confirmation) => {
-                self.tell_traffic(TrafficInput::Confirmed(confirmation));
+                self.send_to_traffic(TrafficInput::Confirmed(confirmation));
             }
             ControlAction::Place(placement) => {
-                self.tell_traffic(TrafficInput::Placement(placement));
+                self.send_to_traffic(TrafficInput::Placement(placement));
             }
-            ControlAction::Load(load) => self.tell_traffic(TrafficInput::Load(load)),
+            ControlAction::Load(load) => self.send_to_traffic(TrafficInput::Load(load)),
             ControlAction::Stand(standing) => {
-                self.tell_traffic(TrafficInput::Standing(standing));
+                self.send_to_traffic(TrafficInput::Standing(standing));
             }
-            ControlAction::PlaceGiven(given) => self.tell_traffic(TrafficInput::PlaceGiven(given)),
-            ControlAction::Permit(answer) => self.tell_traffic(TrafficInput::Permit(answer)),
+            ControlAction::PlaceGiven(given) => {
+                self.send_to_traffic(TrafficInput::PlaceGiven(given))
+            }
+            ControlAction::Permit(answer) => self.send_to_traffic(TrafficInput::Permit(answer)),
             ControlAction::TargetNews { target, notices } => {
-                self.tell_traffic(TrafficInput::TargetNews { target, notices });
+                self.send_to_traffic(TrafficInput::TargetNews { target, notices });
             }
-            ControlAction::Charged(answer) => self.tell_traffic(TrafficInput::Charged(answer)),
-            ControlAction::Borrow(loan) => self.tell_traffic(TrafficInput::Borrowed(loan)),
+            ControlAction::Charged(answer) => self.send_to_traffic(TrafficInput::Charged(answer)),
+            ControlAction::Borrow(loan) => self.send_to_traffic(TrafficInput::Borrowed(loan)),
             ControlAction::Stands {
                 fingerprint,
                 standing,
-            } => self.tell_traffic(TrafficInput::Stands {
+            } => self.send_to_traffic(TrafficInput::Stands {
                 fingerprint,
                 standing,
             }),
             ControlAction::ReadPoison => self.read_poison(),
-            ControlAction::KeepPoison { writes } => self.keep_poison(writes),
+            ControlAction::KeepPoison { writes } => self.store_poison(writes),
             ControlAction::Lend { to, ask } => {
-                self.tell_traffic(TrafficInput::LoanAsked { to, ask });
+                self.send_to_traffic(TrafficInput::LoanAsked { to, ask });
             }
         }
     }
 
-    fn tell_traffic(
+    fn send_to_traffic(
         &self,
         input: TrafficInput,
     ) {
@@ -211,7 +213,7 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         spawn_local(async move {
             let sent = Instant::now();
-            let commit = committed(store.commit(&transaction).await);
+            let commit = commit_outcome(store.commit(&transaction).await);
             let _ = events.send(ControlEvent::Renewed { sent, commit });
         });
     }
@@ -231,11 +233,11 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         spawn_local(async move {
             let rows = store.read_table(POISON_TABLE).await;
-            if let Err(problem) = &rows {
+            if let Err(error) = &rows {
                 note!(
                     Event::PoisonStoreFailed,
                     call = "read",
-                    problem = quoted(problem)
+                    problem = quoted(error)
                 );
             }
             let rows = rows.ok();
@@ -245,19 +247,19 @@
 
     /// Writes poison rows to the store, retrying on failure. Giving up is safe: hosts keep the records in memory, and the
     /// store only covers the loss of all hosts.
-    fn keep_poison(
+    fn store_poison(
         &self,
         writes: Vec<RowWrite>,
     ) {
         let store = self.store.clone();
         spawn_local(async move {
-            for group in writes.chunks(MAX_ROWS_PER_TRANSACTION) {
+            for chunk in writes.chunks(MAX_ROWS_PER_TRANSACTION) {
                 let transaction = Transaction {
                     expected: Vec::new(),
-                    writes: group.to_vec(),
+                    writes: chunk.to_vec(),
                 };
-                if !keep_group(&store, &transaction).await {
-                    note!(Event::PoisonStoreFailed, call = "keep", rows = group.len());
+                if !commit_with_retries(&store, &transaction).await {
+                    note!(Event::PoisonStoreFailed, call = "keep", rows = chunk.len());
                 }
             }
         });
@@ -271,7 +273,7 @@
     ) {
         let (store, events) = (self.store.clone(), self.events.clone());
         spawn_local(async move {
-            let commit = committed(store.commit(&transaction).await);
+            let commit = commit_outcome(store.commit(&transaction).await);
             let _ = events.send(ControlEvent::Taken {
                 engines,
                 term,
@@ -294,7 +296,7 @@
         );
         let lease = self.lease.clone();
         spawn_local(async move {
-            let expect = expect_line(&formats, &target);
+            let expect = expect_target_header(&formats, &target);
             let call = formats.order_call(&order);
             // The lease is checked as late as possible before sending.
             if !lease.holds_in(term, Instant::now() + MIN_REMAINING_LEASE) {
@@ -325,7 +327,7 @@
             self.formats.clone(),
         );
         spawn_local(async move {
-            let expect = expect_line(&formats, &target);
+            let expect = expect_target_header(&formats, &target);
             let call = formats.report_call();
             let limit = CallLimit::whole(REPORT_TIMEOUT);
             let reply = calls.call(address, &call, &expect, limit).await;
@@ -337,7 +339,7 @@
 }
 
 /// Commits a transaction with up to `STORE_MAX_ATTEMPTS` attempts; returns true on success.
-async fn keep_group(
+async fn commit_with_retries(
     store: &StoreClient,
     transaction: &Transaction,
 ) -> bool {
@@ -351,7 +353,7 @@
 }
 
 /// Returns the outcome of a transaction; `None` if it is unknown whether it was committed.
-fn committed(outcome: Result<Commit, StoreFailure>) -> Option<Commit> {
+fn commit_outcome(outcome: Result<Commit, StoreFailure>) -> Option<Commit> {
     match outcome {
         Ok(commit) => Some(commit),
         Err(failure) if failure.left_nothing() => Some(Commit::TurnedAway),
@@ -360,7 +362,7 @@
 }
 
 /// Returns the header line that names the only target that may answer a call.
-fn expect_line(
+fn expect_target_header(
     formats: &Arc<dyn Formats>,
     target: &str,
 ) -> String {
