--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -57,13 +57,13 @@
     /// Returns the engines held here, ordered by their most urgent pending load, since all share one limit of
     /// concurrent loads.
     fn allocators_by_urgency(&self) -> Vec<String> {
-        let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
+        let mut by_urgency: Vec<(&String, Option<PendingLoadRank>)> = self
             .desks
             .iter()
             .map(|(target, allocator)| (target, allocator.first_pending()))
             .collect();
-        desks.sort_by_key(|(_, first)| (first.is_none(), *first));
-        desks
+        by_urgency.sort_by_key(|(_, first)| (first.is_none(), *first));
+        by_urgency
             .into_iter()
             .map(|(target, _)| target.clone())
             .collect()
@@ -151,11 +151,11 @@
         self.holding.held_engine(&query.target, now)?;
         let allocator = self.desks.get_mut(&query.target)?;
         let placement = allocator.on_query(from, query, now);
-        let standing = EngineStanding {
+        let answer = EngineStanding {
             load: load_excluding(&query.target, allocator, from),
             placement,
         };
-        Some(self.send(from, Message::EngineStanding(standing)))
+        Some(self.send(from, Message::EngineStanding(answer)))
     }
 
     /// Applies the engine sizes of the current configuration.
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -46,11 +46,11 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let slots = self.held_shards(now).into_iter().map(shard_lease);
-        let holds: Vec<String> = self.desks.keys().cloned().chain(slots).collect();
-        if self.told_holds == holds || now < self.next_holds {
+        let holdings: Vec<String> = self.desks.keys().cloned().chain(slots).collect();
+        if self.told_holds == holdings || now < self.next_holds {
             return Vec::new();
         }
-        self.told_holds = holds;
+        self.told_holds = holdings;
         self.next_holds = now + HOLDINGS_PUBLISH_INTERVAL;
         self.tell_all(now)
     }
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -145,8 +145,8 @@
             return Err(WRONG_HOST_RETRY_DELAY);
         }
         let start = news.notices(now).start;
-        let known = self.notices.registry.get(&news.target, start);
-        let limit = known.and_then(|known| known.limit);
+        let merged = self.notices.registry.get(&news.target, start);
+        let limit = merged.and_then(|notices| notices.limit);
         match limit.and_then(|limit| limit.rate_at(now)) {
             Some(rate) => self
                 .notices
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -39,7 +39,7 @@
 /// Maximum number of rows that the store accepts in one transaction.
 const MAX_ROWS_PER_TRANSACTION: usize = 100;
 
-/// Attempts to write poison rows, and the delay between them; together they outlast a store outage of a minute.
+/// Attempts to write poison rows, and the delay between them; together they cover a store outage of a minute.
 const STORE_MAX_ATTEMPTS: u32 = 30;
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
