--- a/src/process/host/copy_reader.rs
+++ b/src/process/host/copy_reader.rs
@@ -19,26 +19,25 @@
     tokio::task::spawn_local,
 };
 
-/// Longest time for a whole table: 4 MB, the most that operators may declare, take 4.5 s on a link of
-/// 10 Mbit/s in the store's text form.
+/// Time limit for the transfer of a complete table.
 ///
-/// A shorter limit on the whole would cut each transfer that does not fit into it, and each try would
-/// begin anew: such a table never arrives, and its link is full of bytes that nobody uses.
+/// It must suffice for the largest table that operators may declare, 4 MB, on a link of 10 Mbit/s: a
+/// transfer that is cut off starts over and would never complete.
 const TRANSFER_LIMIT: Duration = Duration::from_secs(10);
 
-/// Calls to the store, which answers within some milliseconds unless it is slow or out.
+/// Time limits for calls to the store.
 pub const STORE_LIMIT: CallLimit = CallLimit {
     whole: TRANSFER_LIMIT,
     silence: Duration::from_millis(900),
 };
 
-/// Calls to other hosts, which answer within some milliseconds.
+/// Time limits for calls to other hosts.
 const PULL_LIMIT: CallLimit = CallLimit {
     whole: TRANSFER_LIMIT,
     silence: Duration::from_millis(500),
 };
 
-/// Reads tables from the store and from other hosts; each read ends with an event.
+/// Reads tables from the store and from other hosts; each read sends an event when it ends.
 pub struct CopyReader {
     pub formats: Arc<dyn Formats>,
     pub store: Rc<StoreClient>,
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Reads from the store what has changed in a table since a version.
+    /// Reads the changes of a table since a version from the store.
     pub fn read_changes(
         &self,
         table: TableName,
@@ -76,7 +75,7 @@
         });
     }
 
-    /// Reads a whole table from the store.
+    /// Reads a complete table from the store.
     pub fn read_table(
         &self,
         table: TableName,
@@ -94,7 +93,7 @@
         });
     }
 
-    /// Asks another host for what has changed in its copy since a version.
+    /// Requests the changes of a table since a version from another host.
     pub fn pull(
         &self,
         table: TableName,
@@ -115,7 +114,7 @@
         });
     }
 
-    /// Asks another host for the hosts that it knows.
+    /// Requests the list of known hosts from another host.
     pub fn pull_hosts(
         &self,
         from: SocketAddr,
@@ -132,7 +131,7 @@
     }
 }
 
-/// Tells how a read of a table from the store ended.
+/// Counts and logs the result of a read from the store.
 fn tell_store_read(
     transfer: &CopyTransfer,
     bytes: Result<usize, &StoreFailure>,
@@ -143,7 +142,9 @@
     }
 }
 
-/// Understands another host's copy, with the time at which it was right, and tells how its transfer ended.
+/// Decodes the changes that another host sent, with the time as of which they were current.
+///
+/// Counts and logs the result of the transfer.
 fn understand_pull(
     transfer: &CopyTransfer,
     reply: Result<HttpReply, CallFailure>,
--- a/src/process/host/copy_server.rs
+++ b/src/process/host/copy_server.rs
@@ -10,24 +10,24 @@
     xxhash_rust::xxh3::Xxh3Default,
 };
 
-/// Larger pages wait until the link has room for them; smaller ones fill 10 Mbit/s for 13 ms at the most.
+/// Pages of at least this many bytes are subject to the send allowance.
 const LARGE_PAGE: usize = 16 * 1024;
 
-/// A page that was packed, and which rows and copy it stands for.
+/// An encoded page and the digest of the changes in it.
 struct PackedPage {
     content: u64,
     page: CopyPage,
 }
 
-/// Hands this host's copies of tables to other hosts.
+/// Serves this host's table replicas to other hosts.
 pub struct CopyServer {
     allowance: SendAllowance,
-    /// The last page of each table: hosts that lag mostly lack the same rows, and packing 1 MB takes 1 ms.
+    /// Last page of each table; hosts that lag behind mostly request the same changes.
     last: HashMap<TableName, PackedPage>,
 }
 
 impl CopyServer {
-    /// Serves over a link that carries so much; none sets no limit.
+    /// `link_mbps` is the capacity of this host's link; `None` disables the limit.
     pub fn new(link_mbps: Option<f64>) -> Self {
         Self {
             allowance: SendAllowance::new(link_mbps),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What has changed in a table since a version of the store.
+    /// Returns the changes of a table since a version of the store.
     pub fn answer(
         &mut self,
         control: &HostControl,
@@ -59,7 +59,7 @@
         PeerAnswer::Page(bytes)
     }
 
-    /// The page of these changes, packed anew unless it is the last one again.
+    /// Returns the page of these changes, from the cache if it is the table's last one.
     fn pack(
         &mut self,
         table: TableName,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Equal for changes that make the same page.
+/// Digest of the content of a page.
 fn content_of(changes: &TableChanges) -> u64 {
     let mut content = Xxh3Default::new();
     for row in &changes.rows {
--- a/src/process/host/copy_transfer.rs
+++ b/src/process/host/copy_transfer.rs
@@ -13,13 +13,13 @@
     },
 };
 
-/// A transfer of so many bytes gets a line of its own: it fills a link of 10 Mbit/s for 13 ms.
+/// Transfers of at least this many bytes are logged.
 const NOTED_BYTES: usize = 16 * 1024;
 
-/// A transfer that takes so long gets a line of its own: the usual ones take a few milliseconds.
+/// Transfers that take at least this long are logged.
 const NOTED_TIME: Duration = Duration::from_millis(200);
 
-/// Where a copy of a table comes from.
+/// Source of a table replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CopySource {
     Store,
@@ -47,12 +47,12 @@
     }
 }
 
-/// A copy of a table, or what has changed in it, on its way to this host; counts and tells how it ends.
+/// A transfer of a table or its changes to this host; its result is counted and logged.
 #[derive(Debug)]
 pub struct CopyTransfer {
     table: TableName,
     source: CopySource,
-    /// The version since which changes are asked for, 0 for the whole table.
+    /// Version after which changes are requested; 0 requests the complete table.
     since: u64,
     begun: Instant,
 }
@@ -71,15 +71,15 @@
         }
     }
 
-    /// When the transfer began: what it brings was right at that moment or later.
+    /// Start of the transfer; the data received is at least as recent.
     pub fn begun(&self) -> Instant {
         self.begun
     }
 
-    /// When a copy was right that the other side told to be so old.
+    /// Returns the time as of which a replica was current, given the age that its sender reported.
     ///
-    /// Its age is told at the beginning of the transfer. Taken as of the end, a copy that was seconds on its
-    /// way would seem newer than it is, and nobody would read a newer one.
+    /// The age counts from the start of the transfer: counted from its end, a replica that took seconds to
+    /// arrive would appear newer than it is.
     pub fn right_at(
         &self,
         age: Duration,
@@ -87,7 +87,7 @@
         self.begun.checked_sub(age)
     }
 
-    /// It has arrived.
+    /// Counts a completed transfer and logs a large or slow one.
     pub fn note_taken(
         &self,
         bytes: usize,
@@ -107,12 +107,12 @@
         );
     }
 
-    /// The host that was asked is busy with others; another one will have a copy soon.
+    /// Counts a transfer that the other host postponed because its link is busy.
     pub fn note_deferred(&self) {
         self.count("deferred", 0);
     }
 
-    /// It came to nothing, though `bytes` of it had arrived.
+    /// Counts and logs a failed transfer, of which `bytes` had arrived.
     pub fn note_failed(
         &self,
         bytes: usize,
--- a/src/process/host/host_process.rs
+++ b/src/process/host/host_process.rs
@@ -31,19 +31,19 @@
     },
 };
 
-/// Share of the grace time after which new requests are refused.
+/// Share of the grace period after which new requests are rejected.
 const REFUSE_SHARE: f64 = 0.35;
 
-/// Share of the grace time after which the process ends whatever runs.
+/// Share of the grace period after which the process exits even if requests are running.
 const END_SHARE: f64 = 0.96;
 
-/// Time between looks whether the last connection has ended.
+/// Interval of checks for open connections during a planned stop.
 const END_PERIOD: Duration = Duration::from_millis(50);
 
-/// A planned stop takes at least so long, so that callers hear of it.
+/// Minimum duration of a planned stop, so that callers can be notified of it.
 const LEAST_STOP: Duration = Duration::from_millis(300);
 
-/// Runs one host until it is told to stop.
+/// Runs one host until it receives a signal to stop.
 pub fn run_host_process(
     settings: NodeSettings,
     formats: Arc<dyn Formats>,
@@ -57,7 +57,7 @@
     settings: NodeSettings,
     formats: Arc<dyn Formats>,
 ) -> Result<(), RunError> {
-    // First of all: a signal that comes before would end the process.
+    // Handlers come first: an earlier signal would kill the process.
     let mut signals = Signals::new()?;
     let control = HostControl::new(
         settings.clone(),
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-/// The signals that the process heeds.
+/// Handlers for SIGTERM and SIGINT, which stop the process, and SIGHUP, which is ignored.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -141,7 +141,7 @@
     }
 }
 
-/// Lets what runs come to its end, as long as the grace time allows.
+/// Drains connections: returns when none is open or the grace period is nearly over.
 async fn leave(
     stop: &watch::Sender<StopStage>,
     open_connections: &AtomicUsize,
--- a/src/process/host/kept_calls.rs
+++ b/src/process/host/kept_calls.rs
@@ -6,16 +6,16 @@
     std::{cell::RefCell, collections::HashMap, net::SocketAddr},
 };
 
-/// Makes calls to engines and other hosts, over connections that rest in between.
+/// Calls engines and other hosts over connections that are kept open between calls.
 #[derive(Debug, Default)]
 pub struct KeptCalls {
     resting: RefCell<HashMap<SocketAddr, CallClient>>,
 }
 
 impl KeptCalls {
-    /// Makes a call over the connection that rests, or a new one.
+    /// Makes a call over the idle connection to `address`, or over a new one.
     ///
-    /// `headers` are whole header lines, each with its line end.
+    /// `headers` are complete header lines, each with its line end.
     pub async fn call(
         &self,
         address: SocketAddr,
--- a/src/process/host/peer_pages.rs
+++ b/src/process/host/peer_pages.rs
@@ -1,4 +1,4 @@
-//! The pages on which one host reads what another knows: its copies of tables, and the hosts.
+//! HTTP pages that hosts serve to one another: table replicas and the list of known hosts.
 
 use {
     super::{HostControl, TableName, copy_server::CopyServer, peer_answer::PeerAnswer},
@@ -29,7 +29,7 @@
     }
 }
 
-/// Asks for what has changed since a version.
+/// Returns the call that requests the changes of a table since a version.
 pub fn copy_call(
     table: TableName,
     since: u64,
@@ -37,17 +37,17 @@
     HttpCall::get(format!("{COPY_PATH}{}?since={since}", table.word()))
 }
 
-/// Asks for the hosts that another one knows.
+/// Returns the call that requests the list of known hosts.
 pub fn hosts_call() -> HttpCall {
     HttpCall::get(HOSTS_PATH.to_string())
 }
 
-/// Understands the page of hosts.
+/// Decodes the list of known hosts; `None` if it is malformed.
 pub fn parse_hosts(body: &[u8]) -> Option<Vec<HostRumor>> {
     Some(HostsBody::decode(body).ok()?.hosts)
 }
 
-/// Answers another host.
+/// Answers a request from another host.
 pub fn answer_peer(
     control: &HostControl,
     copies: &mut CopyServer,
@@ -65,7 +65,7 @@
     copies.answer(control, table, since, now)
 }
 
-/// Which table is asked for, and since which version.
+/// Parses the table and the version of a request for changes; `None` for any other path or query.
 fn asked_copy(
     path: &str,
     query: &str,
--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -1,5 +1,5 @@
-//! The pages for callers that ask where to go, for whoever asks whether the host is ready, and for
-//! other hosts.
+//! HTTP pages of a host: entry addresses for callers, readiness, metrics, operators' commands and pages
+//! for other hosts.
 
 use {
     super::{
@@ -19,22 +19,20 @@
     tokio::{net::TcpListener, task::spawn_local},
 };
 
-/// An idle connection to a page is closed after this time.
+/// Idle connections are closed after this time.
 const IDLE_LIMIT: Duration = Duration::from_secs(20);
 
-/// Where figures are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Where operators let a request pass again that is refused since targets ended under it; its fingerprint follows.
+/// Path, before a fingerprint, on which operators clear the poison status of a request.
 const PARDON_PREFIX: &str = "/pardon/";
 
-/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Callers keep an answer for this share of the longest time that they may.
+/// Lifetime given to callers for entry addresses, as a share of the longest allowed one.
 const LIFE_SHARE: f64 = 0.6;
 
-/// Serves the pages of one host.
+/// Serves the HTTP pages of one host.
 pub struct PublicPages {
     control: Rc<RefCell<HostControl>>,
     formats: Arc<dyn Formats>,
@@ -43,12 +41,12 @@
     requests: flume::Sender<ControlRequest>,
 }
 
-/// Who can reach an address.
+/// The clients that can reach a listening address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
-    /// Callers, other hosts and the platform's checks.
+    /// Callers, other hosts and the platform's readiness checks.
     Anyone,
-    /// Whoever gathers figures, and operators.
+    /// Metrics collectors and operators.
     Operators,
 }
 
@@ -69,7 +67,7 @@
         }
     }
 
-    /// Accepts connections for as long as the process runs.
+    /// Accepts connections until the process ends.
     pub async fn serve(
         self: Rc<Self>,
         listener: TcpListener,
@@ -99,7 +97,7 @@
         }
     }
 
-    /// What operators may ask for besides what anyone may.
+    /// Answers a request at the operators' address, which serves all other pages too.
     fn answer_operator(
         &self,
         request: &Request<Incoming>,
--- a/src/process/host/send_allowance.rs
+++ b/src/process/host/send_allowance.rs
@@ -1,29 +1,28 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// Share of the link that large copies for other hosts may take; answers to callers go over it too.
+/// Share of the link that large pages for other hosts may use; the rest is for callers.
 const LINK_SHARE: f64 = 0.5;
 
-/// Copies are handed out ahead for so long: hosts that wait longer get theirs from one that has been
-/// served meanwhile.
+/// Sends are rejected while the admitted ones take longer than this; the hosts that were served can
+/// serve the others meanwhile.
 const BACKLOG: Duration = Duration::from_millis(150);
 
-/// Bytes in a second that one Mbit/s carries.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
-/// Limits what this host sends of large copies to what its link carries.
+/// Limits the large pages that this host sends to other hosts to a share of its link.
 ///
-/// Without it, all hosts of a site ask the first that has a newer copy. On a link of 10 Mbit/s each of
-/// 74 would get 17 KB a second; with it a few get theirs in a moment and hand it on.
+/// Without it, all hosts of a site would share the link of the first host that has a newer replica. With
+/// it, a few hosts receive theirs quickly and pass it on.
 #[derive(Debug)]
 pub struct SendAllowance {
-    /// None sets no limit.
+    /// `None` disables the limit.
     bytes_per_s: Option<f64>,
-    /// When what was admitted so far has been sent.
+    /// Estimated time at which everything admitted so far has been sent.
     free_at: Option<Instant>,
 }
 
 impl SendAllowance {
-    /// The allowance of a host whose link carries so much; none sets no limit.
+    /// `link_mbps` is the capacity of the host's link; `None` disables the limit.
     pub fn new(link_mbps: Option<f64>) -> Self {
         Self {
             bytes_per_s: link_mbps.map(|mbps| mbps * BYTES_PER_MBIT * LINK_SHARE),
@@ -31,7 +30,7 @@
         }
     }
 
-    /// True if so many bytes may be sent now.
+    /// Returns true and reserves link time if this many bytes may be sent now.
     pub fn admit(
         &mut self,
         bytes: usize,
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic thread: callers' requests, and the board of targets that they rest on.
+//! The traffic thread: serves callers' requests and owns the target table that they are routed by.
 
 use {
     crate::{
@@ -38,47 +38,46 @@
     },
 };
 
-/// Time between reports of use to the holders of engines on a small site: a fifth of the time in which
-/// an engine reads a long prompt, since what is told later than that misleads.
+/// Interval of usage reports to the holders of engines on a small site.
 const USAGE_PERIOD: Duration = Duration::from_millis(50);
 
-/// The same on a large site, whose hosts ask holders before they send.
+/// Intervals between usage reports on a large site, whose hosts query holders before they send.
 const LARGE_SITE_PERIODS: u32 = 3;
 
-/// What the control thread tells the traffic thread.
+/// Messages from the control thread to the traffic thread.
 #[derive(Debug, Clone)]
 pub enum TrafficInput {
     View(Arc<FleetView>),
-    /// The view is known to be right as of other times.
+    /// The times as of which the current view is known to be up to date.
     Confirmed(ReplicaFreshness),
     Placement(Placement),
     Load(EngineLoad),
     Standing(EngineStanding),
     Borrowed(Loan),
-    /// The host that counts a customer's use has answered.
+    /// Answer of the host that accounts for a customer's quota.
     Charged(ChargeAnswer),
-    /// The host that gives out places has answered.
+    /// Answer of the host that assigns concurrency slots.
     PlaceGiven(PlaceGiven),
-    /// The host that counts what a target gets has answered.
+    /// Answer of the host that allocates permits for a target.
     Permit(PermitAnswer),
-    /// Another host has heard what a target says of itself.
+    /// Notices of a target that another host received.
     TargetNews {
         target: String,
         notices: TargetNotices,
     },
-    /// A request stands so from now on; `None` if nothing speaks against it.
+    /// The poison status of a request has changed; `None` if it was cleared.
     Stands {
         fingerprint: Fingerprint,
         standing: Option<PoisonStatus>,
     },
-    /// Another host asks for a part of this one's allowance of repeats.
+    /// Another host requests a part of this host's repeat budget.
     LoanAsked {
         to: SocketAddr,
         ask: LoanAsk,
     },
 }
 
-/// What the traffic thread needs from its start.
+/// Everything that the traffic thread is started with.
 pub struct TrafficParts {
     pub settings: NodeSettings,
     pub formats: Arc<dyn Formats>,
@@ -86,7 +85,7 @@
     pub inputs: flume::Receiver<TrafficInput>,
     pub control: flume::Sender<ControlRequest>,
     pub stop: watch::Receiver<StopStage>,
-    /// Callers' connections that are open, for whoever waits for the last.
+    /// Number of open connections from callers; a planned stop waits until it is 0.
     pub open_connections: Arc<AtomicUsize>,
 }
 
@@ -132,7 +131,7 @@
         tokio::select! {
             input = parts.inputs.recv_async() => match input {
                 Ok(input) => take(&board, input),
-                // The control thread is gone, and the process with it.
+                // The control thread has ended, so the process is ending.
                 Err(_) => return Ok(()),
             },
             _ = usage.tick() => {
@@ -148,7 +147,7 @@
     }
 }
 
-/// Tells of what requests rested on, if that came near its bounds.
+/// Logs the largest staleness seen by requests, if it came close to its bounds.
 fn tell_ages(
     board: &mut TargetTable,
     bounds: &Bounds,
--- a/src/process/host/wake_watch.rs
+++ b/src/process/host/wake_watch.rs
@@ -8,17 +8,16 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Wakes are judged over such a time.
+/// Length of the window over which wakes are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// More wakes than this in a period are out of bound: ten times what a host of the grown sites has at
-/// its peak (some 200 messages and 45 ticks a second).
+/// More wakes than this in a window are excessive.
 const MOST_WAKES: u32 = 2_500;
 
-/// A step that takes longer holds news up for longer than hosts wait for one another.
+/// A longer wake is excessive: it delays answers beyond the timeouts of other hosts.
 const LONGEST_STEP: Duration = Duration::from_millis(100);
 
-/// Wakes of one kind within a period.
+/// Wakes of one kind within a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WakeCount {
     pub wakes: u32,
@@ -26,19 +25,18 @@
     pub longest: Duration,
 }
 
-/// A period of the control thread that was out of bound.
+/// A window in which the control thread woke too often or for too long.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BusyPeriod {
     pub wakes: u32,
     pub busy: Duration,
     pub longest: Duration,
-    /// The kind of wake that took the most time, and what it took.
+    /// The kind of wake that took the most time.
     pub worst: &'static str,
     pub of_worst: WakeCount,
 }
 
-/// Counts and times the wakes of the control thread by what caused them, so that a host that uses up
-/// its processor tells why.
+/// Counts and times the wakes of the control thread by kind, to report what keeps it busy.
 #[derive(Debug)]
 pub struct WakeWatch {
     since: Instant,
@@ -53,8 +51,7 @@
         }
     }
 
-    /// A wake of this kind took from `begun` to `ended`; gives the period that is over, if it was out
-    /// of bound.
+    /// Records a wake from `begun` to `ended`; returns the window if it has ended and was excessive.
     pub fn on_wake(
         &mut self,
         kind: &'static str,
@@ -89,7 +86,7 @@
     out_of_bound.then_some(period)
 }
 
-/// Counts a wake in the figures of this host, and tells of a period that was out of bound.
+/// Counts a wake in the metrics and logs the window if it has ended and was excessive.
 pub fn tell_wake(
     watch: &mut WakeWatch,
     kind: &'static str,
--- a/tests/wake_watch.rs
+++ b/tests/wake_watch.rs
@@ -1,4 +1,4 @@
-//! When the control thread tells that it wakes too often, or takes too long.
+//! Reports of a control thread that wakes too often or for too long.
 
 use {
     coveproxy::{
@@ -12,7 +12,7 @@
     Duration::from_micros(us)
 }
 
-/// Wakes evenly over two seconds, each of `step`; gives what was out of bound.
+/// Records evenly spread wakes over two seconds, each of length `step`; returns the excessive windows.
 fn wake(
     kind: &'static str,
     a_second: u64,
