--- a/src/process/host/kept_calls.rs
+++ b/src/process/host/call_pool.rs
@@ -8,11 +8,11 @@
 
 /// Calls engines and other hosts over connections that are kept open between calls.
 #[derive(Debug, Default)]
-pub struct KeptCalls {
+pub struct CallPool {
     resting: RefCell<HashMap<SocketAddr, CallClient>>,
 }
 
-impl KeptCalls {
+impl CallPool {
     /// Makes a call over the idle connection to `address`, or over a new one.
     ///
     /// `headers` are complete header lines, each with its line end.
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -3,10 +3,10 @@
 use {
     super::{
         ControlAction, ControlEvent, HostControl,
+        call_pool::CallPool,
         control_tables::quoted,
-        copy_reader::{CopyReader, STORE_LIMIT},
-        kept_calls::KeptCalls,
         poison_rows::POISON_TABLE,
+        table_reader::{STORE_LIMIT, TableReader},
         traffic::TrafficInput,
         wake_watch::{WakeWatch, tell_wake},
     },
@@ -59,8 +59,8 @@
     inbox: flume::Receiver<ControlEvent>,
     requests: flume::Receiver<ControlRequest>,
     traffic: flume::Sender<TrafficInput>,
-    calls: Rc<KeptCalls>,
-    copies: CopyReader,
+    calls: Rc<CallPool>,
+    copies: TableReader,
 }
 
 impl ControlRunner {
@@ -76,9 +76,9 @@
         let lease = control.borrow().lease();
         let store = StoreClient::new(settings.store, formats.clone(), STORE_LIMIT);
         let store = Rc::new(store);
-        let calls = Rc::<KeptCalls>::default();
+        let calls = Rc::<CallPool>::default();
         Self {
-            copies: CopyReader {
+            copies: TableReader {
                 formats: formats.clone(),
                 store: store.clone(),
                 calls: calls.clone(),
--- a/src/process/host/mod.rs
+++ b/src/process/host/mod.rs
@@ -1,6 +1,7 @@
 //! One host that sends requests straight to their targets: its control thread, its traffic thread
 //! and its pages.
 
+mod call_pool;
 mod control_action;
 mod control_engines;
 mod control_event;
@@ -14,30 +15,29 @@
 mod control_runner;
 mod control_tables;
 mod control_targets;
-mod copy_reader;
-mod copy_server;
-mod copy_transfer;
 mod drawn_takers;
 mod ended_targets;
 mod host_control;
 mod host_process;
-mod kept_calls;
 mod listed_target;
 mod open_engines;
 mod peer_answer;
 mod peer_pages;
 mod poison_rows;
 mod public_pages;
-mod send_allowance;
+mod replica_server;
+mod send_rate_limiter;
+mod table_reader;
+mod table_transfer;
 mod traffic;
 mod wake_watch;
 
 pub use {
     control_action::ControlAction,
     control_event::{ControlEvent, TableName},
-    copy_transfer::{CopySource, CopyTransfer},
     host_control::HostControl,
     host_process::run_host_process,
-    send_allowance::SendAllowance,
+    send_rate_limiter::SendRateLimiter,
+    table_transfer::{TableTransfer, TransferSource},
     wake_watch::{BusyPeriod, WakeCount, WakeWatch},
 };
--- a/src/process/host/peer_pages.rs
+++ b/src/process/host/peer_pages.rs
@@ -1,7 +1,7 @@
 //! HTTP pages that hosts serve to one another: table replicas and the list of known hosts.
 
 use {
-    super::{HostControl, TableName, copy_server::CopyServer, peer_answer::PeerAnswer},
+    super::{HostControl, TableName, peer_answer::PeerAnswer, replica_server::ReplicaServer},
     crate::{
         clock::Instant,
         connection::{datagram::HostRumor, pull::HostsBody},
@@ -50,7 +50,7 @@
 /// Answers a request from another host.
 pub fn answer_peer(
     control: &HostControl,
-    copies: &mut CopyServer,
+    copies: &mut ReplicaServer,
     path: &str,
     query: &str,
     now: Instant,
--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -3,7 +3,8 @@
 
 use {
     super::{
-        HostControl, copy_server::CopyServer, peer_answer::PeerAnswer, peer_pages::answer_peer,
+        HostControl, peer_answer::PeerAnswer, peer_pages::answer_peer,
+        replica_server::ReplicaServer,
     },
     crate::{
         clock::Instant,
@@ -37,7 +38,7 @@
     control: Rc<RefCell<HostControl>>,
     formats: Arc<dyn Formats>,
     entry_life: Duration,
-    copies: RefCell<CopyServer>,
+    copies: RefCell<ReplicaServer>,
     requests: flume::Sender<ControlRequest>,
 }
 
@@ -62,7 +63,7 @@
             control,
             formats,
             entry_life: longest_life.mul_f64(LIFE_SHARE),
-            copies: RefCell::new(CopyServer::new(link_mbps)),
+            copies: RefCell::new(ReplicaServer::new(link_mbps)),
             requests,
         }
     }
--- a/src/process/host/copy_server.rs
+++ b/src/process/host/replica_server.rs
@@ -1,5 +1,5 @@
 use {
-    super::{HostControl, TableName, peer_answer::PeerAnswer, send_allowance::SendAllowance},
+    super::{HostControl, TableName, peer_answer::PeerAnswer, send_rate_limiter::SendRateLimiter},
     crate::{
         clock::Instant,
         connection::pull::CopyPage,
@@ -20,17 +20,17 @@
 }
 
 /// Serves this host's table replicas to other hosts.
-pub struct CopyServer {
-    allowance: SendAllowance,
+pub struct ReplicaServer {
+    allowance: SendRateLimiter,
     /// Last page of each table; hosts that lag behind mostly request the same changes.
     last: HashMap<TableName, PackedPage>,
 }
 
-impl CopyServer {
+impl ReplicaServer {
     /// `link_mbps` is the capacity of this host's link; `None` disables the limit.
     pub fn new(link_mbps: Option<f64>) -> Self {
         Self {
-            allowance: SendAllowance::new(link_mbps),
+            allowance: SendRateLimiter::new(link_mbps),
             last: HashMap::new(),
         }
     }
--- a/src/process/host/send_allowance.rs
+++ b/src/process/host/send_rate_limiter.rs
@@ -14,14 +14,14 @@
 /// Without it, all hosts of a site would share the link of the first host that has a newer replica. With
 /// it, a few hosts receive theirs quickly and pass it on.
 #[derive(Debug)]
-pub struct SendAllowance {
+pub struct SendRateLimiter {
     /// `None` disables the limit.
     bytes_per_s: Option<f64>,
     /// Estimated time at which everything admitted so far has been sent.
     free_at: Option<Instant>,
 }
 
-impl SendAllowance {
+impl SendRateLimiter {
     /// `link_mbps` is the capacity of the host's link; `None` disables the limit.
     pub fn new(link_mbps: Option<f64>) -> Self {
         Self {
--- a/src/process/host/copy_reader.rs
+++ b/src/process/host/table_reader.rs
@@ -1,9 +1,9 @@
 use {
     super::{
         ControlEvent, TableName,
-        copy_transfer::{CopySource, CopyTransfer},
-        kept_calls::KeptCalls,
+        call_pool::CallPool,
         peer_pages::{copy_call, hosts_call, parse_hosts},
+        table_transfer::{TableTransfer, TransferSource},
     },
     crate::{
         clock::Instant,
@@ -38,14 +38,14 @@
 };
 
 /// Reads tables from the store and from other hosts; each read sends an event when it ends.
-pub struct CopyReader {
+pub struct TableReader {
     pub formats: Arc<dyn Formats>,
     pub store: Rc<StoreClient>,
-    pub calls: Rc<KeptCalls>,
+    pub calls: Rc<CallPool>,
     pub events: flume::Sender<ControlEvent>,
 }
 
-impl CopyReader {
+impl TableReader {
     fn name_of(
         &self,
         table: TableName,
@@ -64,7 +64,7 @@
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = CopyTransfer::begin(table, CopySource::Store, since);
+            let transfer = TableTransfer::begin(table, TransferSource::Store, since);
             let reply = store.read_changes(&name, since, Duration::ZERO).await;
             tell_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
             let _ = events.send(ControlEvent::ChangesRead {
@@ -82,7 +82,7 @@
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = CopyTransfer::begin(table, CopySource::Store, 0);
+            let transfer = TableTransfer::begin(table, TransferSource::Store, 0);
             let rows = store.read_table(&name).await;
             tell_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
             let _ = events.send(ControlEvent::TableRead {
@@ -103,7 +103,7 @@
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
             let call = copy_call(table, since);
-            let transfer = CopyTransfer::begin(table, CopySource::Host(from), since);
+            let transfer = TableTransfer::begin(table, TransferSource::Host(from), since);
             let reply = calls.call(from, &call, "", PULL_LIMIT).await;
             let changes = understand_pull(&transfer, reply);
             let _ = events.send(ControlEvent::ChangesPulled {
@@ -133,7 +133,7 @@
 
 /// Counts and logs the result of a read from the store.
 fn tell_store_read(
-    transfer: &CopyTransfer,
+    transfer: &TableTransfer,
     bytes: Result<usize, &StoreFailure>,
 ) {
     match bytes {
@@ -146,7 +146,7 @@
 ///
 /// Counts and logs the result of the transfer.
 fn understand_pull(
-    transfer: &CopyTransfer,
+    transfer: &TableTransfer,
     reply: Result<HttpReply, CallFailure>,
 ) -> Option<(TableChanges, Instant)> {
     let reply = match reply {
--- a/src/process/host/copy_transfer.rs
+++ b/src/process/host/table_transfer.rs
@@ -21,12 +21,12 @@
 
 /// Source of a table replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CopySource {
+pub enum TransferSource {
     Store,
     Host(SocketAddr),
 }
 
-impl CopySource {
+impl TransferSource {
     fn word(self) -> &'static str {
         match self {
             Self::Store => "store",
@@ -35,7 +35,7 @@
     }
 }
 
-impl Display for CopySource {
+impl Display for TransferSource {
     fn fmt(
         &self,
         formatter: &mut Formatter<'_>,
@@ -49,18 +49,18 @@
 
 /// A transfer of a table or its changes to this host; its result is counted and logged.
 #[derive(Debug)]
-pub struct CopyTransfer {
+pub struct TableTransfer {
     table: TableName,
-    source: CopySource,
+    source: TransferSource,
     /// Version after which changes are requested; 0 requests the complete table.
     since: u64,
     begun: Instant,
 }
 
-impl CopyTransfer {
+impl TableTransfer {
     pub fn begin(
         table: TableName,
-        source: CopySource,
+        source: TransferSource,
         since: u64,
     ) -> Self {
         Self {
--- a/tests/table_transfer.rs
+++ b/tests/table_transfer.rs
@@ -6,7 +6,7 @@
         connection::pull::{ChangesBody, CopyPage, PageProblem},
         formats::Row,
         process::{
-            host::{CopySource, CopyTransfer, SendAllowance, TableName},
+            host::{SendRateLimiter, TableName, TableTransfer, TransferSource},
             tables::TableChanges,
         },
     },
@@ -94,7 +94,7 @@
 /// However long a copy was on its way, it was right when it was asked for, less the age that was told.
 #[test]
 fn the_time_on_its_way_makes_no_copy_newer() {
-    let transfer = CopyTransfer::begin(TableName::Targets, CopySource::Store, 0);
+    let transfer = TableTransfer::begin(TableName::Targets, TransferSource::Store, 0);
     let begun = Instant::now();
     std::thread::sleep(Duration::from_millis(20));
     assert!(transfer.right_at(AGE).unwrap() <= begun - AGE);
@@ -113,7 +113,7 @@
         asks in vec((0u64..50, 16_000usize..200_000), 1..200),
     ) {
         let start = Instant::now();
-        let mut allowance = SendAllowance::new(Some(link_mbps));
+        let mut allowance = SendRateLimiter::new(Some(link_mbps));
         let (mut now, mut sent) = (start, 0);
         for (pause_ms, bytes) in asks {
             now += Duration::from_millis(pause_ms);
@@ -132,10 +132,10 @@
 #[test]
 fn an_allowance_is_full_for_as_long_as_its_link_is() {
     let now = Instant::now();
-    let mut allowance = SendAllowance::new(Some(10.0));
+    let mut allowance = SendRateLimiter::new(Some(10.0));
     assert!(allowance.admit(100_000, now));
     assert!(!allowance.admit(100_000, now), "160 ms are still to go");
     assert!(allowance.admit(100_000, now + Duration::from_millis(20)));
-    let mut unlimited = SendAllowance::new(None);
+    let mut unlimited = SendRateLimiter::new(None);
     assert!((0..100).all(|_| unlimited.admit(1_000_000, now)));
 }
