--- a/src/process/host/replica_server.rs
+++ b/src/process/host/replica_server.rs
@@ -11,27 +11,27 @@
 };
 
 /// Pages of at least this many bytes are subject to the send allowance.
-const LARGE_PAGE: usize = 16 * 1024;
+const LARGE_PAGE_BYTES: usize = 16 * 1024;
 
 /// An encoded page and the digest of the changes in it.
-struct PackedPage {
-    content: u64,
+struct EncodedPage {
+    content_digest: u64,
     page: CopyPage,
 }
 
 /// Serves this host's table replicas to other hosts.
 pub struct ReplicaServer {
-    allowance: SendRateLimiter,
+    limiter: SendRateLimiter,
     /// Last page of each table; hosts that lag behind mostly request the same changes.
-    last: HashMap<TableName, PackedPage>,
+    last_pages: HashMap<TableName, EncodedPage>,
 }
 
 impl ReplicaServer {
     /// `link_mbps` is the capacity of this host's link; `None` disables the limit.
     pub fn new(link_mbps: Option<f64>) -> Self {
         Self {
-            allowance: SendRateLimiter::new(link_mbps),
-            last: HashMap::new(),
+            limiter: SendRateLimiter::new(link_mbps),
+            last_pages: HashMap::new(),
         }
     }
 
@@ -47,8 +47,8 @@
         let Some(age) = age else {
             return PeerAnswer::NoPage;
         };
-        let bytes = self.pack(table, &changes).to_bytes(age);
-        if bytes.len() >= LARGE_PAGE && !self.allowance.admit(bytes.len(), now) {
+        let bytes = self.encode(table, &changes).to_bytes(age);
+        if bytes.len() >= LARGE_PAGE_BYTES && !self.limiter.admit(bytes.len(), now) {
             return PeerAnswer::Busy;
         }
         let labels = CopyLabels {
@@ -60,35 +60,35 @@
     }
 
     /// Returns the page of these changes, from the cache if it is the table's last one.
-    fn pack(
+    fn encode(
         &mut self,
         table: TableName,
         changes: &TableChanges,
     ) -> &CopyPage {
-        let content = content_of(changes);
-        let last = self.last.entry(table).or_insert_with(|| PackedPage {
-            content,
+        let content_digest = digest_of(changes);
+        let last_pages = self.last_pages.entry(table).or_insert_with(|| EncodedPage {
+            content_digest,
             page: CopyPage::new(&changes.into()),
         });
-        if last.content != content {
-            *last = PackedPage {
-                content,
+        if last_pages.content_digest != content_digest {
+            *last_pages = EncodedPage {
+                content_digest,
                 page: CopyPage::new(&changes.into()),
             };
         }
-        &last.page
+        &last_pages.page
     }
 }
 
 /// Digest of the content of a page.
-fn content_of(changes: &TableChanges) -> u64 {
-    let mut content = Xxh3Default::new();
+fn digest_of(changes: &TableChanges) -> u64 {
+    let mut content_digest = Xxh3Default::new();
     for row in &changes.rows {
-        content.update(row.key.as_bytes());
-        content.update(&row.version.to_le_bytes());
+        content_digest.update(row.key.as_bytes());
+        content_digest.update(&row.version.to_le_bytes());
     }
-    content.update(&changes.version.to_le_bytes());
-    content.update(&changes.digest.to_le_bytes());
-    content.update(&[u8::from(changes.whole)]);
-    content.digest()
+    content_digest.update(&changes.version.to_le_bytes());
+    content_digest.update(&changes.digest.to_le_bytes());
+    content_digest.update(&[u8::from(changes.whole)]);
+    content_digest.digest()
 }
