--- a/src/process/host/table_reader.rs
+++ b/src/process/host/table_reader.rs
@@ -64,12 +64,12 @@
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = TableTransfer::begin(table, TransferSource::Store, since);
+            let transfer = TableTransfer::start(table, TransferSource::Store, since);
             let reply = store.read_changes(&name, since, Duration::ZERO).await;
             tell_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
             let _ = events.send(ControlEvent::ChangesRead {
                 table,
-                asked: transfer.begun(),
+                asked: transfer.started(),
                 reply: reply.ok(),
             });
         });
@@ -82,12 +82,12 @@
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = TableTransfer::begin(table, TransferSource::Store, 0);
+            let transfer = TableTransfer::start(table, TransferSource::Store, 0);
             let rows = store.read_table(&name).await;
             tell_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
             let _ = events.send(ControlEvent::TableRead {
                 table,
-                asked: transfer.begun(),
+                asked: transfer.started(),
                 rows: rows.ok(),
             });
         });
@@ -103,7 +103,7 @@
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
             let call = copy_call(table, since);
-            let transfer = TableTransfer::begin(table, TransferSource::Host(from), since);
+            let transfer = TableTransfer::start(table, TransferSource::Host(from), since);
             let reply = calls.call(from, &call, "", PULL_LIMIT).await;
             let changes = understand_pull(&transfer, reply);
             let _ = events.send(ControlEvent::ChangesPulled {
@@ -137,8 +137,8 @@
     bytes: Result<usize, &StoreFailure>,
 ) {
     match bytes {
-        Ok(bytes) => transfer.note_taken(bytes),
-        Err(failure) => transfer.note_failed(failure.received(), failure),
+        Ok(bytes) => transfer.record_completed(bytes),
+        Err(failure) => transfer.record_failure(failure.received(), failure),
     }
 }
 
@@ -152,7 +152,7 @@
     let reply = match reply {
         Ok(reply) => reply,
         Err(failure) => {
-            transfer.note_failed(failure.received, &failure);
+            transfer.record_failure(failure.received, &failure);
             return None;
         }
     };
@@ -160,21 +160,21 @@
     match reply.status {
         200 => {}
         503 => {
-            transfer.note_deferred();
+            transfer.record_deferred();
             return None;
         }
         status => {
-            transfer.note_failed(bytes, &format!("status {status}"));
+            transfer.record_failure(bytes, &format!("status {status}"));
             return None;
         }
     }
     let (body, age) = match CopyPage::read(&reply.body) {
         Ok(page) => page,
         Err(problem) => {
-            transfer.note_failed(bytes, &problem);
+            transfer.record_failure(bytes, &problem);
             return None;
         }
     };
-    transfer.note_taken(bytes);
-    Some((body.into(), transfer.right_at(age)?))
+    transfer.record_completed(bytes);
+    Some((body.into(), transfer.current_as_of(age)?))
 }
--- a/src/process/host/table_transfer.rs
+++ b/src/process/host/table_transfer.rs
@@ -14,10 +14,10 @@
 };
 
 /// Transfers of at least this many bytes are logged.
-const NOTED_BYTES: usize = 16 * 1024;
+const MIN_LOGGED_BYTES: usize = 16 * 1024;
 
 /// Transfers that take at least this long are logged.
-const NOTED_TIME: Duration = Duration::from_millis(200);
+const MIN_LOGGED_DURATION: Duration = Duration::from_millis(200);
 
 /// Source of a table replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,11 +54,11 @@
     source: TransferSource,
     /// Version after which changes are requested; 0 requests the complete table.
     since: u64,
-    begun: Instant,
+    started: Instant,
 }
 
 impl TableTransfer {
-    pub fn begin(
+    pub fn start(
         table: TableName,
         source: TransferSource,
         since: u64,
@@ -67,34 +67,34 @@
             table,
             source,
             since,
-            begun: Instant::now(),
+            started: Instant::now(),
         }
     }
 
     /// Start of the transfer; the data received is at least as recent.
-    pub fn begun(&self) -> Instant {
-        self.begun
+    pub fn started(&self) -> Instant {
+        self.started
     }
 
     /// Returns the time as of which a replica was current, given the age that its sender reported.
     ///
     /// The age counts from the start of the transfer: counted from its end, a replica that took seconds to
     /// arrive would appear newer than it is.
-    pub fn right_at(
+    pub fn current_as_of(
         &self,
         age: Duration,
     ) -> Option<Instant> {
-        self.begun.checked_sub(age)
+        self.started.checked_sub(age)
     }
 
     /// Counts a completed transfer and logs a large or slow one.
-    pub fn note_taken(
+    pub fn record_completed(
         &self,
         bytes: usize,
     ) {
         self.count("taken", bytes);
-        let took = self.begun.elapsed();
-        if bytes < NOTED_BYTES && took < NOTED_TIME {
+        let took = self.started.elapsed();
+        if bytes < MIN_LOGGED_BYTES && took < MIN_LOGGED_DURATION {
             return;
         }
         note!(
@@ -108,12 +108,12 @@
     }
 
     /// Counts a transfer that the other host postponed because its link is busy.
-    pub fn note_deferred(&self) {
+    pub fn record_deferred(&self) {
         self.count("deferred", 0);
     }
 
     /// Counts and logs a failed transfer, of which `bytes` had arrived.
-    pub fn note_failed(
+    pub fn record_failure(
         &self,
         bytes: usize,
         problem: &impl Display,
@@ -125,7 +125,7 @@
             source = self.source,
             since = self.since,
             bytes = bytes,
-            took_ms = self.begun.elapsed().as_millis(),
+            took_ms = self.started.elapsed().as_millis(),
             problem = format!("{:?}", problem.to_string()),
         );
     }
--- a/tests/table_transfer.rs
+++ b/tests/table_transfer.rs
@@ -94,10 +94,10 @@
 /// However long a copy was on its way, it was right when it was asked for, less the age that was told.
 #[test]
 fn the_time_on_its_way_makes_no_copy_newer() {
-    let transfer = TableTransfer::begin(TableName::Targets, TransferSource::Store, 0);
-    let begun = Instant::now();
+    let transfer = TableTransfer::start(TableName::Targets, TransferSource::Store, 0);
+    let started = Instant::now();
     std::thread::sleep(Duration::from_millis(20));
-    assert!(transfer.right_at(AGE).unwrap() <= begun - AGE);
+    assert!(transfer.current_as_of(AGE).unwrap() <= started - AGE);
 }
 
 proptest! {
