--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -6,7 +6,7 @@
         call_pool::CallPool,
         control_tables::quoted,
         poison_rows::POISON_TABLE,
-        table_reader::{STORE_LIMIT, TableReader},
+        table_reader::{STORE_CALL_LIMIT, TableReader},
         traffic::TrafficInput,
         wake_watch::{WakeWatch, tell_wake},
     },
@@ -74,7 +74,7 @@
     ) -> Self {
         let (events, inbox) = flume::unbounded();
         let lease = control.borrow().lease();
-        let store = StoreClient::new(settings.store, formats.clone(), STORE_LIMIT);
+        let store = StoreClient::new(settings.store, formats.clone(), STORE_CALL_LIMIT);
         let store = Rc::new(store);
         let calls = Rc::<CallPool>::default();
         Self {
--- a/src/process/host/table_reader.rs
+++ b/src/process/host/table_reader.rs
@@ -23,17 +23,17 @@
 ///
 /// It must suffice for the largest table that operators may declare, 4 MB, on a link of 10 Mbit/s: a
 /// transfer that is cut off starts over and would never complete.
-const TRANSFER_LIMIT: Duration = Duration::from_secs(10);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time limits for calls to the store.
-pub const STORE_LIMIT: CallLimit = CallLimit {
-    whole: TRANSFER_LIMIT,
+pub const STORE_CALL_LIMIT: CallLimit = CallLimit {
+    whole: TRANSFER_TIMEOUT,
     silence: Duration::from_millis(900),
 };
 
 /// Time limits for calls to other hosts.
-const PULL_LIMIT: CallLimit = CallLimit {
-    whole: TRANSFER_LIMIT,
+const PEER_CALL_LIMIT: CallLimit = CallLimit {
+    whole: TRANSFER_TIMEOUT,
     silence: Duration::from_millis(500),
 };
 
@@ -66,7 +66,7 @@
         spawn_local(async move {
             let transfer = TableTransfer::start(table, TransferSource::Store, since);
             let reply = store.read_changes(&name, since, Duration::ZERO).await;
-            tell_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
+            record_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
             let _ = events.send(ControlEvent::ChangesRead {
                 table,
                 asked: transfer.started(),
@@ -84,7 +84,7 @@
         spawn_local(async move {
             let transfer = TableTransfer::start(table, TransferSource::Store, 0);
             let rows = store.read_table(&name).await;
-            tell_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
+            record_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
             let _ = events.send(ControlEvent::TableRead {
                 table,
                 asked: transfer.started(),
@@ -104,8 +104,8 @@
         spawn_local(async move {
             let call = copy_call(table, since);
             let transfer = TableTransfer::start(table, TransferSource::Host(from), since);
-            let reply = calls.call(from, &call, "", PULL_LIMIT).await;
-            let changes = understand_pull(&transfer, reply);
+            let reply = calls.call(from, &call, "", PEER_CALL_LIMIT).await;
+            let changes = decode_pull(&transfer, reply);
             let _ = events.send(ControlEvent::ChangesPulled {
                 table,
                 from,
@@ -121,7 +121,7 @@
     ) {
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
-            let reply = calls.call(from, &hosts_call(), "", PULL_LIMIT).await;
+            let reply = calls.call(from, &hosts_call(), "", PEER_CALL_LIMIT).await;
             let hosts = reply
                 .ok()
                 .filter(|reply| reply.status == 200)
@@ -132,7 +132,7 @@
 }
 
 /// Counts and logs the result of a read from the store.
-fn tell_store_read(
+fn record_store_read(
     transfer: &TableTransfer,
     bytes: Result<usize, &StoreFailure>,
 ) {
@@ -145,7 +145,7 @@
 /// Decodes the changes that another host sent, with the time as of which they were current.
 ///
 /// Counts and logs the result of the transfer.
-fn understand_pull(
+fn decode_pull(
     transfer: &TableTransfer,
     reply: Result<HttpReply, CallFailure>,
 ) -> Option<(TableChanges, Instant)> {
