--- a/src/process/host/peer_pages.rs
+++ b/src/process/host/peer_pages.rs
@@ -10,7 +10,7 @@
     prost::Message,
 };
 
-const COPY_PATH: &str = "/copy/";
+const CHANGES_PATH: &str = "/copy/";
 
 const HOSTS_PATH: &str = "/hosts";
 
@@ -30,11 +30,11 @@
 }
 
 /// Returns the call that requests the changes of a table since a version.
-pub fn copy_call(
+pub fn changes_call(
     table: TableName,
     since: u64,
 ) -> HttpCall {
-    HttpCall::get(format!("{COPY_PATH}{}?since={since}", table.word()))
+    HttpCall::get(format!("{CHANGES_PATH}{}?since={since}", table.word()))
 }
 
 /// Returns the call that requests the list of known hosts.
@@ -48,9 +48,9 @@
 }
 
 /// Answers a request from another host.
-pub fn answer_peer(
+pub fn answer_peer_request(
     control: &HostControl,
-    copies: &mut ReplicaServer,
+    replicas: &mut ReplicaServer,
     path: &str,
     query: &str,
     now: Instant,
@@ -59,18 +59,18 @@
         let hosts = control.hosts_for_host(now);
         return PeerAnswer::Page(HostsBody { hosts }.encode_to_vec());
     }
-    let Some((table, since)) = asked_copy(path, query) else {
+    let Some((table, since)) = parse_changes_request(path, query) else {
         return PeerAnswer::NoPage;
     };
-    copies.answer(control, table, since, now)
+    replicas.answer(control, table, since, now)
 }
 
 /// Parses the table and the version of a request for changes; `None` for any other path or query.
-fn asked_copy(
+fn parse_changes_request(
     path: &str,
     query: &str,
 ) -> Option<(TableName, u64)> {
-    let table = TableName::from_word(path.strip_prefix(COPY_PATH)?)?;
+    let table = TableName::from_word(path.strip_prefix(CHANGES_PATH)?)?;
     let since = query.strip_prefix("since=")?.parse().ok()?;
     Some((table, since))
 }
--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{
-        HostControl, peer_answer::PeerAnswer, peer_pages::answer_peer,
+        HostControl, peer_answer::PeerAnswer, peer_pages::answer_peer_request,
         replica_server::ReplicaServer,
     },
     crate::{
@@ -38,7 +38,7 @@
     control: Rc<RefCell<HostControl>>,
     formats: Arc<dyn Formats>,
     entry_life: Duration,
-    copies: RefCell<ReplicaServer>,
+    replicas: RefCell<ReplicaServer>,
     requests: flume::Sender<ControlRequest>,
 }
 
@@ -63,7 +63,7 @@
             control,
             formats,
             entry_life: longest_life.mul_f64(LIFE_SHARE),
-            copies: RefCell::new(ReplicaServer::new(link_mbps)),
+            replicas: RefCell::new(ReplicaServer::new(link_mbps)),
             requests,
         }
     }
@@ -145,8 +145,8 @@
                 if path == METRICS_PATH {
                     return page(StatusCode::OK, metrics().page().into_bytes());
                 }
-                let mut copies = self.copies.borrow_mut();
-                match answer_peer(&control, &mut copies, path, query, Instant::now()) {
+                let mut replicas = self.replicas.borrow_mut();
+                match answer_peer_request(&control, &mut replicas, path, query, Instant::now()) {
                     PeerAnswer::Page(body) => page(StatusCode::OK, body),
                     PeerAnswer::Busy => page(StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
                     PeerAnswer::NoPage => page(StatusCode::NOT_FOUND, Vec::new()),
--- a/src/process/host/table_reader.rs
+++ b/src/process/host/table_reader.rs
@@ -2,7 +2,7 @@
     super::{
         ControlEvent, TableName,
         call_pool::CallPool,
-        peer_pages::{copy_call, hosts_call, parse_hosts},
+        peer_pages::{changes_call, hosts_call, parse_hosts},
         table_transfer::{TableTransfer, TransferSource},
     },
     crate::{
@@ -102,7 +102,7 @@
     ) {
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
-            let call = copy_call(table, since);
+            let call = changes_call(table, since);
             let transfer = TableTransfer::start(table, TransferSource::Host(from), since);
             let reply = calls.call(from, &call, "", PEER_CALL_LIMIT).await;
             let changes = decode_pull(&transfer, reply);
