--- a/src/process/host/peer_answer.rs
+++ b/src/process/host/peer_answer.rs
@@ -5,5 +5,5 @@
     /// The link is busy; the request may be retried, or sent to another host.
     Busy,
     /// The page does not exist or has no content yet.
-    NoPage,
+    NotFound,
 }
--- a/src/process/host/peer_pages.rs
+++ b/src/process/host/peer_pages.rs
@@ -60,7 +60,7 @@
         return PeerAnswer::Page(HostsBody { hosts }.encode_to_vec());
     }
     let Some((table, since)) = parse_changes_request(path, query) else {
-        return PeerAnswer::NoPage;
+        return PeerAnswer::NotFound;
     };
     replicas.answer(control, table, since, now)
 }
--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -149,7 +149,7 @@
                 match answer_peer_request(&control, &mut replicas, path, query, Instant::now()) {
                     PeerAnswer::Page(body) => page(StatusCode::OK, body),
                     PeerAnswer::Busy => page(StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
-                    PeerAnswer::NoPage => page(StatusCode::NOT_FOUND, Vec::new()),
+                    PeerAnswer::NotFound => page(StatusCode::NOT_FOUND, Vec::new()),
                 }
             }
         }
--- a/src/process/host/replica_server.rs
+++ b/src/process/host/replica_server.rs
@@ -45,7 +45,7 @@
     ) -> PeerAnswer {
         let (changes, age) = control.changes_for_host(table, since, now);
         let Some(age) = age else {
-            return PeerAnswer::NoPage;
+            return PeerAnswer::NotFound;
         };
         let bytes = self.encode(table, &changes).to_bytes(age);
         if bytes.len() >= LARGE_PAGE_BYTES && !self.limiter.admit(bytes.len(), now) {
