--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -21,23 +21,23 @@
 };
 
 /// Idle connections are closed after this time.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 const METRICS_PATH: &str = "/metrics";
 
 /// Path, before a fingerprint, on which operators clear the poison status of a request.
-const PARDON_PREFIX: &str = "/pardon/";
+const CLEAR_POISON_PREFIX: &str = "/pardon/";
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Lifetime given to callers for entry addresses, as a share of the longest allowed one.
-const LIFE_SHARE: f64 = 0.6;
+const ENTRY_TTL_SHARE: f64 = 0.6;
 
 /// Serves the HTTP pages of one host.
 pub struct PublicPages {
     control: Rc<RefCell<HostControl>>,
     formats: Arc<dyn Formats>,
-    entry_life: Duration,
+    entry_ttl: Duration,
     replicas: RefCell<ReplicaServer>,
     requests: flume::Sender<ControlRequest>,
 }
@@ -55,14 +55,14 @@
     pub fn new(
         control: Rc<RefCell<HostControl>>,
         formats: Arc<dyn Formats>,
-        longest_life: Duration,
+        max_entry_ttl: Duration,
         link_mbps: Option<f64>,
         requests: flume::Sender<ControlRequest>,
     ) -> Self {
         Self {
             control,
             formats,
-            entry_life: longest_life.mul_f64(LIFE_SHARE),
+            entry_ttl: max_entry_ttl.mul_f64(ENTRY_TTL_SHARE),
             replicas: RefCell::new(ReplicaServer::new(link_mbps)),
             requests,
         }
@@ -76,7 +76,7 @@
     ) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
@@ -90,7 +90,7 @@
             });
             let connection = Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE_LIMIT)
+                .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             spawn_local(async move {
                 let _ = connection.await;
@@ -103,11 +103,12 @@
         &self,
         request: &Request<Incoming>,
     ) -> Response<AnswerBody> {
-        let named = request.uri().path().strip_prefix(PARDON_PREFIX);
-        let Some(named) = named.filter(|_| *request.method() == Method::POST) else {
+        let fingerprint_text = request.uri().path().strip_prefix(CLEAR_POISON_PREFIX);
+        let Some(fingerprint_text) = fingerprint_text.filter(|_| *request.method() == Method::POST)
+        else {
             return self.answer(request);
         };
-        let Ok(fingerprint) = named.parse::<Fingerprint>() else {
+        let Ok(fingerprint) = fingerprint_text.parse::<Fingerprint>() else {
             return page(StatusCode::NOT_FOUND, Vec::new());
         };
         let report = PoisonReport::Cleared { fingerprint };
@@ -132,7 +133,7 @@
                 if addresses.is_empty() {
                     return page(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
                 }
-                let body = self.formats.entry_body(&addresses, self.entry_life);
+                let body = self.formats.entry_body(&addresses, self.entry_ttl);
                 let mut response = page(StatusCode::OK, body);
                 response.headers_mut().insert(
                     header::CONTENT_TYPE,
