--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -39,10 +39,10 @@
 };
 
 /// Interval of usage reports to the holders of engines on a small site.
-const USAGE_PERIOD: Duration = Duration::from_millis(50);
+const USAGE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Intervals between usage reports on a large site, whose hosts query holders before they send.
-const LARGE_SITE_PERIODS: u32 = 3;
+const LARGE_SITE_INTERVALS: u32 = 3;
 
 /// Messages from the control thread to the traffic thread.
 #[derive(Debug, Clone)]
@@ -111,48 +111,48 @@
             version: bounds.version,
         },
     };
-    let board = Rc::new(RefCell::new(TargetTable::new(settings, parts.control)));
+    let table = Rc::new(RefCell::new(TargetTable::new(settings, parts.control)));
     let listener = parts
         .listener
         .set_nonblocking(true)
         .and_then(|()| tokio::net::TcpListener::from_std(parts.listener))
         .map_err(|problem| RunError::Call(problem.to_string()))?;
     let front = FrontListener::new(
-        board.clone(),
+        table.clone(),
         parts.formats,
         &parts.settings.hall,
         parts.stop,
         parts.open_connections,
     );
     spawn_local(Rc::new(front).serve(listener));
-    let mut usage = tokio::time::interval(USAGE_PERIOD);
-    let mut period = 0u32;
+    let mut usage = tokio::time::interval(USAGE_INTERVAL);
+    let mut intervals = 0u32;
     loop {
         tokio::select! {
             input = parts.inputs.recv_async() => match input {
-                Ok(input) => take(&board, input),
+                Ok(input) => apply_input(&table, input),
                 // The control thread has ended, so the process is ending.
                 Err(_) => return Ok(()),
             },
             _ = usage.tick() => {
-                period = period.wrapping_add(1);
-                let mut board = board.borrow_mut();
-                if !board.is_large_site() || period.is_multiple_of(LARGE_SITE_PERIODS) {
-                    board.report_usage(Instant::now());
+                intervals = intervals.wrapping_add(1);
+                let mut table = table.borrow_mut();
+                if !table.is_large_site() || intervals.is_multiple_of(LARGE_SITE_INTERVALS) {
+                    table.report_usage(Instant::now());
                 }
-                tell_ages(&mut board, bounds);
-                board.maintain_budgets(Instant::now());
+                log_staleness(&mut table, bounds);
+                table.maintain_budgets(Instant::now());
             }
         }
     }
 }
 
 /// Logs the largest staleness seen by requests, if it came close to its bounds.
-fn tell_ages(
-    board: &mut TargetTable,
+fn log_staleness(
+    table: &mut TargetTable,
     bounds: &Bounds,
 ) {
-    let Some(largest) = board.take_max_staleness(Instant::now()) else {
+    let Some(largest) = table.take_max_staleness(Instant::now()) else {
         return;
     };
     note!(
@@ -164,34 +164,34 @@
     );
 }
 
-fn take(
-    board: &Rc<RefCell<TargetTable>>,
+fn apply_input(
+    table: &Rc<RefCell<TargetTable>>,
     input: TrafficInput,
 ) {
-    let mut board = board.borrow_mut();
+    let mut table = table.borrow_mut();
     match input {
-        TrafficInput::View(view) => board.set_view(view),
-        TrafficInput::Confirmed(confirmation) => board.set_freshness(confirmation),
-        TrafficInput::Placement(placement) => board.on_placement(&placement, Instant::now()),
-        TrafficInput::Load(load) => board.on_engine_load(&load, Instant::now()),
-        TrafficInput::Standing(standing) => board.on_engine_status(&standing, Instant::now()),
+        TrafficInput::View(view) => table.set_view(view),
+        TrafficInput::Confirmed(freshness) => table.set_freshness(freshness),
+        TrafficInput::Placement(placement) => table.on_placement(&placement, Instant::now()),
+        TrafficInput::Load(load) => table.on_engine_load(&load, Instant::now()),
+        TrafficInput::Standing(standing) => table.on_engine_status(&standing, Instant::now()),
         TrafficInput::Stands {
             fingerprint,
             standing,
-        } => board.crashes.set_status(fingerprint, standing),
+        } => table.crashes.set_status(fingerprint, standing),
         TrafficInput::PlaceGiven(given) => {
-            board.pending_slots.on_answer(given.id, given);
+            table.pending_slots.on_answer(given.id, given);
         }
         TrafficInput::Permit(answer) => {
-            board.pending_permits.on_answer(answer.id, answer);
+            table.pending_permits.on_answer(answer.id, answer);
         }
         TrafficInput::TargetNews { target, notices } => {
-            board
+            table
                 .notices
                 .on_peer_notices(&target, &notices, Instant::now());
         }
-        TrafficInput::Charged(answer) => board.quotas.on_answer(answer),
-        TrafficInput::Borrowed(loan) => board.on_loan(&loan, Instant::now()),
-        TrafficInput::LoanAsked { to, ask } => board.on_loan_request(to, &ask, Instant::now()),
+        TrafficInput::Charged(answer) => table.quotas.on_answer(answer),
+        TrafficInput::Borrowed(loan) => table.on_loan(&loan, Instant::now()),
+        TrafficInput::LoanAsked { to, ask } => table.on_loan_request(to, &ask, Instant::now()),
     }
 }
