--- a/src/process/host/host_process.rs
+++ b/src/process/host/host_process.rs
@@ -32,16 +32,16 @@
 };
 
 /// Share of the grace period after which new requests are rejected.
-const REFUSE_SHARE: f64 = 0.35;
+const REJECT_SHARE: f64 = 0.35;
 
 /// Share of the grace period after which the process exits even if requests are running.
-const END_SHARE: f64 = 0.96;
+const EXIT_SHARE: f64 = 0.96;
 
 /// Interval of checks for open connections during a planned stop.
-const END_PERIOD: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Minimum duration of a planned stop, so that callers can be notified of it.
-const LEAST_STOP: Duration = Duration::from_millis(300);
+const MIN_STOP_DURATION: Duration = Duration::from_millis(300);
 
 /// Runs one host until it receives a signal to stop.
 pub fn run_host_process(
@@ -78,8 +78,8 @@
         control_sender.clone(),
     ));
     let addresses = [listen.entry, listen.ready, listen.peers].map(|at| (at, Audience::Anyone));
-    let figures = listen.metrics.map(|at| (at, Audience::Operators));
-    for (address, audience) in addresses.into_iter().chain(figures) {
+    let metrics_address = listen.metrics.map(|at| (at, Audience::Operators));
+    for (address, audience) in addresses.into_iter().chain(metrics_address) {
         let listener = TcpListener::bind(address)
             .await
             .map_err(|problem| listen_error(address, &problem))?;
@@ -88,7 +88,7 @@
     let socket = DatagramSocket::bind(listen.peers)
         .await
         .map_err(|problem| listen_error(listen.peers, &problem))?;
-    let (stop, stop_seen) = watch::channel(StopStage::Serving);
+    let (stop, stop_receiver) = watch::channel(StopStage::Serving);
     let (traffic, inputs) = flume::unbounded();
     let open_connections = Arc::new(AtomicUsize::new(0));
     let parts = TrafficParts {
@@ -97,7 +97,7 @@
         listener: front,
         inputs,
         control: control_sender,
-        stop: stop_seen,
+        stop: stop_receiver,
         open_connections: open_connections.clone(),
     };
     std::thread::Builder::new()
@@ -109,7 +109,7 @@
     spawn_local(runner.run());
     signals.wait_for_stop().await;
     let _ = events.send(ControlEvent::Stop);
-    leave(&stop, &open_connections, settings.bounds.grace).await;
+    drain(&stop, &open_connections, settings.bounds.grace).await;
     Ok(())
 }
 
@@ -142,21 +142,21 @@
 }
 
 /// Drains connections: returns when none is open or the grace period is nearly over.
-async fn leave(
+async fn drain(
     stop: &watch::Sender<StopStage>,
     open_connections: &AtomicUsize,
     grace: Duration,
 ) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let _ = stop.send(StopStage::Draining);
     loop {
-        tokio::time::sleep(END_PERIOD).await;
-        let passed = begun.elapsed();
-        if passed >= grace.mul_f64(REFUSE_SHARE) {
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
+        let elapsed = started.elapsed();
+        if elapsed >= grace.mul_f64(REJECT_SHARE) {
             let _ = stop.send(StopStage::Rejecting);
         }
         let idle = open_connections.load(Ordering::Relaxed) == 0;
-        if passed >= grace.mul_f64(END_SHARE) || idle && passed >= LEAST_STOP {
+        if elapsed >= grace.mul_f64(EXIT_SHARE) || idle && elapsed >= MIN_STOP_DURATION {
             return;
         }
     }
