--- a/src/process/host/wake_watch.rs
+++ b/src/process/host/wake_watch.rs
@@ -9,13 +9,13 @@
 };
 
 /// Length of the window over which wakes are counted.
-const PERIOD: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// More wakes than this in a window are excessive.
-const MOST_WAKES: u32 = 2_500;
+const MAX_WAKES: u32 = 2_500;
 
 /// A longer wake is excessive: it delays answers beyond the timeouts of other hosts.
-const LONGEST_STEP: Duration = Duration::from_millis(100);
+const MAX_WAKE_DURATION: Duration = Duration::from_millis(100);
 
 /// Wakes of one kind within a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -51,66 +51,66 @@
         }
     }
 
-    /// Records a wake from `begun` to `ended`; returns the window if it has ended and was excessive.
+    /// Records a wake from `started` to `ended`; returns the window if it has ended and was excessive.
     pub fn on_wake(
         &mut self,
         kind: &'static str,
-        begun: Instant,
+        started: Instant,
         ended: Instant,
     ) -> Option<BusyPeriod> {
-        let time = ended.saturating_duration_since(begun);
+        let time = ended.saturating_duration_since(started);
         let count = self.by_kind.entry(kind).or_default();
         count.wakes += 1;
         count.busy += time;
         count.longest = count.longest.max(time);
-        if ended.saturating_duration_since(self.since) < PERIOD {
+        if ended.saturating_duration_since(self.since) < WINDOW {
             return None;
         }
         self.since = ended;
-        judge(std::mem::take(&mut self.by_kind))
+        find_excess(std::mem::take(&mut self.by_kind))
     }
 }
 
-fn judge(by_kind: BTreeMap<&'static str, WakeCount>) -> Option<BusyPeriod> {
+fn find_excess(by_kind: BTreeMap<&'static str, WakeCount>) -> Option<BusyPeriod> {
     let (worst, of_worst) = by_kind
         .iter()
         .max_by_key(|(_, count)| (count.busy, count.wakes))?;
-    let period = BusyPeriod {
+    let window = BusyPeriod {
         wakes: by_kind.values().map(|count| count.wakes).sum(),
         busy: by_kind.values().map(|count| count.busy).sum(),
         longest: by_kind.values().map(|count| count.longest).max()?,
         worst,
         of_worst: *of_worst,
     };
-    let out_of_bound = period.wakes > MOST_WAKES || period.longest > LONGEST_STEP;
-    out_of_bound.then_some(period)
+    let is_excessive = window.wakes > MAX_WAKES || window.longest > MAX_WAKE_DURATION;
+    is_excessive.then_some(window)
 }
 
 /// Counts a wake in the metrics and logs the window if it has ended and was excessive.
 pub fn tell_wake(
     watch: &mut WakeWatch,
     kind: &'static str,
-    begun: Instant,
+    started: Instant,
 ) {
     let ended = Instant::now();
     let labels = KindLabels { kind };
     let metrics = metrics();
     metrics.control_wakes.get_or_create(&labels).inc();
-    let busy_us = ended.saturating_duration_since(begun).as_micros() as u64;
+    let busy_us = ended.saturating_duration_since(started).as_micros() as u64;
     metrics
         .control_busy_us
         .get_or_create(&labels)
         .inc_by(busy_us);
-    let Some(period) = watch.on_wake(kind, begun, ended) else {
+    let Some(window) = watch.on_wake(kind, started, ended) else {
         return;
     };
     note!(
         Event::ControlBusy,
-        wakes = period.wakes,
-        busy_ms = period.busy.as_millis(),
-        longest_ms = period.longest.as_millis(),
-        worst = period.worst,
-        worst_wakes = period.of_worst.wakes,
-        worst_busy_ms = period.of_worst.busy.as_millis(),
+        wakes = window.wakes,
+        busy_ms = window.busy.as_millis(),
+        longest_ms = window.longest.as_millis(),
+        worst = window.worst,
+        worst_wakes = window.of_worst.wakes,
+        worst_busy_ms = window.of_worst.busy.as_millis(),
     );
 }
