--- a/src/process/host/call_pool.rs
+++ b/src/process/host/call_pool.rs
@@ -9,7 +9,7 @@
 /// Calls engines and other hosts over connections that are kept open between calls.
 #[derive(Debug, Default)]
 pub struct CallPool {
-    resting: RefCell<HashMap<SocketAddr, CallClient>>,
+    idle: RefCell<HashMap<SocketAddr, CallClient>>,
 }
 
 impl CallPool {
@@ -23,10 +23,10 @@
         headers: &str,
         limit: CallLimit,
     ) -> Result<HttpReply, CallFailure> {
-        let resting = self.resting.borrow_mut().remove(&address);
-        let mut client = resting.unwrap_or_else(|| CallClient::new(address));
+        let idle = self.idle.borrow_mut().remove(&address);
+        let mut client = idle.unwrap_or_else(|| CallClient::new(address));
         let reply = client.call(call, headers, limit).await;
-        self.resting.borrow_mut().insert(address, client);
+        self.idle.borrow_mut().insert(address, client);
         reply
     }
 }
