--- a/src/process/host/send_rate_limiter.rs
+++ b/src/process/host/send_rate_limiter.rs
@@ -5,7 +5,7 @@
 
 /// Sends are rejected while the admitted ones take longer than this; the hosts that were served can
 /// serve the others meanwhile.
-const BACKLOG: Duration = Duration::from_millis(150);
+const MAX_BACKLOG: Duration = Duration::from_millis(150);
 
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
@@ -40,11 +40,11 @@
             return true;
         };
         let free_at = self.free_at.unwrap_or(now).max(now);
-        if free_at > now + BACKLOG {
+        if free_at > now + MAX_BACKLOG {
             return false;
         }
-        let takes = Duration::from_secs_f64(bytes as f64 / bytes_per_s);
-        self.free_at = Some(free_at + takes);
+        let send_time = Duration::from_secs_f64(bytes as f64 / bytes_per_s);
+        self.free_at = Some(free_at + send_time);
         true
     }
 }
