--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -8,7 +8,7 @@
         poison_rows::POISON_TABLE,
         table_reader::{STORE_CALL_LIMIT, TableReader},
         traffic::TrafficInput,
-        wake_watch::{WakeWatch, tell_wake},
+        wake_watch::{WakeMonitor, record_wake},
     },
     crate::{
         clock::{Instant, sleep_until},
@@ -104,7 +104,7 @@
 
     /// Runs until the process ends.
     pub async fn run(self) {
-        let mut watch = WakeWatch::new(Instant::now());
+        let mut watch = WakeMonitor::new(Instant::now());
         loop {
             let looked = Instant::now();
             let wake = self.control.borrow().next_wake(looked);
@@ -136,7 +136,7 @@
             for action in actions {
                 self.carry_out(action);
             }
-            tell_wake(&mut watch, kind, begun);
+            record_wake(&mut watch, kind, begun);
         }
     }
 
--- a/src/process/host/mod.rs
+++ b/src/process/host/mod.rs
@@ -39,5 +39,5 @@
     host_process::run_host_process,
     send_rate_limiter::SendRateLimiter,
     table_transfer::{TableTransfer, TransferSource},
-    wake_watch::{BusyPeriod, WakeCount, WakeWatch},
+    wake_watch::{BusyWindow, WakeMonitor, WakeStats},
 };
--- a/src/process/host/wake_watch.rs
+++ b/src/process/host/wake_watch.rs
@@ -19,7 +19,7 @@
 
 /// Wakes of one kind within a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct WakeCount {
+pub struct WakeStats {
     pub wakes: u32,
     pub busy: Duration,
     pub longest: Duration,
@@ -27,23 +27,23 @@
 
 /// A window in which the control thread woke too often or for too long.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BusyPeriod {
+pub struct BusyWindow {
     pub wakes: u32,
     pub busy: Duration,
     pub longest: Duration,
     /// The kind of wake that took the most time.
     pub worst: &'static str,
-    pub of_worst: WakeCount,
+    pub worst_stats: WakeStats,
 }
 
 /// Counts and times the wakes of the control thread by kind, to report what keeps it busy.
 #[derive(Debug)]
-pub struct WakeWatch {
+pub struct WakeMonitor {
     since: Instant,
-    by_kind: BTreeMap<&'static str, WakeCount>,
+    by_kind: BTreeMap<&'static str, WakeStats>,
 }
 
-impl WakeWatch {
+impl WakeMonitor {
     pub fn new(now: Instant) -> Self {
         Self {
             since: now,
@@ -52,12 +52,12 @@
     }
 
     /// Records a wake from `started` to `ended`; returns the window if it has ended and was excessive.
-    pub fn on_wake(
+    pub fn record(
         &mut self,
         kind: &'static str,
         started: Instant,
         ended: Instant,
-    ) -> Option<BusyPeriod> {
+    ) -> Option<BusyWindow> {
         let time = ended.saturating_duration_since(started);
         let count = self.by_kind.entry(kind).or_default();
         count.wakes += 1;
@@ -71,24 +71,24 @@
     }
 }
 
-fn find_excess(by_kind: BTreeMap<&'static str, WakeCount>) -> Option<BusyPeriod> {
-    let (worst, of_worst) = by_kind
+fn find_excess(by_kind: BTreeMap<&'static str, WakeStats>) -> Option<BusyWindow> {
+    let (worst, worst_stats) = by_kind
         .iter()
         .max_by_key(|(_, count)| (count.busy, count.wakes))?;
-    let window = BusyPeriod {
+    let window = BusyWindow {
         wakes: by_kind.values().map(|count| count.wakes).sum(),
         busy: by_kind.values().map(|count| count.busy).sum(),
         longest: by_kind.values().map(|count| count.longest).max()?,
         worst,
-        of_worst: *of_worst,
+        worst_stats: *worst_stats,
     };
     let is_excessive = window.wakes > MAX_WAKES || window.longest > MAX_WAKE_DURATION;
     is_excessive.then_some(window)
 }
 
 /// Counts a wake in the metrics and logs the window if it has ended and was excessive.
-pub fn tell_wake(
-    watch: &mut WakeWatch,
+pub fn record_wake(
+    watch: &mut WakeMonitor,
     kind: &'static str,
     started: Instant,
 ) {
@@ -101,7 +101,7 @@
         .control_busy_us
         .get_or_create(&labels)
         .inc_by(busy_us);
-    let Some(window) = watch.on_wake(kind, started, ended) else {
+    let Some(window) = watch.record(kind, started, ended) else {
         return;
     };
     note!(
@@ -110,7 +110,7 @@
         busy_ms = window.busy.as_millis(),
         longest_ms = window.longest.as_millis(),
         worst = window.worst,
-        worst_wakes = window.of_worst.wakes,
-        worst_busy_ms = window.of_worst.busy.as_millis(),
+        worst_wakes = window.worst_stats.wakes,
+        worst_busy_ms = window.worst_stats.busy.as_millis(),
     );
 }
--- a/tests/wake_watch.rs
+++ b/tests/wake_watch.rs
@@ -3,7 +3,7 @@
 use {
     coveproxy::{
         clock::Instant,
-        process::host::{BusyPeriod, WakeWatch},
+        process::host::{BusyWindow, WakeMonitor},
     },
     std::time::Duration,
 };
@@ -17,12 +17,12 @@
     kind: &'static str,
     a_second: u64,
     step: Duration,
-) -> Vec<BusyPeriod> {
+) -> Vec<BusyWindow> {
     let start = Instant::now();
-    let mut watch = WakeWatch::new(start);
+    let mut watch = WakeMonitor::new(start);
     let wakes = (0..2 * a_second).map(|at| start + us(at * 1_000_000 / a_second));
     wakes
-        .filter_map(|at| watch.on_wake(kind, at, at + step))
+        .filter_map(|at| watch.record(kind, at, at + step))
         .collect()
 }
 
@@ -48,13 +48,13 @@
 #[test]
 fn the_kind_that_took_the_most_time_is_named() {
     let start = Instant::now();
-    let mut watch = WakeWatch::new(start);
+    let mut watch = WakeMonitor::new(start);
     for at in 0..100 {
         let begun = start + us(at * 100);
-        assert_eq!(watch.on_wake("usage", begun, begun + us(5)), None);
+        assert_eq!(watch.record("usage", begun, begun + us(5)), None);
     }
     let begun = start + Duration::from_millis(900);
-    let told = watch.on_wake("pull", begun, begun + Duration::from_millis(300));
+    let told = watch.record("pull", begun, begun + Duration::from_millis(300));
     let told = told.expect("300 ms is too long");
     assert_eq!((told.worst, told.wakes), ("pull", 101));
 }
