--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -8,7 +8,7 @@
         poison_rows::POISON_TABLE,
         table_reader::{STORE_CALL_LIMIT, TableReader},
         traffic::TrafficInput,
-        wake_watch::{WakeMonitor, record_wake},
+        wake_monitor::{WakeMonitor, record_wake},
     },
     crate::{
         clock::{Instant, sleep_until},
--- a/src/process/host/mod.rs
+++ b/src/process/host/mod.rs
@@ -30,7 +30,7 @@
 mod table_reader;
 mod table_transfer;
 mod traffic;
-mod wake_watch;
+mod wake_monitor;
 
 pub use {
     control_action::ControlAction,
@@ -39,5 +39,5 @@
     host_process::run_host_process,
     send_rate_limiter::SendRateLimiter,
     table_transfer::{TableTransfer, TransferSource},
-    wake_watch::{BusyWindow, WakeMonitor, WakeStats},
+    wake_monitor::{BusyWindow, WakeMonitor, WakeStats},
 };
