--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -168,33 +168,33 @@
             ControlAction::AskReport { target, address } => self.ask_report(target, address),
             ControlAction::Publish(view) => self.tell_traffic(TrafficInput::View(view)),
             ControlAction::Confirm(confirmation) => {
-                self.tell_traffic(TrafficInput::Confirmed(confirmation));
+                self.tell_traffic(TrafficInput::Freshness(confirmation));
             }
             ControlAction::Place(placement) => {
                 self.tell_traffic(TrafficInput::Placement(placement));
             }
             ControlAction::Load(load) => self.tell_traffic(TrafficInput::Load(load)),
             ControlAction::Stand(standing) => {
-                self.tell_traffic(TrafficInput::Standing(standing));
+                self.tell_traffic(TrafficInput::EngineStatus(standing));
             }
-            ControlAction::PlaceGiven(given) => self.tell_traffic(TrafficInput::PlaceGiven(given)),
+            ControlAction::PlaceGiven(given) => self.tell_traffic(TrafficInput::SlotAnswer(given)),
             ControlAction::Permit(answer) => self.tell_traffic(TrafficInput::Permit(answer)),
             ControlAction::TargetNews { target, notices } => {
-                self.tell_traffic(TrafficInput::TargetNews { target, notices });
+                self.tell_traffic(TrafficInput::TargetNotices { target, notices });
             }
-            ControlAction::Charged(answer) => self.tell_traffic(TrafficInput::Charged(answer)),
-            ControlAction::Borrow(loan) => self.tell_traffic(TrafficInput::Borrowed(loan)),
+            ControlAction::Charged(answer) => self.tell_traffic(TrafficInput::QuotaAnswer(answer)),
+            ControlAction::Borrow(loan) => self.tell_traffic(TrafficInput::BorrowedBudget(loan)),
             ControlAction::Stands {
                 fingerprint,
                 standing,
-            } => self.tell_traffic(TrafficInput::Stands {
+            } => self.tell_traffic(TrafficInput::PoisonStatus {
                 fingerprint,
-                standing,
+                status: standing,
             }),
             ControlAction::ReadPoison => self.read_poison(),
             ControlAction::KeepPoison { writes } => self.keep_poison(writes),
             ControlAction::Lend { to, ask } => {
-                self.tell_traffic(TrafficInput::LoanAsked { to, ask });
+                self.tell_traffic(TrafficInput::BorrowRequest { to, request: ask });
             }
         }
     }
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -49,31 +49,31 @@
 pub enum TrafficInput {
     View(Arc<FleetView>),
     /// The times as of which the current view is known to be up to date.
-    Confirmed(ReplicaFreshness),
+    Freshness(ReplicaFreshness),
     Placement(Placement),
     Load(EngineLoad),
-    Standing(EngineStanding),
-    Borrowed(Loan),
+    EngineStatus(EngineStanding),
+    BorrowedBudget(Loan),
     /// Answer of the host that accounts for a customer's quota.
-    Charged(ChargeAnswer),
+    QuotaAnswer(ChargeAnswer),
     /// Answer of the host that assigns concurrency slots.
-    PlaceGiven(PlaceGiven),
+    SlotAnswer(PlaceGiven),
     /// Answer of the host that allocates permits for a target.
     Permit(PermitAnswer),
     /// Notices of a target that another host received.
-    TargetNews {
+    TargetNotices {
         target: String,
         notices: TargetNotices,
     },
     /// The poison status of a request has changed; `None` if it was cleared.
-    Stands {
+    PoisonStatus {
         fingerprint: Fingerprint,
-        standing: Option<PoisonStatus>,
+        status: Option<PoisonStatus>,
     },
     /// Another host requests a part of this host's repeat budget.
-    LoanAsked {
+    BorrowRequest {
         to: SocketAddr,
-        ask: LoanAsk,
+        request: LoanAsk,
     },
 }
 
@@ -171,27 +171,29 @@
     let mut table = table.borrow_mut();
     match input {
         TrafficInput::View(view) => table.set_view(view),
-        TrafficInput::Confirmed(freshness) => table.set_freshness(freshness),
+        TrafficInput::Freshness(freshness) => table.set_freshness(freshness),
         TrafficInput::Placement(placement) => table.on_placement(&placement, Instant::now()),
         TrafficInput::Load(load) => table.on_engine_load(&load, Instant::now()),
-        TrafficInput::Standing(standing) => table.on_engine_status(&standing, Instant::now()),
-        TrafficInput::Stands {
+        TrafficInput::EngineStatus(status) => table.on_engine_status(&status, Instant::now()),
+        TrafficInput::PoisonStatus {
             fingerprint,
-            standing,
-        } => table.crashes.set_status(fingerprint, standing),
-        TrafficInput::PlaceGiven(given) => {
-            table.pending_slots.on_answer(given.id, given);
+            status,
+        } => table.crashes.set_status(fingerprint, status),
+        TrafficInput::SlotAnswer(answer) => {
+            table.pending_slots.on_answer(answer.id, answer);
         }
         TrafficInput::Permit(answer) => {
             table.pending_permits.on_answer(answer.id, answer);
         }
-        TrafficInput::TargetNews { target, notices } => {
+        TrafficInput::TargetNotices { target, notices } => {
             table
                 .notices
                 .on_peer_notices(&target, &notices, Instant::now());
         }
-        TrafficInput::Charged(answer) => table.quotas.on_answer(answer),
-        TrafficInput::Borrowed(loan) => table.on_loan(&loan, Instant::now()),
-        TrafficInput::LoanAsked { to, ask } => table.on_loan_request(to, &ask, Instant::now()),
+        TrafficInput::QuotaAnswer(answer) => table.quotas.on_answer(answer),
+        TrafficInput::BorrowedBudget(loan) => table.on_loan(&loan, Instant::now()),
+        TrafficInput::BorrowRequest { to, request } => {
+            table.on_loan_request(to, &request, Instant::now())
+        }
     }
 }
