--- a/src/process/host/replica_server.rs
+++ b/src/process/host/replica_server.rs
@@ -66,29 +66,29 @@
         changes: &TableChanges,
     ) -> &CopyPage {
         let content_digest = digest_of(changes);
-        let last_pages = self.last_pages.entry(table).or_insert_with(|| EncodedPage {
+        let last_page = self.last_pages.entry(table).or_insert_with(|| EncodedPage {
             content_digest,
             page: CopyPage::new(&changes.into()),
         });
-        if last_pages.content_digest != content_digest {
-            *last_pages = EncodedPage {
+        if last_page.content_digest != content_digest {
+            *last_page = EncodedPage {
                 content_digest,
                 page: CopyPage::new(&changes.into()),
             };
         }
-        &last_pages.page
+        &last_page.page
     }
 }
 
 /// Digest of the content of a page.
 fn digest_of(changes: &TableChanges) -> u64 {
-    let mut content_digest = Xxh3Default::new();
+    let mut hasher = Xxh3Default::new();
     for row in &changes.rows {
-        content_digest.update(row.key.as_bytes());
-        content_digest.update(&row.version.to_le_bytes());
+        hasher.update(row.key.as_bytes());
+        hasher.update(&row.version.to_le_bytes());
     }
-    content_digest.update(&changes.version.to_le_bytes());
-    content_digest.update(&changes.digest.to_le_bytes());
-    content_digest.update(&[u8::from(changes.whole)]);
-    content_digest.digest()
+    hasher.update(&changes.version.to_le_bytes());
+    hasher.update(&changes.digest.to_le_bytes());
+    hasher.update(&[u8::from(changes.whole)]);
+    hasher.digest()
 }
--- a/src/process/host/wake_monitor.rs
+++ b/src/process/host/wake_monitor.rs
@@ -88,7 +88,7 @@
 
 /// Counts a wake in the metrics and logs the window if it has ended and was excessive.
 pub fn record_wake(
-    watch: &mut WakeMonitor,
+    monitor: &mut WakeMonitor,
     kind: &'static str,
     started: Instant,
 ) {
@@ -101,7 +101,7 @@
         .control_busy_us
         .get_or_create(&labels)
         .inc_by(busy_us);
-    let Some(window) = watch.record(kind, started, ended) else {
+    let Some(window) = monitor.record(kind, started, ended) else {
         return;
     };
     note!(
