--- a/src/formats/formats.rs
+++ b/src/formats/formats.rs
@@ -9,7 +9,7 @@
     thiserror::Error,
 };
 
-/// Bytes of an outside system that make no sense.
+/// Malformed data from an external system.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{what}: {problem}")]
 pub struct FormatError {
@@ -29,10 +29,10 @@
     }
 }
 
-/// A row of the operators' table.
+/// A decoded row of the operators' table.
 #[derive(Debug, Clone)]
 pub enum Declared {
-    /// The newest configuration, whole.
+    /// The newest complete configuration.
     Routing(Arc<RoutingTable>),
     /// The newest version of an adapter.
     AdapterVersion {
@@ -40,43 +40,43 @@
         adapter: String,
         version: u64,
     },
-    /// Something that does not concern the product.
+    /// A row that coveproxy does not use.
     Other,
 }
 
-/// A call that reaches a host from outside, beside the requests themselves.
+/// An external HTTP call to a host that is not a request for a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublicCall {
-    /// Which hosts to use; names the caller's hall if it said so.
+    /// Requests the entry addresses; `hall` is the caller's, if given.
     Entry {
         hall: Option<String>,
     },
-    /// Whether this host takes requests.
+    /// Checks whether this host accepts requests.
     Ready,
     Unknown,
 }
 
-/// The formats of a platform: pure functions between its bytes and the product's types.
+/// The formats of a platform: pure functions that convert between its bytes and this crate's types.
 ///
-/// An implementation decides nothing: it has no state, waits for nothing and repeats nothing.
+/// Implementations are stateless, don't block and don't retry.
 pub trait Formats: Send + Sync + 'static {
-    /// Headers of requests and answers.
+    /// Returns the names of request and response headers.
     fn headers(&self) -> &HeaderNames;
 
-    /// Name of the table that operators write to.
+    /// Returns the name of the table that operators write to.
     fn declared_table(&self) -> &str;
 
-    /// Name of the table in which targets record themselves.
+    /// Returns the name of the table in which targets register.
     fn target_table(&self) -> &str;
 
-    /// Reads the rows of a table, beginning behind the key `after`.
+    /// Returns the call that reads the rows of a table, starting after the key `after`.
     fn rows_call(
         &self,
         table: &str,
         after: Option<&str>,
     ) -> HttpCall;
 
-    /// Reads the rows of a table that have changed since a version; waits for one if told to.
+    /// Returns the call that reads the changes of a table since a version; the store waits up to `wait` for one.
     fn changes_call(
         &self,
         table: &str,
@@ -84,62 +84,65 @@
         wait: Duration,
     ) -> HttpCall;
 
-    /// Understands the answer to a read of rows.
+    /// Parses the response to a read of rows or changes.
     fn rows_reply(
         &self,
         reply: &HttpReply,
     ) -> Result<RowsReply, FormatError>;
 
+    /// Returns the call that commits a transaction.
     fn transaction_call(
         &self,
         transaction: &Transaction,
     ) -> HttpCall;
 
-    /// Understands the answer to a transaction.
+    /// Parses the response to a transaction.
     fn commit_reply(
         &self,
         reply: &HttpReply,
     ) -> Result<Commit, FormatError>;
 
-    /// Understands a row of the operators' table.
+    /// Parses a row of the operators' table.
     fn declared(
         &self,
         row: &Row,
     ) -> Result<Declared, FormatError>;
 
-    /// Understands a row of the targets' table.
+    /// Parses a row of the targets' table.
     fn target_record(
         &self,
         row: &Row,
     ) -> Result<TargetRecord, FormatError>;
 
+    /// Returns the call that sends an order to an engine.
     fn order_call(
         &self,
         order: &Order,
     ) -> HttpCall;
 
-    /// Understands an engine's answer to an order.
+    /// Interprets the status of an engine's response to an order.
     fn order_reply(
         &self,
         status: u16,
     ) -> Result<OrderReply, FormatError>;
 
+    /// Returns the call that requests an engine's report.
     fn report_call(&self) -> HttpCall;
 
-    /// Understands an engine's report.
+    /// Parses an engine's report.
     fn report_reply(
         &self,
         reply: &HttpReply,
     ) -> Result<TargetReport, FormatError>;
 
-    /// Understands a call from outside.
+    /// Parses an external call to this host.
     fn public_call(
         &self,
         method: &Method,
         path_and_query: &str,
     ) -> PublicCall;
 
-    /// The body that tells a caller which addresses to use and for how long.
+    /// Returns the body that lists the addresses that a caller may use, valid for `life`.
     fn entry_body(
         &self,
         addresses: &[SocketAddr],
--- a/src/formats/http_call.rs
+++ b/src/formats/http_call.rs
@@ -1,17 +1,17 @@
 use http::Method;
 
-/// A call to an outside system, without what only concerns the connection.
+/// An HTTP call to an external system, without connection-level headers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpCall {
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Empty for calls without a body; else JSON.
+    /// JSON, or empty if there is no body.
     pub body: Vec<u8>,
 }
 
 impl HttpCall {
-    /// A call without a body.
+    /// Creates a GET call without a body.
     pub fn get(target: String) -> Self {
         Self {
             method: Method::GET,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// A call with a JSON body.
+    /// Creates a POST call with a JSON body.
     pub fn post(
         target: String,
         body: Vec<u8>,
@@ -33,7 +33,7 @@
     }
 }
 
-/// The whole answer to a call.
+/// The complete response to a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpReply {
     pub status: u16,
--- a/src/formats/mod.rs
+++ b/src/formats/mod.rs
@@ -1,6 +1,6 @@
-//! What the product needs to know of the formats that an outside platform speaks.
+//! Data formats of an external platform, as far as coveproxy uses them.
 //!
-//! An adapter crate implements [`Formats`]; nothing here or above knows a platform's own names.
+//! An adapter crate implements [`Formats`]; platform-specific names stay in that crate.
 
 mod formats;
 mod header_names;
--- a/src/formats/order.rs
+++ b/src/formats/order.rs
@@ -1,4 +1,4 @@
-/// What an engine is told to do.
+/// Action requested by an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
     Load,
@@ -6,7 +6,7 @@
 }
 
 impl OrderKind {
-    /// The kind in logs and figures.
+    /// Name of the kind in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::Load => "load",
@@ -20,20 +20,20 @@
 pub struct Order {
     pub kind: OrderKind,
     pub model: String,
-    /// None concerns the base model itself.
+    /// `None` if the order is for the base model itself.
     pub adapter: Option<String>,
-    /// Version of the adapter to load; none takes the newest.
+    /// Version of the adapter to load; `None` for the newest.
     pub version: Option<u64>,
-    /// Orders that the engine must have taken so far; checked when it carries this one out.
+    /// Number of orders that the engine must have accepted before this one; checked by the engine.
     pub expected_sequence: Option<u64>,
-    /// Name of the host that gives the order.
+    /// Name of the host that sends the order.
     pub holder: String,
-    /// Grows each time that another host begins to give orders to this engine.
+    /// Fencing token: increases each time another host takes control of the engine.
     pub fence: u64,
 }
 
 impl OrderReply {
-    /// The reply in logs.
+    /// Name of the reply in logs.
     pub fn word(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -46,19 +46,19 @@
     }
 }
 
-/// What an engine says to an order.
+/// An engine's reply to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It is under way.
+    /// The order is in progress.
     Accepted,
-    /// It holds already, or is done.
+    /// The requested state is reached.
     Done,
-    /// Another order is under way, or the sequence does not match.
+    /// Another order is in progress, or the sequence does not match.
     Conflict,
-    /// A newer fence was seen.
+    /// The engine has seen a newer fence.
     Fenced,
-    /// The order makes no sense to it.
+    /// The order is invalid.
     Refused,
-    /// Another target is at that address.
+    /// Another target listens at the address.
     OtherTarget,
 }
--- a/src/formats/rows.rs
+++ b/src/formats/rows.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-/// Names a row of the platform's table service.
+/// Key of a row in the platform's table service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RowKey {
     pub table: Arc<str>,
@@ -19,48 +19,48 @@
     }
 }
 
-/// A row as it was read; no value says that it is gone.
+/// A row as read; `value` is `None` if the row was deleted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     pub key: Arc<str>,
-    /// Rises with each change of any row.
+    /// Version of the store at the last change of the row; increases with each change of any row.
     pub version: u64,
     pub value: Option<Arc<[u8]>>,
 }
 
-/// Bytes of all values in these rows.
+/// Returns the total size of the rows' values, in bytes.
 pub fn bytes_of(rows: &[Row]) -> usize {
     let values = rows.iter().filter_map(|row| row.value.as_deref());
     values.map(<[u8]>::len).sum()
 }
 
-/// An answer about rows.
+/// A page of rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowBatch {
     pub rows: Vec<Row>,
-    /// The answer is as of this version of the whole store.
+    /// Version of the complete store as of which the rows were read.
     pub version: u64,
-    /// There are more rows behind the last one.
+    /// True if more rows follow the last one.
     pub more: bool,
 }
 
 impl RowBatch {
-    /// Bytes of all its values.
+    /// Returns the total size of the values, in bytes.
     pub fn bytes(&self) -> usize {
         bytes_of(&self.rows)
     }
 }
 
-/// An answer to a read of rows or changes.
+/// Response to a read of rows or changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowsReply {
     Rows(RowBatch),
-    /// The store no longer knows what has changed since then; the table must be read whole.
+    /// The store has discarded the changes since that version; the complete table must be read.
     HistoryGone,
 }
 
 impl RowsReply {
-    /// Bytes of all values in it.
+    /// Returns the total size of the values, in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Rows(batch) => batch.bytes(),
@@ -69,35 +69,35 @@
     }
 }
 
-/// What a transaction expects of one row.
+/// Precondition of a transaction: the expected version of one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Expectation {
     pub row: RowKey,
-    /// 0 expects that there is no such row.
+    /// 0 if the row must not exist.
     pub version: u64,
 }
 
-/// One write of a transaction; no value removes the row.
+/// One write of a transaction; deletes the row if `value` is `None`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowWrite {
     pub row: RowKey,
     pub value: Option<Vec<u8>>,
 }
 
-/// Writes that take effect together, or not at all if an expectation fails.
+/// Writes that take effect atomically, or not at all if an expectation fails.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
     pub expected: Vec<Expectation>,
     pub writes: Vec<RowWrite>,
 }
 
-/// How a transaction ended.
+/// Result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Commit {
-    /// The rows written bear this version.
+    /// The transaction took effect; the rows written have this version.
     Done { version: u64 },
-    /// An expectation failed; these are the rows named by it, as they are.
+    /// An expectation failed; `rows` are the current rows that the expectations refer to.
     Conflict { rows: Vec<Row> },
-    /// The store turned the call away, or was not reached: nothing was done.
+    /// The store rejected the call or was unreachable; nothing was written.
     TurnedAway,
 }
--- a/src/formats/target_report.rs
+++ b/src/formats/target_report.rs
@@ -1,18 +1,18 @@
 use super::{HeldModel, TargetStart};
 
-/// What an engine says of itself when asked, some hundred milliseconds old.
+/// An engine's report of its state; may be some hundred milliseconds old.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetReport {
-    /// Which start of the engine reports; `None` where the platform gives each start an id of its own.
+    /// Incarnation of the engine; `None` if the platform assigns a new id to each incarnation.
     pub started: Option<TargetStart>,
     pub models: Vec<HeldModel>,
-    /// Adapters on their way: base model, name, version.
+    /// Adapters being loaded: base model, name, version.
     pub coming: Vec<(String, String, u64)>,
-    /// Base models that need not come from the weight store.
+    /// Base models cached at the engine, which load without the weight store.
     pub at_hand: Vec<String>,
-    /// An order is under way beside which the engine takes no other.
+    /// An order is in progress; the engine accepts no other until it ends.
     pub busy: bool,
-    /// Orders taken since its start.
+    /// Number of orders accepted in this incarnation.
     pub sequence: u64,
     pub waiting: u32,
     pub running: u32,
--- a/src/version/config_store.rs
+++ b/src/version/config_store.rs
@@ -11,13 +11,13 @@
     },
 };
 
-/// The table row that names the newest revision.
+/// Key of the table row that refers to the newest revision.
 pub const CONFIG_HEAD_KEY: &str = "config/head";
 
-/// Every so many revisions the body holds the whole configuration.
+/// Number of revisions between snapshots of the complete configuration.
 const WHOLE_EVERY: u64 = 64;
 
-/// Tries to learn whether a transaction with a lost reply took effect.
+/// Number of attempts to find out whether a transaction whose reply was lost took effect.
 const SETTLE_TRIES: usize = 5;
 
 /// The value of the row `config/head`.
@@ -29,7 +29,7 @@
 }
 
 impl ConfigHead {
-    /// Reads the head out of its table row.
+    /// Parses the head from its table row.
     pub fn from_row(row: &Row) -> Result<Self, ConfigError> {
         serde_json::from_str(&row.value).map_err(|e| ConfigError::Corrupt(e.to_string()))
     }
@@ -49,7 +49,7 @@
         Self { table, objects }
     }
 
-    /// The newest configuration, built from what `known` lacks.
+    /// Reads the newest configuration by applying the revisions that `known` lacks.
     pub fn read(
         &self,
         known: &SiteConfig,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The configuration that `head` names, built from what `known` lacks.
+    /// Reads the configuration at `head` by applying the revisions that `known` lacks.
     pub fn read_to(
         &self,
         head: &ConfigHead,
@@ -90,7 +90,7 @@
         Ok(config)
     }
 
-    /// Commits `changes` on top of `seen`; the loser of a race is told the newer revision.
+    /// Commits `changes` on top of `seen`; returns `ConfigError::Conflict` if there is a newer revision.
     pub fn commit(
         &self,
         seen: &SiteConfig,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// After a lost reply: the object's name holds the operation id, so the head tells.
+    /// Finds out after a lost reply whether the commit took effect: object names contain the operation id.
     fn settle(
         &self,
         head: &ConfigHead,
@@ -163,7 +163,7 @@
         Err(ConfigError::Undecided(lost.to_string()))
     }
 
-    /// Walks back from the newest revision to see whether ours is among them.
+    /// Walks back from the newest revision; succeeds if `ours` is among its predecessors.
     fn conflict_or_own(
         &self,
         ours: &ConfigHead,
--- a/src/version/mod.rs
+++ b/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for a configuration revision: declared things, changes and their store.
+//! Configuration revisions: declared entities, changes and the store for them.
 
 mod adapter_version;
 mod change;
--- a/src/version/routing/customer.rs
+++ b/src/version/routing/customer.rs
@@ -4,8 +4,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Customer {
     pub name: String,
-    /// Comes before that of the route; 0 is the most urgent.
+    /// Takes precedence over the priority of the route; 0 is the most urgent.
     pub priority: u8,
-    /// None may use as much as there is.
+    /// `None` means unlimited use.
     pub limit: Option<UseLimit>,
 }
--- a/src/version/routing/customers.rs
+++ b/src/version/routing/customers.rs
@@ -3,17 +3,17 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// The customers of one configuration, found by their keys.
+/// The customers of one configuration, indexed by key and by name.
 #[derive(Debug, Clone, Default)]
 pub struct Customers {
     by_key: HashMap<KeyDigest, Arc<Customer>>,
     by_name: HashMap<String, Arc<Customer>>,
-    /// Keys that stand at more than one customer.
+    /// Number of times that a key was listed for a second customer.
     shared_keys: usize,
 }
 
 impl Customers {
-    /// Takes a customer in, with the digests of its keys. A key that stands at another one already stays there.
+    /// Adds a customer with the digests of its keys; a key that another customer has already stays with that one.
     pub fn add(
         &mut self,
         customer: Customer,
@@ -29,12 +29,12 @@
         self.by_name.insert(customer.name.clone(), customer);
     }
 
-    /// True if there are none, so that requests need no key.
+    /// Returns true if there are no customers, in which case requests need no key.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// True if one of them has a limit.
+    /// Returns true if any customer has a limit.
     pub fn any_limited(&self) -> bool {
         self.iter().any(|customer| customer.limit.is_some())
     }
@@ -43,7 +43,7 @@
         self.by_name.values()
     }
 
-    /// The customer that a key belongs to.
+    /// Returns the customer that a key belongs to.
     pub fn of_key(
         &self,
         key: &KeyDigest,
@@ -51,7 +51,6 @@
         self.by_key.get(key)
     }
 
-    /// The customer of this name.
     pub fn named(
         &self,
         name: &str,
@@ -59,12 +58,12 @@
         self.by_name.get(name)
     }
 
-    /// Keys, over all customers.
+    /// Returns the number of distinct keys of all customers.
     pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Keys that stand at more than one customer: an operators' mistake.
+    /// Returns how often a key was listed for a second customer, which is a configuration error.
     pub fn shared_key_count(&self) -> usize {
         self.shared_keys
     }
--- a/src/version/routing/engine_spec.rs
+++ b/src/version/routing/engine_spec.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// A base model that the engines of a service can hold.
+/// A base model that the engines of a service can load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BaseModel {
     pub name: String,
@@ -8,28 +8,27 @@
     pub weights_mb: f64,
     /// Memory of one of its adapters, in MB.
     pub adapter_mb: f64,
-    /// Time to load its weights from the weight store, alone.
+    /// Time to load its weights from the weight store when no other load is running.
     pub load_time: Duration,
 }
 
-/// What one engine of a service can hold and run.
+/// Capacity of one engine of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
     pub models: Vec<BaseModel>,
-    /// Requests in one batch.
+    /// Maximum number of requests in one batch.
     pub slots: u32,
-    /// Tokens of prompts and answers in memory.
+    /// Maximum number of prompt and answer tokens in memory.
     pub memory_tokens: u64,
     /// Memory for weights and adapters together, in MB.
     pub weights_mb: f64,
-    /// Adapters held at once, those on their way included.
+    /// Maximum number of loaded adapters, including those being loaded.
     pub adapter_slots: usize,
-    /// Loads of weights that the weight store allows in a second, over all engines.
+    /// Weight loads per second that the weight store allows, over all engines.
     pub loads_per_second: f64,
 }
 
 impl EngineSpec {
-    /// The base model of that name.
     pub fn model(
         &self,
         name: &str,
@@ -37,7 +36,7 @@
         self.models.iter().find(|model| model.name == name)
     }
 
-    /// Adapters that fit beside one base model.
+    /// Returns the number of adapters that fit into memory beside a base model.
     pub fn adapter_room(
         &self,
         model: &BaseModel,
--- a/src/version/routing/mod.rs
+++ b/src/version/routing/mod.rs
@@ -1,4 +1,4 @@
-//! What operators declare about routes: one immutable table for each accepted configuration.
+//! Routes, services and customers declared by operators: one immutable table per accepted configuration.
 
 mod customer;
 mod customers;
--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// What may be repeated of the requests of a route.
+/// Whether requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests may run more than once.
@@ -12,7 +12,7 @@
 }
 
 impl RouteKind {
-    /// The kind in figures.
+    /// Name of the kind in metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::Safe => "safe",
@@ -29,7 +29,7 @@
     pub weight: u32,
 }
 
-/// Which requests go to which service, and on what terms.
+/// A route: which requests go to which services, with their limits and objectives.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     pub name: String,
@@ -37,26 +37,26 @@
     /// Begins and ends with a slash.
     pub path_prefix: String,
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Maximum time until a request is answered.
     pub timeout: Duration,
-    /// Time to the answer, or to the first event of a stream, that earns full credit.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub aim: Duration,
-    /// Longest pause between the events of a stream that keeps it in time.
+    /// Latency objective for the interval between the events of a stream.
     pub gap_aim: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go; more than one entry splits them by weight.
+    /// Destinations; several entries split the requests by weight.
     pub services: Vec<WeightedService>,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub max_attempts: u32,
-    /// A broken stream may go on at another target.
+    /// An interrupted stream may resume at another target.
     pub resumable: bool,
-    /// Requests need no key, also where there are customers.
+    /// Requests need no key even if customers are declared.
     pub public: bool,
 }
 
 impl Route {
-    /// True when a request of this route may run more than once.
+    /// Returns true if a request of this route may run more than once.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The service for a request, chosen by weight with `draw`, a number from 0 to below 1.
+    /// Selects a service by weight; `draw` is a random number in `0.0..1.0`.
     pub fn service(
         &self,
         draw: f64,
--- a/src/version/routing/use_limit.rs
+++ b/src/version/routing/use_limit.rs
@@ -1,25 +1,25 @@
-/// What a customer's use is counted in.
+/// Unit of a customer's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum UseUnit {
     /// Each request counts as one.
     Requests,
-    /// A request counts as the tokens of its prompt and the most of its answer; one that does not tell them as
-    /// so many.
+    /// A request counts as the tokens of its prompt plus the maximum of its answer; one that declares no token
+    /// counts as `untold` tokens.
     Tokens { untold: f64 },
 }
 
-/// How much a customer may use, over all hosts together.
+/// Rate limit of a customer, over all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UseLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units besides, at once.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
     pub unit: UseUnit,
 }
 
 impl UseLimit {
-    /// What a request uses that tells these tokens.
+    /// Returns the units that a request costs; `tokens` is its declared count.
     pub fn cost(
         &self,
         tokens: Option<u64>,
--- a/src/version/service_spec.rs
+++ b/src/version/service_spec.rs
@@ -9,7 +9,6 @@
 pub struct KeyHash(String);
 
 impl KeyHash {
-    /// Hashes a key.
     pub fn from_key(key: &str) -> Self {
         let digest = KeyDigest::of(key.as_bytes());
         Self(
@@ -33,20 +32,20 @@
 /// A service that sends requests through coveproxy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Keys that the service may show, as hashes; two during a rotation.
+    /// Hashes of the keys that the service may use; two during a rotation.
     pub keys: Vec<KeyHash>,
     /// Kinds that the service may send; the first is the default.
     pub kinds: Vec<String>,
-    /// The outfitter that counts when the caller names none.
+    /// Default outfitter for requests that name none.
     #[serde(default)]
     pub outfitter: Option<String>,
-    /// Plain targets that answer `/v1/services/<service>/…`; empty for model services.
+    /// True if plain targets answer `/v1/services/<service>/…`; false for model services.
     #[serde(default)]
     pub plain: bool,
-    /// Resends as a share of first sends.
+    /// Maximum ratio of retries to first attempts.
     #[serde(default = "ServiceSpec::default_retry_share")]
     pub retry_share: f64,
-    /// Requests a second that the service may send; 0 is no limit.
+    /// Requests per second that the service may send; 0 disables the limit.
     #[serde(default)]
     pub rate: f64,
 }
@@ -56,7 +55,7 @@
         0.2
     }
 
-    /// True when one of the service's keys has this hash; every key is compared.
+    /// Returns true if one of the service's keys has this hash; compares every key, for constant time.
     pub fn admits(
         &self,
         shown: &KeyHash,
--- a/src/version/site_config.rs
+++ b/src/version/site_config.rs
@@ -11,7 +11,7 @@
 /// The declared configuration at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteConfig {
-    /// Grows by one with each accepted transaction; 0 is the empty configuration.
+    /// Increases by one with each accepted transaction; 0 is the empty configuration.
     pub revision: u64,
     /// Base model of each adapter version.
     pub adapters: BTreeMap<AdapterVersion, Arc<str>>,
@@ -22,7 +22,7 @@
 }
 
 impl SiteConfig {
-    /// The configuration after `changes`, with the next revision; refused as a whole.
+    /// Returns the next revision, with all of `changes` applied; fails if any of them is invalid.
     pub fn with(
         &self,
         changes: &[Change],
@@ -36,7 +36,7 @@
         Ok(next)
     }
 
-    /// Base model of a declared adapter version.
+    /// Returns the base model of a declared adapter version.
     pub fn base_model(
         &self,
         version: &AdapterVersion,
@@ -44,7 +44,7 @@
         self.adapters.get(version).map(|base| base.as_ref())
     }
 
-    /// The service that a key belongs to; every service is compared.
+    /// Returns the service that a key belongs to; compares every service, for constant time.
     pub fn service_of_key(
         &self,
         shown: &KeyHash,
@@ -57,7 +57,7 @@
             })
     }
 
-    /// Worth of an outfitter; 1.0 when none is named or known.
+    /// Returns the weight of an outfitter; 1.0 if it is `None` or unknown.
     pub fn worth(
         &self,
         outfitter: Option<&str>,
--- a/src/version/target_spec.rs
+++ b/src/version/target_spec.rs
@@ -3,45 +3,44 @@
     std::net::SocketAddr,
 };
 
-/// What a model engine can hold and run.
+/// Capacity of a model engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Base model that the engine's adapters must be made for.
+    /// Base model of all adapters that the engine can load.
     pub base_model: String,
-    /// Adapters held at once.
+    /// Maximum number of loaded adapters.
     pub adapter_slots: usize,
-    /// Requests batched at once.
+    /// Maximum number of requests in one batch.
     pub batch_slots: usize,
 }
 
-/// What a target is for.
+/// Role of a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetRole {
-    /// A model engine.
     Engine(EngineSpec),
-    /// A plain service: the service's name and the calls that it bears at once.
-    Plain { service: String, calls: usize },
+    /// A plain service: its name and the maximum number of concurrent calls.
+    Plain {
+        service: String,
+        calls: usize,
+    },
 }
 
 /// A back end: a model engine or a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetSpec {
-    /// Where the target listens.
     pub address: SocketAddr,
-    /// The hall that it stands in.
     pub hall: String,
-    /// What it is for.
     pub role: TargetRole,
-    /// Whether the target refuses orders that bear an old fence.
+    /// The target rejects orders that have an outdated fence.
     pub checks_fences: bool,
-    /// A leaving target finishes what it has and gets no new work.
+    /// The target is draining: it finishes its requests and gets no new ones.
     #[serde(default)]
     pub leaving: bool,
 }
 
 impl TargetSpec {
-    /// The engine's sizes, for a model engine.
+    /// Returns the capacity of a model engine; `None` for a plain service.
     pub fn engine(&self) -> Option<&EngineSpec> {
         match &self.role {
             TargetRole::Engine(engine) => Some(engine),
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Requests that the target bears at once.
+    /// Returns the maximum number of concurrent requests.
     pub fn max_running(&self) -> usize {
         match &self.role {
             TargetRole::Engine(engine) => engine.batch_slots,
