--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -74,7 +74,7 @@
     let lookups = timed(20, || {
         for at in 0..1_000 {
             let key = KeyDigest::of(format!("key-{}-7", at % customers).as_bytes());
-            black_box(all.of_key(&key));
+            black_box(all.find_by_key(&key));
         }
     });
     let start = Instant::now();
--- a/src/version/routing/customers.rs
+++ b/src/version/routing/customers.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the customer that a key belongs to.
-    pub fn of_key(
+    pub fn find_by_key(
         &self,
         key: &KeyDigest,
     ) -> Option<&Arc<Customer>> {
