--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -145,7 +145,7 @@
     ) -> Option<(Option<BucketLimits>, &mut QuotaLedger)> {
         let slot = slot as usize;
         let held = self.holding.held_engine(&shard_lease(slot), now)?;
-        let limit = self.routing.customers.named(customer)?.limit;
+        let limit = self.routing.customers.find_by_name(customer)?.limit;
         let terms = limit.map(|limit| self.bucket_terms(&limit));
         let known = self.ledgers.get_mut(&slot)?;
         (known.fence == held.fence).then_some((terms, &mut known.ledger))
--- a/src/version/routing/customers.rs
+++ b/src/version/routing/customers.rs
@@ -51,7 +51,7 @@
         self.by_key.get(key)
     }
 
-    pub fn named(
+    pub fn find_by_name(
         &self,
         name: &str,
     ) -> Option<&Arc<Customer>> {
