--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -27,7 +27,7 @@
 impl HostControl {
     /// Slots in which use is counted: none where no customer has a limit.
     pub(super) fn slot_count(&self) -> usize {
-        match self.routing.customers.any_limited() {
+        match self.routing.customers.has_limits() {
             true => QUOTA_SHARDS,
             false => 0,
         }
@@ -52,8 +52,8 @@
             let Some(held) = self.holding.held_engine(&shard_lease(slot), now) else {
                 continue;
             };
-            let known = self.ledgers.get(&slot);
-            if known.is_some_and(|known| known.fence == held.fence) {
+            let owner = self.ledgers.get(&slot);
+            if owner.is_some_and(|owner| owner.fence == held.fence) {
                 continue;
             }
             note!(Event::QuotaCounted, slot = slot, fence = held.fence);
@@ -147,8 +147,8 @@
         let held = self.holding.held_engine(&shard_lease(slot), now)?;
         let limit = self.routing.customers.find_by_name(customer)?.limit;
         let terms = limit.map(|limit| self.bucket_terms(&limit));
-        let known = self.ledgers.get_mut(&slot)?;
-        (known.fence == held.fence).then_some((terms, &mut known.ledger))
+        let owner = self.ledgers.get_mut(&slot)?;
+        (owner.fence == held.fence).then_some((terms, &mut owner.ledger))
     }
 
     fn bucket_terms(
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -340,7 +340,7 @@
             routes = routing.routes().count(),
             customers = routing.customers.iter().count(),
             keys = routing.customers.key_count(),
-            shared_keys = routing.customers.shared_key_count(),
+            shared_keys = routing.customers.duplicate_key_count(),
         );
         self.routing = routing;
         self.engines = None;
@@ -357,8 +357,8 @@
         news: &RowNews,
         now: Instant,
     ) {
-        let known = self.versions.get(&adapter);
-        let before = known.map_or(1, VersionHistory::newest);
+        let owner = self.versions.get(&adapter);
+        let before = owner.map_or(1, VersionHistory::newest);
         if version <= before {
             return;
         }
--- a/src/version/routing/customers.rs
+++ b/src/version/routing/customers.rs
@@ -9,7 +9,7 @@
     by_key: HashMap<KeyDigest, Arc<Customer>>,
     by_name: HashMap<String, Arc<Customer>>,
     /// Number of times that a key was listed for a second customer.
-    shared_keys: usize,
+    duplicate_keys: usize,
 }
 
 impl Customers {
@@ -21,9 +21,9 @@
     ) {
         let customer = Arc::new(customer);
         for key in keys {
-            let known = self.by_key.entry(key).or_insert_with(|| customer.clone());
-            if !Arc::ptr_eq(known, &customer) {
-                self.shared_keys += 1;
+            let owner = self.by_key.entry(key).or_insert_with(|| customer.clone());
+            if !Arc::ptr_eq(owner, &customer) {
+                self.duplicate_keys += 1;
             }
         }
         self.by_name.insert(customer.name.clone(), customer);
@@ -35,7 +35,7 @@
     }
 
     /// Returns true if any customer has a limit.
-    pub fn any_limited(&self) -> bool {
+    pub fn has_limits(&self) -> bool {
         self.iter().any(|customer| customer.limit.is_some())
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Returns how often a key was listed for a second customer, which is a configuration error.
-    pub fn shared_key_count(&self) -> usize {
-        self.shared_keys
+    pub fn duplicate_key_count(&self) -> usize {
+        self.duplicate_keys
     }
 }
