--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -23,7 +23,7 @@
         },
         version::{
             AdapterVersion, Change, EngineSpec, SiteConfig, TargetRole, TargetSpec,
-            routing::{Customer, Customers, KeyDigest, UseLimit, UseUnit},
+            routing::{Customer, Customers, KeyDigest, QuotaLimit, QuotaUnit},
         },
     },
     figures::{median, resident_kib},
@@ -111,10 +111,10 @@
     Customer {
         name: format!("customer-{at:05}"),
         priority: 1,
-        limit: Some(UseLimit {
+        limit: Some(QuotaLimit {
             rate: 10_000.0,
             burst: 10_000.0,
-            unit: UseUnit::Requests,
+            unit: QuotaUnit::Requests,
         }),
     }
 }
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -12,7 +12,7 @@
             shard_of_lease,
         },
         timeline::Event,
-        version::routing::UseLimit,
+        version::routing::QuotaLimit,
     },
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
@@ -153,7 +153,7 @@
 
     fn bucket_terms(
         &self,
-        limit: &UseLimit,
+        limit: &QuotaLimit,
     ) -> BucketLimits {
         let bounds = &self.settings.bounds;
         let terms = QuotaPolicy {
--- a/src/version/routing/customer.rs
+++ b/src/version/routing/customer.rs
@@ -1,4 +1,4 @@
-use super::UseLimit;
+use super::QuotaLimit;
 
 /// A customer, on whose behalf callers send requests.
 #[derive(Debug, Clone, PartialEq)]
@@ -7,5 +7,5 @@
     /// Takes precedence over the priority of the route; 0 is the most urgent.
     pub priority: u8,
     /// `None` means unlimited use.
-    pub limit: Option<UseLimit>,
+    pub limit: Option<QuotaLimit>,
 }
--- a/src/version/routing/use_limit.rs
+++ b/src/version/routing/quota_limit.rs
@@ -1,6 +1,6 @@
 /// Unit of a customer's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum UseUnit {
+pub enum QuotaUnit {
     /// Each request counts as one.
     Requests,
     /// A request counts as the tokens of its prompt plus the maximum of its answer; one that declares no token
@@ -10,23 +10,23 @@
 
 /// Rate limit of a customer, over all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct UseLimit {
+pub struct QuotaLimit {
     /// Units per second.
     pub rate: f64,
     /// Units that may be used at once beyond the rate.
     pub burst: f64,
-    pub unit: UseUnit,
+    pub unit: QuotaUnit,
 }
 
-impl UseLimit {
+impl QuotaLimit {
     /// Returns the units that a request costs; `tokens` is its declared count.
     pub fn cost(
         &self,
         tokens: Option<u64>,
     ) -> f64 {
         match self.unit {
-            UseUnit::Requests => 1.0,
-            UseUnit::Tokens { untold } => tokens.map_or(untold, |tokens| tokens as f64),
+            QuotaUnit::Requests => 1.0,
+            QuotaUnit::Tokens { untold } => tokens.map_or(untold, |tokens| tokens as f64),
         }
     }
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -8,7 +8,7 @@
             Charge, CustomerQuota, LIMIT_PARTS, QuotaLedger, QuotaPolicy, QuotaStep, TriedParts,
             shard_for, shard_lease, shard_of_lease,
         },
-        version::routing::{UseLimit, UseUnit},
+        version::routing::{QuotaLimit, QuotaUnit},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -37,11 +37,11 @@
     }
 }
 
-fn limit(rate: f64) -> UseLimit {
-    UseLimit {
+fn limit(rate: f64) -> QuotaLimit {
+    QuotaLimit {
         rate,
         burst: rate,
-        unit: UseUnit::Tokens { untold: 200.0 },
+        unit: QuotaUnit::Tokens { untold: 200.0 },
     }
 }
 
@@ -94,7 +94,7 @@
 struct Simulation {
     rng: StdRng,
     faults: Faults,
-    limit: UseLimit,
+    limit: QuotaLimit,
     parts: Vec<Part>,
     hosts: Vec<CustomerQuota>,
     start: Instant,
