--- a/src/version/routing/quota_limit.rs
+++ b/src/version/routing/quota_limit.rs
@@ -4,8 +4,8 @@
     /// Each request counts as one.
     Requests,
     /// A request counts as the tokens of its prompt plus the maximum of its answer; one that declares no token
-    /// counts as `untold` tokens.
-    Tokens { untold: f64 },
+    /// counts as `default_tokens` tokens.
+    Tokens { default_tokens: f64 },
 }
 
 /// Rate limit of a customer, over all hosts together.
@@ -26,7 +26,9 @@
     ) -> f64 {
         match self.unit {
             QuotaUnit::Requests => 1.0,
-            QuotaUnit::Tokens { untold } => tokens.map_or(untold, |tokens| tokens as f64),
+            QuotaUnit::Tokens { default_tokens } => {
+                tokens.map_or(default_tokens, |tokens| tokens as f64)
+            }
         }
     }
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -41,7 +41,9 @@
     QuotaLimit {
         rate,
         burst: rate,
-        unit: QuotaUnit::Tokens { untold: 200.0 },
+        unit: QuotaUnit::Tokens {
+            default_tokens: 200.0,
+        },
     }
 }
 
