--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -156,7 +156,7 @@
             .collect();
         let terms = ChoiceContext {
             copy_price: Duration::ZERO,
-            time_to_aim: request.aim().saturating_duration_since(now),
+            time_to_aim: request.latency_objective().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -199,7 +199,7 @@
         }
         let terms = ChoiceContext {
             copy_price: copy_cost(board, adapter, now),
-            time_to_aim: request.aim().saturating_duration_since(now),
+            time_to_aim: request.latency_objective().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -373,7 +373,8 @@
     request: &CallRequest,
     at: Instant,
 ) -> bool {
-    at.saturating_duration_since(request.arrived) < request.route.aim.mul_f64(PROMPT_REJECT_SHARE)
+    at.saturating_duration_since(request.arrived)
+        < request.route.latency_objective.mul_f64(PROMPT_REJECT_SHARE)
 }
 
 fn request_time(
@@ -382,7 +383,7 @@
 ) -> RequestTiming {
     RequestTiming {
         elapsed: now.saturating_duration_since(request.arrived),
-        aim: request.route.aim,
+        latency_objective: request.route.latency_objective,
         time_left: request.time_left(now),
     }
 }
--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -40,7 +40,7 @@
     /// Maximum time until a request is answered.
     pub timeout: Duration,
     /// Latency objective for the answer, or for the first event of a stream.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Latency objective for the interval between the events of a stream.
     pub gap_aim: Duration,
     /// 0 is the most urgent.
