--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -42,7 +42,7 @@
     /// Latency objective for the answer, or for the first event of a stream.
     pub latency_objective: Duration,
     /// Latency objective for the interval between the events of a stream.
-    pub gap_aim: Duration,
+    pub gap_objective: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
     /// Destinations; several entries split the requests by weight.
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -38,7 +38,7 @@
         kind,
         timeout: ms(15_000),
         latency_objective: ms(800),
-        gap_aim: ms(250),
+        gap_objective: ms(250),
         priority: 1,
         services: vec![weighted("s", 1)],
         max_attempts,
