--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -387,6 +387,6 @@
 
     pub(super) fn update_adapter_capacity(&mut self) {
         let model = self.model.as_deref().and_then(|name| self.spec.model(name));
-        self.adapter_capacity = model.map_or(0, |model| self.spec.adapter_room(model));
+        self.adapter_capacity = model.map_or(0, |model| self.spec.adapter_capacity(model));
     }
 }
--- a/src/version/routing/engine_spec.rs
+++ b/src/version/routing/engine_spec.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns the number of adapters that fit into memory beside a base model.
-    pub fn adapter_room(
+    pub fn adapter_capacity(
         &self,
         model: &BaseModel,
     ) -> usize {
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -468,7 +468,7 @@
         adapter_slots: slots,
         loads_per_second: 3.0,
     };
-    assert_eq!(spec.adapter_room(&model), room);
+    assert_eq!(spec.adapter_capacity(&model), room);
 }
 
 /// A request is more likely to arrive during a long prefill than during a short one.
