--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -57,7 +57,7 @@
 
 impl Route {
     /// Returns true if a request of this route may run more than once.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
             RouteKind::Unsafe => false,
