--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -52,8 +52,8 @@
             let Some(held) = self.holding.held_engine(&shard_lease(slot), now) else {
                 continue;
             };
-            let owner = self.ledgers.get(&slot);
-            if owner.is_some_and(|owner| owner.fence == held.fence) {
+            let known = self.ledgers.get(&slot);
+            if known.is_some_and(|known| known.fence == held.fence) {
                 continue;
             }
             note!(Event::QuotaCounted, slot = slot, fence = held.fence);
@@ -147,8 +147,8 @@
         let held = self.holding.held_engine(&shard_lease(slot), now)?;
         let limit = self.routing.customers.find_by_name(customer)?.limit;
         let terms = limit.map(|limit| self.bucket_terms(&limit));
-        let owner = self.ledgers.get_mut(&slot)?;
-        (owner.fence == held.fence).then_some((terms, &mut owner.ledger))
+        let known = self.ledgers.get_mut(&slot)?;
+        (known.fence == held.fence).then_some((terms, &mut known.ledger))
     }
 
     fn bucket_terms(
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -357,8 +357,8 @@
         news: &RowNews,
         now: Instant,
     ) {
-        let owner = self.versions.get(&adapter);
-        let before = owner.map_or(1, VersionHistory::newest);
+        let known = self.versions.get(&adapter);
+        let before = known.map_or(1, VersionHistory::newest);
         if version <= before {
             return;
         }
