--- a/src/formats/mod.rs
+++ b/src/formats/mod.rs
@@ -19,7 +19,7 @@
     rows::{
         Commit, Expectation, Row, RowBatch, RowKey, RowWrite, RowsReply, Transaction, bytes_of,
     },
-    target_record::{HeldAdapter, HeldModel, TargetRecord, TargetState},
+    target_record::{LoadedAdapter, LoadedModel, TargetRecord, TargetState},
     target_report::TargetReport,
     target_start::TargetStart,
 };
--- a/src/formats/target_record.rs
+++ b/src/formats/target_record.rs
@@ -13,16 +13,16 @@
 
 /// An adapter that is loaded in an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldAdapter {
+pub struct LoadedAdapter {
     pub name: String,
     pub version: u64,
 }
 
 /// A base model that is loaded in an engine, with its loaded adapters.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldModel {
+pub struct LoadedModel {
     pub name: String,
-    pub adapters: Vec<HeldAdapter>,
+    pub adapters: Vec<LoadedAdapter>,
 }
 
 /// The last registration of a target in the platform's table.
@@ -39,7 +39,7 @@
     pub state: TargetState,
     /// Time until the platform shuts the target down, if it was announced.
     pub remaining: Option<Duration>,
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// True if the engine reports that no base model is loaded, false if it does not report its models.
     pub is_empty: bool,
 }
--- a/src/formats/target_report.rs
+++ b/src/formats/target_report.rs
@@ -1,11 +1,11 @@
-use super::{HeldModel, TargetStart};
+use super::{LoadedModel, TargetStart};
 
 /// An engine's report of its state; may be some hundred milliseconds old.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetReport {
     /// Incarnation of the engine; `None` if the platform assigns a new id to each incarnation.
     pub started: Option<TargetStart>,
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Adapters being loaded: base model, name, version.
     pub coming: Vec<(String, String, u64)>,
     /// Base models cached at the engine, which load without the weight store.
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -5,7 +5,7 @@
     coveproxy::{
         clock::Instant,
         connection::datagram::{AdapterUsage, EngineQuery, Placement, PlacementState, Usage, Want},
-        formats::{HeldAdapter, HeldModel, OrderKind, OrderReply, TargetReport, TargetStart},
+        formats::{LoadedAdapter, LoadedModel, OrderKind, OrderReply, TargetReport, TargetStart},
         process::engines::{
             AllocatorAction, EngineAllocator, EngineLoads, EngineUtilization, LoadRejection,
             OrderPurpose, PlannedOrder, SharedAllocatorState,
@@ -235,11 +235,11 @@
     }
 
     fn report(&self) -> TargetReport {
-        let adapters = self.held.iter().map(|(name, version)| HeldAdapter {
+        let adapters = self.held.iter().map(|(name, version)| LoadedAdapter {
             name: name.clone(),
             version: *version,
         });
-        let models = self.model.then(|| HeldModel {
+        let models = self.model.then(|| LoadedModel {
             name: MODEL.to_string(),
             adapters: adapters.collect(),
         });
