--- a/src/formats/mod.rs
+++ b/src/formats/mod.rs
@@ -17,7 +17,8 @@
     http_call::{HttpCall, HttpReply},
     order::{Order, OrderKind, OrderReply},
     rows::{
-        Commit, Expectation, Row, RowBatch, RowKey, RowWrite, RowsReply, Transaction, bytes_of,
+        Commit, Expectation, Row, RowBatch, RowKey, RowWrite, RowsReply, Transaction,
+        total_value_bytes,
     },
     target_record::{LoadedAdapter, LoadedModel, TargetRecord, TargetState},
     target_report::TargetReport,
--- a/src/formats/rows.rs
+++ b/src/formats/rows.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns the total size of the rows' values, in bytes.
-pub fn bytes_of(rows: &[Row]) -> usize {
+pub fn total_value_bytes(rows: &[Row]) -> usize {
     let values = rows.iter().filter_map(|row| row.value.as_deref());
     values.map(<[u8]>::len).sum()
 }
@@ -47,7 +47,7 @@
 impl RowBatch {
     /// Returns the total size of the values, in bytes.
     pub fn bytes(&self) -> usize {
-        bytes_of(&self.rows)
+        total_value_bytes(&self.rows)
     }
 }
 
--- a/src/process/tables/table_changes.rs
+++ b/src/process/tables/table_changes.rs
@@ -1,6 +1,6 @@
 use crate::{
     connection::pull::{ChangesBody, RowBody},
-    formats::{Row, bytes_of},
+    formats::{Row, total_value_bytes},
 };
 
 /// Rows that changed, or all rows, to be passed on to another host.
@@ -18,7 +18,7 @@
 impl TableChanges {
     /// Bytes of all values in it.
     pub fn bytes(&self) -> usize {
-        bytes_of(&self.rows)
+        total_value_bytes(&self.rows)
     }
 }
 
