--- a/src/formats/header_names.rs
+++ b/src/formats/header_names.rs
@@ -38,7 +38,7 @@
 
 impl HeaderNames {
     /// Returns true for headers that only coveproxy may set.
-    pub fn is_set_by_hosts(
+    pub fn is_set_by_proxy(
         &self,
         name: &HeaderName,
     ) -> bool {
@@ -56,7 +56,7 @@
 
     /// Returns true for headers that are part of the request's meaning; they are forwarded even if the
     /// caller lists them in `Connection`.
-    pub fn is_of_request(
+    pub fn is_end_to_end(
         &self,
         name: &HeaderName,
     ) -> bool {
