--- a/src/version/config_store.rs
+++ b/src/version/config_store.rs
@@ -15,10 +15,10 @@
 pub const CONFIG_HEAD_KEY: &str = "config/head";
 
 /// Number of revisions between snapshots of the complete configuration.
-const WHOLE_EVERY: u64 = 64;
+const SNAPSHOT_INTERVAL: u64 = 64;
 
 /// Number of attempts to find out whether a transaction whose reply was lost took effect.
-const SETTLE_TRIES: usize = 5;
+const MAX_RESOLVE_ATTEMPTS: usize = 5;
 
 /// The value of the row `config/head`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -114,7 +114,7 @@
             operation: operation.to_string(),
             operator: operator.to_string(),
             committed_ms: wall_clock_ms(),
-            content: match next.revision % WHOLE_EVERY {
+            content: match next.revision % SNAPSHOT_INTERVAL {
                 1 => RevisionContent::Whole(next.clone()),
                 _ => RevisionContent::Changes(changes),
             },
@@ -139,32 +139,32 @@
         };
         match self.table.transact(&transaction) {
             Ok(Commit::Done { .. }) => Ok(()),
-            Ok(Commit::Conflict { .. }) => self.conflict_or_own(head),
-            Err(error) if error.may_have_committed() => self.settle(head, error),
+            Ok(Commit::Conflict { .. }) => self.check_own_commit(head),
+            Err(error) if error.may_have_committed() => self.resolve_lost_reply(head, error),
             Err(error) => Err(error.into()),
         }
     }
 
     /// Finds out after a lost reply whether the commit took effect: object names contain the operation id.
-    fn settle(
+    fn resolve_lost_reply(
         &self,
         head: &ConfigHead,
-        lost: PlatformError,
+        error: PlatformError,
     ) -> Result<(), ConfigError> {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..MAX_RESOLVE_ATTEMPTS {
             if let Ok(found) = self.head() {
                 let ours = found.is_some_and(|(found, _)| found == *head);
                 return match ours {
                     true => Ok(()),
-                    false => self.conflict_or_own(head),
+                    false => self.check_own_commit(head),
                 };
             }
         }
-        Err(ConfigError::Undecided(lost.to_string()))
+        Err(ConfigError::Undecided(error.to_string()))
     }
 
     /// Walks back from the newest revision; succeeds if `ours` is among its predecessors.
-    fn conflict_or_own(
+    fn check_own_commit(
         &self,
         ours: &ConfigHead,
     ) -> Result<(), ConfigError> {
