--- a/src/version/service_spec.rs
+++ b/src/version/service_spec.rs
@@ -56,12 +56,12 @@
     }
 
     /// Returns true if one of the service's keys has this hash; compares every key, for constant time.
-    pub fn admits(
+    pub fn has_key(
         &self,
-        shown: &KeyHash,
+        key_hash: &KeyHash,
     ) -> bool {
         self.keys
             .iter()
-            .fold(false, |found, key| key.matches(shown) | found)
+            .fold(false, |found, key| key.matches(key_hash) | found)
     }
 }
--- a/src/version/site_config.rs
+++ b/src/version/site_config.rs
@@ -47,11 +47,11 @@
     /// Returns the service that a key belongs to; compares every service, for constant time.
     pub fn service_of_key(
         &self,
-        shown: &KeyHash,
+        key_hash: &KeyHash,
     ) -> Option<&str> {
         self.services
             .iter()
-            .fold(None, |found, (name, spec)| match spec.admits(shown) {
+            .fold(None, |found, (name, spec)| match spec.has_key(key_hash) {
                 true => Some(name.as_str()),
                 false => found,
             })
