--- a/src/process/target/target_state.rs
+++ b/src/process/target/target_state.rs
@@ -59,7 +59,7 @@
         queue_factor: f64,
         now: Instant,
     ) -> Self {
-        let max_waiting = (spec.max_running() as f64 * queue_factor) as usize;
+        let max_waiting = (spec.max_concurrency() as f64 * queue_factor) as usize;
         Self {
             spec,
             fence,
@@ -306,7 +306,7 @@
     }
 
     pub(super) fn has_room(&self) -> bool {
-        self.running.len() + (self.foreign_running as usize) < self.spec.max_running()
+        self.running.len() + (self.foreign_running as usize) < self.spec.max_concurrency()
     }
 
     pub(super) fn is_ready(
--- a/src/version/site_config.rs
+++ b/src/version/site_config.rs
@@ -159,7 +159,7 @@
         name: &str,
         target: &TargetSpec,
     ) -> Result<(), ConfigError> {
-        if target.max_running() == 0 {
+        if target.max_concurrency() == 0 {
             return Err(ConfigError::NoRoom(name.to_string()));
         }
         if let TargetRole::Plain { service, .. } = &target.role {
--- a/src/version/target_spec.rs
+++ b/src/version/target_spec.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the maximum number of concurrent requests.
-    pub fn max_running(&self) -> usize {
+    pub fn max_concurrency(&self) -> usize {
         match &self.role {
             TargetRole::Engine(engine) => engine.batch_slots,
             TargetRole::Plain { calls, .. } => *calls,
