--- a/src/version/site_config.rs
+++ b/src/version/site_config.rs
@@ -77,8 +77,8 @@
                 versions,
             } => self.declare(base_model, versions),
             Change::RetireAdapter { version } => {
-                let gone = self.adapters.remove(version);
-                require(gone, "adapter", version.as_str())?;
+                let removed = self.adapters.remove(version);
+                require(removed, "adapter", version.as_str())?;
             }
             Change::SetKind { name, spec } => {
                 self.kinds.insert(name.clone(), spec.clone());
