--- a/src/formats/formats.rs
+++ b/src/formats/formats.rs
@@ -31,7 +31,7 @@
 
 /// A decoded row of the operators' table.
 #[derive(Debug, Clone)]
-pub enum Declared {
+pub enum DeclaredRow {
     /// The newest complete configuration.
     Routing(Arc<RoutingTable>),
     /// The newest version of an adapter.
@@ -106,7 +106,7 @@
     fn declared(
         &self,
         row: &Row,
-    ) -> Result<Declared, FormatError>;
+    ) -> Result<DeclaredRow, FormatError>;
 
     /// Parses a row of the targets' table.
     fn target_record(
--- a/src/formats/mod.rs
+++ b/src/formats/mod.rs
@@ -12,7 +12,7 @@
 mod target_start;
 
 pub use {
-    formats::{Declared, FormatError, Formats, PublicCall},
+    formats::{DeclaredRow, FormatError, Formats, PublicCall},
     header_names::HeaderNames,
     http_call::{HttpCall, HttpReply},
     order::{Order, OrderKind, OrderReply},
--- a/src/formats/order.rs
+++ b/src/formats/order.rs
@@ -40,7 +40,7 @@
             Self::Done => "done",
             Self::Conflict => "conflict",
             Self::Fenced => "fenced",
-            Self::Refused => "refused",
+            Self::Rejected => "refused",
             Self::OtherTarget => "other_target",
         }
     }
@@ -58,7 +58,7 @@
     /// The engine has seen a newer fence.
     Fenced,
     /// The order is invalid.
-    Refused,
+    Rejected,
     /// Another target listens at the address.
     OtherTarget,
 }
--- a/src/formats/rows.rs
+++ b/src/formats/rows.rs
@@ -99,5 +99,5 @@
     /// An expectation failed; `rows` are the current rows that the expectations refer to.
     Conflict { rows: Vec<Row> },
     /// The store rejected the call or was unreachable; nothing was written.
-    TurnedAway,
+    Rejected,
 }
--- a/src/formats/target_record.rs
+++ b/src/formats/target_record.rs
@@ -8,7 +8,7 @@
 pub enum TargetState {
     Ready,
     /// Draining: the target finishes its requests and accepts no new ones.
-    Leaving,
+    Draining,
 }
 
 /// An adapter that is loaded in an engine.
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -41,7 +41,7 @@
     fn set_target_gauges(&self) {
         for (state, word) in [
             (TargetState::Ready, "ready"),
-            (TargetState::Leaving, "leaving"),
+            (TargetState::Draining, "leaving"),
         ] {
             let targets = self.targets.values();
             let targets = targets.filter(|target| !target.names_no_target);
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -73,7 +73,7 @@
                 note!(Event::SessionNotRenewed, cause = "conflict");
                 self.holding.on_renewal_conflict(&rows, now);
             }
-            Some(Commit::TurnedAway) => {
+            Some(Commit::Rejected) => {
                 note!(Event::SessionNotRenewed, cause = "turned_away");
                 self.holding.on_renewed(sent, None, now);
             }
@@ -145,7 +145,7 @@
                 self.holding.on_taken(engines, version, term);
             }
             Some(Commit::Conflict { rows }) => self.holding.on_take_conflict(engines, &rows, now),
-            Some(Commit::TurnedAway) => self.holding.on_take_rejected(engines, now),
+            Some(Commit::Rejected) => self.holding.on_take_rejected(engines, now),
             None => self.holding.on_take_outcome_unknown(now),
         }
         self.changed = true;
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -356,7 +356,7 @@
 fn committed(outcome: Result<Commit, StoreFailure>) -> Option<Commit> {
     match outcome {
         Ok(commit) => Some(commit),
-        Err(failure) if failure.left_nothing() => Some(Commit::TurnedAway),
+        Err(failure) if failure.left_nothing() => Some(Commit::Rejected),
         Err(_) => None,
     }
 }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -8,7 +8,7 @@
             datagram::{Freshness, HostRumor, Message},
             targets::{TableFreshness, VersionHistory},
         },
-        formats::{Declared, Formats, Row, RowBatch, RowsReply},
+        formats::{DeclaredRow, Formats, Row, RowBatch, RowsReply},
         note,
         process::tables::{Comparison, TableChanges},
         timeline::Event,
@@ -306,13 +306,13 @@
         now: Instant,
     ) {
         match self.formats.declared(row) {
-            Ok(Declared::Routing(routing)) => self.take_routing(routing, news.source, now),
-            Ok(Declared::AdapterVersion {
+            Ok(DeclaredRow::Routing(routing)) => self.take_routing(routing, news.source, now),
+            Ok(DeclaredRow::AdapterVersion {
                 model,
                 adapter,
                 version,
             }) => self.take_version(format!("{model}/{adapter}"), version, news, now),
-            Ok(Declared::Other) => {}
+            Ok(DeclaredRow::Other) => {}
             Err(problem) => {
                 note!(
                     Event::ConfigUnreadable,
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -103,7 +103,7 @@
     ) {
         let event = match record.state {
             TargetState::Ready => Event::TargetListed,
-            TargetState::Leaving => Event::TargetLeaving,
+            TargetState::Draining => Event::TargetLeaving,
         };
         note!(
             event,
--- a/src/process/host/listed_target.rs
+++ b/src/process/host/listed_target.rs
@@ -64,6 +64,6 @@
     }
 
     fn has_left(&self) -> bool {
-        self.record.state == TargetState::Leaving
+        self.record.state == TargetState::Draining
     }
 }
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -168,7 +168,7 @@
                 self.sequence += 1;
                 OrderReply::Accepted
             }
-            (None, OrderKind::Unload) => OrderReply::Refused,
+            (None, OrderKind::Unload) => OrderReply::Rejected,
             (Some(name), OrderKind::Load) => self.load(name, order.version, now),
             (Some(name), OrderKind::Unload) => self.unload(name),
         }
@@ -183,7 +183,7 @@
         let newest = self.newest.get(name).copied().unwrap_or(1);
         let version = version.unwrap_or(newest);
         if !self.model || version > newest {
-            return OrderReply::Refused;
+            return OrderReply::Rejected;
         }
         if self
             .coming
