--- a/src/formats/formats.rs
+++ b/src/formats/formats.rs
@@ -142,10 +142,10 @@
         path_and_query: &str,
     ) -> PublicCall;
 
-    /// Returns the body that lists the addresses that a caller may use, valid for `life`.
+    /// Returns the body that lists the addresses that a caller may use, valid for `ttl`.
     fn entry_body(
         &self,
         addresses: &[SocketAddr],
-        life: Duration,
+        ttl: Duration,
     ) -> Vec<u8>;
 }
--- a/src/formats/target_report.rs
+++ b/src/formats/target_report.rs
@@ -7,9 +7,9 @@
     pub started: Option<TargetStart>,
     pub models: Vec<LoadedModel>,
     /// Adapters being loaded: base model, name, version.
-    pub coming: Vec<(String, String, u64)>,
+    pub loading: Vec<(String, String, u64)>,
     /// Base models cached at the engine, which load without the weight store.
-    pub at_hand: Vec<String>,
+    pub local_models: Vec<String>,
     /// An order is in progress; the engine accepts no other until it ends.
     pub busy: bool,
     /// Number of orders accepted in this incarnation.
--- a/tests/engine_desk.rs
+++ b/tests/engine_desk.rs
@@ -247,10 +247,10 @@
         TargetReport {
             started: Some(TargetStart::from_unix_ms(self.incarnation)),
             models: models.into_iter().collect(),
-            coming: coming
+            loading: coming
                 .map(|(name, (version, _))| (MODEL.to_string(), name.clone(), *version))
                 .collect(),
-            at_hand: match self.model_at_hand {
+            local_models: match self.model_at_hand {
                 true => vec![MODEL.to_string()],
                 false => Vec::new(),
             },
