--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -174,7 +174,7 @@
             come_back_ms = answer.retry_after.map_or(-1.0, millis),
             waited_ms = millis(request.arrived.elapsed()),
         );
-        let kind = request.route.kind.word();
+        let kind = request.route.kind.label();
         let outcome = answer.cause.word();
         let labels = OutcomeLabels { kind, outcome };
         metrics().requests.get_or_create(&labels).inc();
@@ -786,7 +786,7 @@
     cause: Option<ErrorCause>,
     elapsed: Duration,
 ) {
-    let kind = request.route.kind.word();
+    let kind = request.route.kind.label();
     let outcome = match (status, cause) {
         (0..400, _) if elapsed > request.route.latency_objective => "late",
         (0..400, _) => "answered",
--- a/src/formats/order.rs
+++ b/src/formats/order.rs
@@ -7,7 +7,7 @@
 
 impl OrderKind {
     /// Name of the kind in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Load => "load",
             Self::Unload => "unload",
@@ -34,7 +34,7 @@
 
 impl OrderReply {
     /// Name of the reply in logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
             Self::Done => "done",
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -98,7 +98,7 @@
             None => note!(Event::OrderUnanswered, target = target),
             Some(OrderReply::Accepted | OrderReply::Done) => {}
             Some(reply) => {
-                note!(Event::OrderRefused, target = target, reply = reply.word());
+                note!(Event::OrderRefused, target = target, reply = reply.label());
             }
         }
         let mut actions = self.at_desk(target, now, |desk| desk.on_order_end(reply, now));
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -64,7 +64,7 @@
             let age = kept.copy.age(now);
             let seconds = age.map_or(f64::INFINITY, |age: Duration| age.as_secs_f64());
             let labels = CopyLabels {
-                table: table.word(),
+                table: table.label(),
             };
             metrics().copy_age.get_or_create(&labels).set(seconds);
         }
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -308,8 +308,8 @@
             let reply = reply.ok();
             let reply = reply.and_then(|reply| formats.order_reply(reply.status).ok());
             let labels = OrderLabels {
-                order: order.kind.word(),
-                reply: reply.map_or("none", OrderReply::word),
+                order: order.kind.label(),
+                reply: reply.map_or("none", OrderReply::label),
             };
             metrics().orders.get_or_create(&labels).inc();
             let _ = events.send(ControlEvent::OrderEnded { target, reply });
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -245,12 +245,12 @@
         if !succeeded && failures == 0 {
             note!(
                 Event::TableUnreachable,
-                table = table.word(),
+                table = table.label(),
                 age_ms = age_ms
             );
         }
         if succeeded && failures > 0 {
-            note!(Event::TableBack, table = table.word(), failures = failures);
+            note!(Event::TableBack, table = table.label(), failures = failures);
         }
     }
 
--- a/src/process/host/peer_pages.rs
+++ b/src/process/host/peer_pages.rs
@@ -15,17 +15,17 @@
 const HOSTS_PATH: &str = "/hosts";
 
 impl TableName {
-    pub(super) fn word(self) -> &'static str {
+    pub(super) fn label(self) -> &'static str {
         match self {
             Self::Declared => "declared",
             Self::Targets => "targets",
         }
     }
 
-    fn from_word(word: &str) -> Option<Self> {
+    fn from_label(label: &str) -> Option<Self> {
         [Self::Declared, Self::Targets]
             .into_iter()
-            .find(|table| table.word() == word)
+            .find(|table| table.label() == label)
     }
 }
 
@@ -34,7 +34,7 @@
     table: TableName,
     since: u64,
 ) -> HttpCall {
-    HttpCall::get(format!("{CHANGES_PATH}{}?since={since}", table.word()))
+    HttpCall::get(format!("{CHANGES_PATH}{}?since={since}", table.label()))
 }
 
 /// Returns the call that requests the list of known hosts.
@@ -70,7 +70,7 @@
     path: &str,
     query: &str,
 ) -> Option<(TableName, u64)> {
-    let table = TableName::from_word(path.strip_prefix(CHANGES_PATH)?)?;
+    let table = TableName::from_label(path.strip_prefix(CHANGES_PATH)?)?;
     let since = query.strip_prefix("since=")?.parse().ok()?;
     Some((table, since))
 }
--- a/src/process/host/replica_server.rs
+++ b/src/process/host/replica_server.rs
@@ -52,7 +52,7 @@
             return PeerAnswer::Busy;
         }
         let labels = CopyLabels {
-            table: table.word(),
+            table: table.label(),
         };
         let sent = metrics().copy_sent.get_or_create(&labels).clone();
         sent.inc_by(bytes.len() as u64);
--- a/src/process/host/table_transfer.rs
+++ b/src/process/host/table_transfer.rs
@@ -27,7 +27,7 @@
 }
 
 impl TransferSource {
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Store => "store",
             Self::Host(_) => "host",
@@ -99,7 +99,7 @@
         }
         note!(
             Event::CopyTaken,
-            table = self.table.word(),
+            table = self.table.label(),
             source = self.source,
             since = self.since,
             bytes = bytes,
@@ -121,7 +121,7 @@
         self.count("failed", bytes);
         note!(
             Event::CopyNotTaken,
-            table = self.table.word(),
+            table = self.table.label(),
             source = self.source,
             since = self.since,
             bytes = bytes,
@@ -136,8 +136,8 @@
         bytes: usize,
     ) {
         let labels = TransferLabels {
-            table: self.table.word(),
-            source: self.source.word(),
+            table: self.table.label(),
+            source: self.source.label(),
             result,
         };
         let metrics = metrics();
--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -13,7 +13,7 @@
 
 impl RouteKind {
     /// Name of the kind in metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Safe => "safe",
             Self::Unsafe => "unsafe",
