--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -156,7 +156,7 @@
             .collect();
         let terms = ChoiceContext {
             copy_price: Duration::ZERO,
-            time_to_aim: request.latency_objective().saturating_duration_since(now),
+            time_to_aim: request.latency_goal().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -199,7 +199,7 @@
         }
         let terms = ChoiceContext {
             copy_price: copy_cost(board, adapter, now),
-            time_to_aim: request.latency_objective().saturating_duration_since(now),
+            time_to_aim: request.latency_goal().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -374,7 +374,7 @@
     at: Instant,
 ) -> bool {
     at.saturating_duration_since(request.arrived)
-        < request.route.latency_objective.mul_f64(PROMPT_REJECT_SHARE)
+        < request.route.latency_goal.mul_f64(PROMPT_REJECT_SHARE)
 }
 
 fn request_time(
@@ -383,7 +383,7 @@
 ) -> RequestTiming {
     RequestTiming {
         elapsed: now.saturating_duration_since(request.arrived),
-        latency_objective: request.route.latency_objective,
+        latency_goal: request.route.latency_goal,
         time_left: request.time_left(now),
     }
 }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -753,7 +753,7 @@
     let now = Instant::now();
     let id = request.id_text();
     let elapsed = now.saturating_duration_since(request.arrived);
-    let late = elapsed > request.route.latency_objective;
+    let late = elapsed > request.route.latency_goal;
     if status >= 400 || late {
         attempts.trace.log(id, now);
     }
@@ -773,7 +773,7 @@
         waited_ms = millis(attempts.trace.time_to_last_send(request.arrived)),
         expected_ms = sent.map_or(-1.0, |sent| millis(sent.wait)),
         first_ms = millis(elapsed),
-        aim_ms = millis(request.route.latency_objective),
+        aim_ms = millis(request.route.latency_goal),
         arrivals = attempts.history.arrivals,
         late = late,
     );
@@ -788,7 +788,7 @@
 ) {
     let kind = request.route.kind.label();
     let outcome = match (status, cause) {
-        (0..400, _) if elapsed > request.route.latency_objective => "late",
+        (0..400, _) if elapsed > request.route.latency_goal => "late",
         (0..400, _) => "answered",
         (_, None) => "failed_there",
         (503, Some(_)) => "refused",
--- a/src/request/direct/call_request.rs
+++ b/src/request/direct/call_request.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the time at which the route's latency objective is missed.
-    pub fn latency_objective(&self) -> Instant {
-        self.arrived + self.route.latency_objective
+    pub fn latency_goal(&self) -> Instant {
+        self.arrived + self.route.latency_goal
     }
 }
--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -40,9 +40,9 @@
     /// Maximum time until a request is answered.
     pub timeout: Duration,
     /// Latency objective for the answer, or for the first event of a stream.
-    pub latency_objective: Duration,
+    pub latency_goal: Duration,
     /// Latency objective for the interval between the events of a stream.
-    pub gap_objective: Duration,
+    pub gap_goal: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
     /// Destinations; several entries split the requests by weight.
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -37,8 +37,8 @@
         path_prefix: "/a/".to_string(),
         kind,
         timeout: ms(15_000),
-        latency_objective: ms(800),
-        gap_objective: ms(250),
+        latency_goal: ms(800),
+        gap_goal: ms(250),
         priority: 1,
         services: vec![weighted("s", 1)],
         max_attempts,
@@ -360,7 +360,7 @@
 ) {
     let time = RequestTiming {
         elapsed: ms(elapsed),
-        latency_objective: ms(800),
+        latency_goal: ms(800),
         time_left: ms(15_000),
     };
     assert_eq!(wait_or_reject(&time, ms(expected)), patience);
