--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -29,7 +29,7 @@
     pub weight: u32,
 }
 
-/// A route: which requests go to which services, with their limits and objectives.
+/// A route: which requests go to which services, with their limits and latency goals.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     pub name: String,
@@ -39,9 +39,9 @@
     pub kind: RouteKind,
     /// Maximum time until a request is answered.
     pub timeout: Duration,
-    /// Latency objective for the answer, or for the first event of a stream.
+    /// Latency goal for the answer, or for the first event of a stream.
     pub latency_goal: Duration,
-    /// Latency objective for the interval between the events of a stream.
+    /// Latency goal for the interval between the events of a stream.
     pub gap_goal: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
