--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -156,7 +156,7 @@
             .collect();
         let terms = ChoiceContext {
             copy_price: Duration::ZERO,
-            time_to_aim: request.latency_goal().saturating_duration_since(now),
+            time_to_aim: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
@@ -199,7 +199,7 @@
         }
         let terms = ChoiceContext {
             copy_price: copy_cost(board, adapter, now),
-            time_to_aim: request.latency_goal().saturating_duration_since(now),
+            time_to_aim: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
             policy: board.policy(),
             now,
