--- a/src/formats/mod.rs
+++ b/src/formats/mod.rs
@@ -1,6 +1,6 @@
-//! What the product needs to know of the formats that an outside platform speaks.
+//! Data formats of an external platform, as far as coveproxy uses them.
 //!
-//! An adapter crate implements [`Formats`]; nothing here or above knows a platform's own names.
+//! An adapter crate implements [`Formats`]; platform-specific names stay in that crate.
 
 mod formats;
 mod header_names;
@@ -12,14 +12,15 @@
 mod target_start;
 
 pub use {
-    formats::{Declared, FormatError, Formats, PublicCall},
+    formats::{DeclaredRow, FormatError, Formats, PublicCall},
     header_names::HeaderNames,
     http_call::{HttpCall, HttpReply},
     order::{Order, OrderKind, OrderReply},
     rows::{
-        Commit, Expectation, Row, RowBatch, RowKey, RowWrite, RowsReply, Transaction, bytes_of,
+        Commit, Expectation, Row, RowBatch, RowKey, RowWrite, RowsReply, Transaction,
+        total_value_bytes,
     },
-    target_record::{HeldAdapter, HeldModel, TargetRecord, TargetState},
+    target_record::{LoadedAdapter, LoadedModel, TargetRecord, TargetState},
     target_report::TargetReport,
     target_start::TargetStart,
 };
--- a/src/process/control/control_view.rs
+++ b/src/process/control/control_view.rs
@@ -65,7 +65,7 @@
             incarnation: self.membership.incarnation(),
             config_revision: self.config.revision,
             table_reachable: self.table_reachable(),
-            lease_valid: self.lease.holds(now),
+            lease_valid: self.lease.is_valid(now),
             load_scheduler: scheduler,
             targets: self.targets.iter().map(target_status).collect(),
         }
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn table_out_for_all(&self) -> bool {
-        let others = self.membership.another_reaches_table() || self.membership.is_alone();
+        let others = self.membership.any_peer_reaches_table() || self.membership.is_isolated();
         !others && !self.table_reachable()
     }
 
--- a/src/process/engines/base_load_limiter.rs
+++ b/src/process/engines/base_load_limiter.rs
@@ -17,7 +17,7 @@
 pub struct BaseLoadLimiter {
     /// Share of the site's engines that this host holds; unlimited if `None`.
     share: Option<f64>,
-    /// When `share` was first set.
+    /// When `max_targets` was first set.
     share_known_since: Option<Instant>,
     /// Times of the loads ordered within the window.
     ordered: VecDeque<Instant>,
--- a/src/process/holding/engine_assignment.rs
+++ b/src/process/holding/engine_assignment.rs
@@ -188,7 +188,7 @@
         now: Instant,
     ) -> impl Iterator<Item = (&String, &HeldEngine)> {
         let term = self.lease.term();
-        let holds = self.lease.holds(now);
+        let holds = self.lease.is_valid(now);
         self.held
             .iter()
             .filter(move |(_, held)| holds && held.term == term)
@@ -201,7 +201,7 @@
         now: Instant,
     ) -> Option<HeldEngine> {
         let held = self.held.get(target)?;
-        self.lease.holds_in(held.term, now).then_some(*held)
+        self.lease.is_valid_in(held.term, now).then_some(*held)
     }
 
     /// Returns the store operations that are due now.
@@ -232,7 +232,7 @@
             return actions;
         }
         actions.extend(self.renew(needs_lease, now));
-        if !self.lease.holds(now) {
+        if !self.lease.is_valid(now) {
             return actions;
         }
         if self.read_term != self.lease.term() {
@@ -282,7 +282,7 @@
             Some(version) => {
                 self.row_version = Some(version);
                 self.renewed_version = version;
-                self.lease.renewed(sent, now);
+                self.lease.record_renewal(sent, now);
                 self.next_renewal = sent + self.timings.renewal_interval;
             }
             // If the row was written all the same, the next attempt fails with a conflict that names its version.
--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -18,7 +18,7 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// What the control thread wants done.
+/// An action that the control thread requests of its runner.
 #[derive(Debug, Clone)]
 pub enum ControlAction {
     Send {
@@ -32,69 +32,79 @@
     ReadTable {
         table: TableName,
     },
-    /// Ask another host for what has changed in its copy since a version.
+    /// Pulls the changes since a version from another host's replica.
     PullChanges {
         table: TableName,
         from: SocketAddr,
         since: u64,
     },
-    /// Ask another host for the hosts that it knows.
+    /// Pulls the hosts that another host knows.
     PullHosts {
         from: SocketAddr,
     },
+    /// Renews this host's lease.
     Renew {
         transaction: Transaction,
     },
+    /// Reads the table of engine holders in this lease term.
     ReadHolders {
         term: u64,
     },
-    Take {
+    /// Records this host as the holder of engines.
+    TakeEngines {
         engines: Vec<TakenEngine>,
         term: u64,
         transaction: Transaction,
     },
-    /// Give an order, if the lease still holds in this term.
+    /// Sends an order to an engine if the lease still holds in this term.
     Order {
         target: String,
         address: SocketAddr,
         term: u64,
         order: Order,
     },
-    AskReport {
+    /// Requests a report of its loaded adapters and orders from an engine.
+    RequestReport {
         target: String,
         address: SocketAddr,
     },
-    /// Requests see this from now on.
-    Publish(Arc<FleetView>),
-    /// What requests see is known to be right as of other times.
-    Confirm(ReplicaFreshness),
-    /// For the requests of this host.
-    Place(Placement),
-    Load(EngineLoad),
-    Stand(EngineStanding),
-    Borrow(Loan),
-    Charged(ChargeAnswer),
-    PlaceGiven(PlaceGiven),
-    Permit(PermitAnswer),
-    /// Another host has heard what a target says of itself.
-    TargetNews {
+    /// Publishes a new view to requests.
+    PublishView(Arc<FleetView>),
+    /// Publishes a newer freshness of the current view to requests.
+    PublishFreshness(ReplicaFreshness),
+    /// Delivers where an adapter was placed to this host's own requests.
+    DeliverPlacement(Placement),
+    /// Delivers the load of an engine to this host's own requests.
+    DeliverLoad(EngineLoad),
+    /// Delivers the answer to an engine query to this host's own requests.
+    DeliverEngineStatus(EngineStanding),
+    /// Delivers borrowed retry quota.
+    DeliverLoan(Loan),
+    /// Delivers the answer to a charge on a customer's quota.
+    DeliverChargeAnswer(ChargeAnswer),
+    /// Delivers the answer to a request for a concurrency slot.
+    DeliverSlotResponse(PlaceGiven),
+    /// Delivers the answer to a request for a permit.
+    DeliverPermitAnswer(PermitAnswer),
+    /// Delivers notices of a target that another host received.
+    DeliverNotices {
         target: String,
         notices: TargetNotices,
     },
-    /// A request stands so from now on; `None` if nothing speaks against it.
-    Stands {
+    /// Sets the poison status of a request; `None` clears it.
+    SetPoisonStatus {
         fingerprint: Fingerprint,
-        standing: Option<PoisonStatus>,
+        status: Option<PoisonStatus>,
     },
-    /// Read what the store keeps of requests that end targets.
+    /// Reads the stored requests that crash targets.
     ReadPoison,
-    /// Keep what is known of such requests in the store.
-    KeepPoison {
+    /// Writes what is known of such requests to the store.
+    WritePoison {
         writes: Vec<RowWrite>,
     },
-    /// Another host asks for a part of this one's allowance of repeats.
-    Lend {
+    /// Answers another host's request to borrow retry quota.
+    LendQuota {
         to: SocketAddr,
-        ask: LoanAsk,
+        request: LoanAsk,
     },
 }
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for the engines held here: their desks, and the orders to them.
+//! Control-thread handling of the engines held by this host: their allocators and the orders sent to them.
 
 use {
     super::{ControlAction, HostControl},
@@ -21,73 +21,73 @@
     std::net::SocketAddr,
 };
 
-/// Hosts up to which all are told where adapters stand and how busy engines are.
-const MAX_ANNOUNCED: usize = MAX_BROADCAST_HOSTS;
+/// Up to this number of hosts, placements and engine loads are sent to all of them.
+const MAX_ANNOUNCE_HOSTS: usize = MAX_BROADCAST_HOSTS;
 
 impl HostControl {
-    /// Leases, takeovers, and the desks of the engines held here.
+    /// Processes leases and takeovers, and runs the allocators of the engines held here.
     pub(super) fn tick_engines(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut actions = self.decide_holding(now);
-        self.open_desks(now);
+        let mut actions = self.decide_assignment(now);
+        self.sync_allocators(now);
         self.open_ledgers(now);
-        let engines = self.engine_keys().len() - self.slot_count();
+        let engines = self.assignment_keys().len() - self.shard_count();
         let mut base_loads = self.shared.base_loads.borrow_mut();
-        base_loads.set_share(self.desks.len(), engines, now);
+        base_loads.set_share(self.allocators.len(), engines, now);
         drop(base_loads);
-        actions.extend(self.tell_holds(now));
-        actions.extend(self.tick_desks(now));
+        actions.extend(self.publish_holdings(now));
+        actions.extend(self.tick_allocators(now));
         actions
     }
 
-    /// Lets each desk decide what has become due.
-    pub(super) fn tick_desks(
+    /// Runs each allocator's due decisions.
+    pub(super) fn tick_allocators(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        for target in self.desks_by_urgency() {
-            actions.extend(self.at_desk(&target, now, |desk| desk.on_tick(now)));
+        for target in self.allocators_by_urgency() {
+            actions.extend(self.with_allocator(&target, now, |allocator| allocator.on_tick(now)));
         }
         actions
     }
 
-    /// The engines held here, those for which the most urgent adapters wait first: all share what may
-    /// be loaded at once.
-    fn desks_by_urgency(&self) -> Vec<String> {
-        let mut desks: Vec<(&String, Option<PendingLoadRank>)> = self
-            .desks
+    /// Returns the engines held here, ordered by their most urgent pending load, since all share one limit of
+    /// concurrent loads.
+    fn allocators_by_urgency(&self) -> Vec<String> {
+        let mut allocators: Vec<(&String, Option<PendingLoadRank>)> = self
+            .allocators
             .iter()
-            .map(|(target, desk)| (target, desk.first_pending()))
+            .map(|(target, allocator)| (target, allocator.first_pending()))
             .collect();
-        desks.sort_by_key(|(_, first)| (first.is_none(), *first));
-        desks
+        allocators.sort_by_key(|(_, first)| (first.is_none(), *first));
+        allocators
             .into_iter()
             .map(|(target, _)| target.clone())
             .collect()
     }
 
-    /// Lets a desk decide, and carries its decisions on.
-    pub(super) fn at_desk(
+    /// Calls `decide` on the allocator of an engine and converts the resulting actions.
+    pub(super) fn with_allocator(
         &mut self,
         target: &str,
         now: Instant,
         decide: impl FnOnce(&mut EngineAllocator) -> Vec<AllocatorAction>,
     ) -> Vec<ControlAction> {
-        let Some(desk) = self.desks.get_mut(target) else {
+        let Some(allocator) = self.allocators.get_mut(target) else {
             return Vec::new();
         };
-        let wanted = decide(desk);
+        let allocator_actions = decide(allocator);
         let mut actions = Vec::new();
-        for action in wanted {
-            actions.extend(self.desk_action(target, action, now));
+        for action in allocator_actions {
+            actions.extend(self.execute_allocator_action(target, action, now));
         }
         actions
     }
 
-    /// An order was answered, or not.
+    /// Handles the reply to an order; `None` if the engine did not reply.
     pub(super) fn on_order_ended(
         &mut self,
         target: &str,
@@ -98,20 +98,21 @@
             None => note!(Event::OrderUnanswered, target = target),
             Some(OrderReply::Accepted | OrderReply::Done) => {}
             Some(reply) => {
-                note!(Event::OrderRefused, target = target, reply = reply.word());
+                note!(Event::OrderRefused, target = target, reply = reply.label());
             }
         }
-        let mut actions = self.at_desk(target, now, |desk| desk.on_order_end(reply, now));
+        let mut actions =
+            self.with_allocator(target, now, |allocator| allocator.on_order_end(reply, now));
         if self.shared.limiter.borrow().has_room() {
-            // What waits at another engine may be loaded now.
-            actions.extend(self.tick_desks(now));
+            // A load pending at another engine may start now.
+            actions.extend(self.tick_allocators(now));
         }
         actions
     }
 
-    /// When a desk has something to decide without being told anything.
-    pub(super) fn next_desk_due(&self) -> Option<Instant> {
-        self.desks
+    /// Returns the earliest deadline of all allocators.
+    pub(super) fn next_allocator_deadline(&self) -> Option<Instant> {
+        self.allocators
             .values()
             .filter_map(EngineAllocator::next_deadline)
             .min()
@@ -123,9 +124,11 @@
         want: &Want,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let may_order = self.holding.held_engine(&want.target, now).is_some();
-        if may_order && self.desks.contains_key(&want.target) {
-            return self.at_desk(&want.target, now, |desk| desk.on_want(from, want, now));
+        let is_holder = self.assignment.held_engine(&want.target, now).is_some();
+        if is_holder && self.allocators.contains_key(&want.target) {
+            return self.with_allocator(&want.target, now, |allocator| {
+                allocator.on_want(from, want, now)
+            });
         }
         let placement = Placement {
             target: want.target.clone(),
@@ -138,29 +141,29 @@
         vec![self.send(from, Message::Placement(placement))]
     }
 
-    /// A host asks how an engine stands; only its holder answers.
+    /// Answers a host's query for the state of an engine; `None` if this host does not hold the engine.
     pub(super) fn on_query(
         &mut self,
         from: SocketAddr,
         query: &EngineQuery,
         now: Instant,
     ) -> Option<ControlAction> {
-        self.holding.held_engine(&query.target, now)?;
-        let desk = self.desks.get_mut(&query.target)?;
-        let placement = desk.on_query(from, query, now);
-        let standing = EngineStanding {
-            load: load_for(&query.target, desk, from),
+        self.assignment.held_engine(&query.target, now)?;
+        let allocator = self.allocators.get_mut(&query.target)?;
+        let placement = allocator.on_query(from, query, now);
+        let answer = EngineStanding {
+            load: load_excluding(&query.target, allocator, from),
             placement,
         };
-        Some(self.send(from, Message::EngineStanding(standing)))
+        Some(self.send(from, Message::EngineStanding(answer)))
     }
 
-    /// The configuration may name other sizes.
+    /// Applies the engine sizes of the current configuration.
     pub(super) fn set_engine_specs(
         &mut self,
         _now: Instant,
     ) {
-        for (target, desk) in &mut self.desks {
+        for (target, allocator) in &mut self.allocators {
             let service = self
                 .targets
                 .get(target)
@@ -169,35 +172,35 @@
                 .and_then(|service| self.routing.service(service))
                 .and_then(|service| service.engine.clone());
             if let Some(spec) = spec {
-                desk.set_spec(spec);
+                allocator.set_spec(spec);
             }
         }
     }
 
-    /// Tells the hosts that use an engine how busy it is, if that has changed; on a large site they ask
-    /// instead.
-    pub(super) fn tell_loads(
+    /// Sends changed engine loads to the hosts that use the engine; on a large site, hosts query them instead.
+    pub(super) fn publish_loads(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        if self.hosts.up_count() > MAX_ANNOUNCED {
-            self.told_loads.clear();
+        if self.hosts.reachable_count() > MAX_ANNOUNCE_HOSTS {
+            self.published_loads.clear();
             return Vec::new();
         }
-        let mut news = Vec::new();
-        for (target, desk) in &self.desks {
-            for host in desk.usage().hosts() {
-                news.push((host, load_for(target, desk, host)));
+        let mut loads = Vec::new();
+        for (target, allocator) in &self.allocators {
+            for host in allocator.usage().hosts() {
+                loads.push((host, load_excluding(target, allocator, host)));
             }
         }
-        news.retain(|(host, load)| self.told_loads.should_publish(*host, load, now));
-        self.told_loads.evict_expired(now);
-        news.into_iter()
+        loads.retain(|(host, load)| self.published_loads.should_publish(*host, load, now));
+        self.published_loads.evict_expired(now);
+        loads
+            .into_iter()
             .map(|(host, load)| self.send(host, Message::EngineLoad(load)))
             .collect()
     }
 
-    pub(super) fn is_engine(
+    pub(super) fn is_engine_service(
         &self,
         service: &str,
     ) -> bool {
@@ -205,7 +208,7 @@
         service.is_some_and(|service| service.engine.is_some())
     }
 
-    fn desk_action(
+    fn execute_allocator_action(
         &mut self,
         target: &str,
         action: AllocatorAction,
@@ -243,12 +246,12 @@
                 );
                 Vec::new()
             }
-            AllocatorAction::RequestReport => self.ask_report(target).into_iter().collect(),
+            AllocatorAction::RequestReport => self.request_report(target).into_iter().collect(),
             AllocatorAction::Order(order) => self.order(target, order, now).into_iter().collect(),
         }
     }
 
-    /// Tells every host of a small site, and the interested ones of a large one.
+    /// Sends a placement to every host of a small site, or only to the interested hosts of a large one.
     fn announce(
         &self,
         interested_hosts: &[SocketAddr],
@@ -258,7 +261,7 @@
         let up = self.hosts.hosts().filter(|host| host.state.is_up());
         let mut receivers: Vec<SocketAddr> = up.map(|host| host.identity.peer).collect();
         receivers.push(me);
-        if receivers.len() > MAX_ANNOUNCED {
+        if receivers.len() > MAX_ANNOUNCE_HOSTS {
             receivers = interested_hosts.to_vec();
         }
         receivers
@@ -267,11 +270,11 @@
             .collect()
     }
 
-    fn ask_report(
+    fn request_report(
         &self,
         target: &str,
     ) -> Option<ControlAction> {
-        Some(ControlAction::AskReport {
+        Some(ControlAction::RequestReport {
             target: target.to_string(),
             address: self.targets.get(target)?.record.address,
         })
@@ -284,14 +287,14 @@
         now: Instant,
     ) -> Option<ControlAction> {
         let address = self.targets.get(target).map(|target| target.record.address);
-        let held = self.holding.held_engine(target, now);
+        let held = self.assignment.held_engine(target, now);
         let (Some(held), Some(address), true) = (held, address, self.is_usable(target)) else {
-            if let Some(desk) = self.desks.get_mut(target) {
-                desk.on_order_cancelled();
+            if let Some(allocator) = self.allocators.get_mut(target) {
+                allocator.on_order_cancelled();
             }
             return None;
         };
-        tell_order(target, &order, held.fence);
+        log_order(target, &order, held.fence);
         Some(ControlAction::Order {
             target: target.to_string(),
             address,
@@ -309,13 +312,13 @@
     }
 }
 
-/// How busy an engine is, as one host is told.
-fn load_for(
+/// Returns the load of an engine without the share of the receiving host.
+fn load_excluding(
     target: &str,
-    desk: &EngineAllocator,
+    allocator: &EngineAllocator,
     host: SocketAddr,
 ) -> EngineLoad {
-    let others = desk.usage().excluding(host);
+    let others = allocator.usage().excluding(host);
     EngineLoad {
         target: target.to_string(),
         in_flight: others.in_flight,
@@ -324,8 +327,8 @@
     }
 }
 
-/// An order that changes something gets a line; looks do not.
-fn tell_order(
+/// Logs an order unless it is a probe.
+fn log_order(
     target: &str,
     order: &PlannedOrder,
     fence: u64,
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -1,4 +1,4 @@
-//! The control thread's figures of what this host believes.
+//! Sets the gauges of the control thread's state.
 
 use {
     super::{HostControl, TableName},
@@ -41,10 +41,10 @@
     fn set_target_gauges(&self) {
         for (state, word) in [
             (TargetState::Ready, "ready"),
-            (TargetState::Leaving, "leaving"),
+            (TargetState::Draining, "leaving"),
         ] {
             let targets = self.targets.values();
-            let targets = targets.filter(|target| !target.names_no_target);
+            let targets = targets.filter(|target| !target.is_entry_invalid);
             let count = targets
                 .filter(|target| target.record.state == state)
                 .count();
@@ -57,14 +57,15 @@
         &self,
         now: Instant,
     ) {
-        for (table, kept) in [
+        for (table, replicated) in [
             (TableName::Declared, &self.declared),
             (TableName::Targets, &self.listed),
         ] {
-            let age = kept.copy.age(now);
-            let seconds = age.map_or(f64::INFINITY, |age: Duration| age.as_secs_f64());
+            let staleness = replicated.replica.staleness(now);
+            let seconds =
+                staleness.map_or(f64::INFINITY, |staleness: Duration| staleness.as_secs_f64());
             let labels = CopyLabels {
-                table: table.word(),
+                table: table.label(),
             };
             metrics().copy_age.get_or_create(&labels).set(seconds);
         }
@@ -75,10 +76,14 @@
         &self,
         now: Instant,
     ) {
-        let holds = self.holding.lease().holds(now);
+        let holds = self.assignment.lease().is_valid(now);
         metrics().lease_held.set(i64::from(holds));
-        metrics().engines_held.set(self.desks.len() as i64);
-        let adapters: usize = self.desks.values().map(|desk| desk.adapters().len()).sum();
+        metrics().engines_held.set(self.allocators.len() as i64);
+        let adapters: usize = self
+            .allocators
+            .values()
+            .map(|allocator| allocator.adapters().len())
+            .sum();
         metrics().adapters_held.set(adapters as i64);
     }
 }
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -1,5 +1,4 @@
-//! The control thread's part for who gives orders to which engine: leases, takeovers, and the news of
-//! them.
+//! Control-thread handling of engine assignment: leases, takeovers and their publication.
 
 use {
     super::{ControlAction, HostControl, control_tables::quoted},
@@ -23,38 +22,37 @@
     },
 };
 
-/// Hosts know one another when none has become known for so long.
-const SETTLED: Duration = Duration::from_millis(400);
+/// Host discovery counts as complete once no new host has been seen for this long.
+const DISCOVERY_QUIET_TIME: Duration = Duration::from_millis(400);
 
-/// The same for a host that has just started. When a whole site starts, hosts become known in steps with
-/// pauses of some 0.4 s between them: of 195 hosts 119 drew themselves from the few that they knew by
-/// then and took leases, where 12 are needed; each costs the store some four calls.
-const FIRST_SETTLED: Duration = Duration::from_millis(1_200);
+/// Replaces `DISCOVERY_QUIET_TIME` shortly after the start: while a site starts, discovery proceeds in bursts, and a host that
+/// knows only a few others would take over engines needlessly.
+const STARTUP_DISCOVERY_QUIET_TIME: Duration = Duration::from_millis(1_200);
 
-/// A host that has just started looks up what it held before once none has become known for so long.
-const NEARLY_SETTLED: Duration = Duration::from_millis(100);
+/// A starting host looks up its earlier assignments once no new host has been seen for this long.
+const LOOKUP_QUIET_TIME: Duration = Duration::from_millis(100);
 
-/// Time between two tellings of the engines held here, at the least.
-const HOLDS_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between two publications of the engines held here.
+const HOLDINGS_PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A process counts as just started for so long.
-const STARTING: Duration = Duration::from_secs(3);
+/// Time after its start during which a process counts as starting.
+const STARTUP_WINDOW: Duration = Duration::from_secs(3);
 
 impl HostControl {
-    /// Tells all hosts at once when this one holds other engines than before: rumors take seconds on
-    /// a large site, and requests wait for the holders.
-    pub(super) fn tell_holds(
+    /// Sends the engines held here to all hosts when they change, since rumors take seconds on a large site and
+    /// requests wait for the holder.
+    pub(super) fn publish_holdings(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let slots = self.held_slots(now).into_iter().map(shard_lease);
-        let holds: Vec<String> = self.desks.keys().cloned().chain(slots).collect();
-        if self.told_holds == holds || now < self.next_holds {
+        let slots = self.held_shards(now).into_iter().map(shard_lease);
+        let holdings: Vec<String> = self.allocators.keys().cloned().chain(slots).collect();
+        if self.published_holdings == holdings || now < self.next_holdings_publish {
             return Vec::new();
         }
-        self.told_holds = holds;
-        self.next_holds = now + HOLDS_PAUSE;
-        self.tell_all(now)
+        self.published_holdings = holdings;
+        self.next_holdings_publish = now + HOLDINGS_PUBLISH_INTERVAL;
+        self.notify_all_hosts(now)
     }
 
     pub(super) fn on_renewed(
@@ -63,31 +61,31 @@
         commit: Option<Commit>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let term = self.holding.lease().term();
+        let term = self.assignment.lease().term();
         match commit {
             Some(Commit::Done { version }) => {
-                self.holding.on_renewed(sent, Some(version), now);
+                self.assignment.on_renewed(sent, Some(version), now);
                 note!(Event::SessionRenewed, row_version = version);
             }
             Some(Commit::Conflict { rows }) => {
                 note!(Event::SessionNotRenewed, cause = "conflict");
-                self.holding.on_renewal_conflict(&rows, now);
+                self.assignment.on_renewal_conflict(&rows, now);
             }
-            Some(Commit::TurnedAway) => {
+            Some(Commit::Rejected) => {
                 note!(Event::SessionNotRenewed, cause = "turned_away");
-                self.holding.on_renewed(sent, None, now);
+                self.assignment.on_renewed(sent, None, now);
             }
             None => {
                 note!(Event::SessionNotRenewed, cause = "no_reply");
-                self.holding.on_renewed(sent, None, now);
+                self.assignment.on_renewed(sent, None, now);
             }
         }
-        let new_term = self.holding.lease().term();
+        let new_term = self.assignment.lease().term();
         if new_term == term {
             return Vec::new();
         }
         note!(Event::SessionOpened, term = new_term);
-        // Requests wait for the engines' holders: nothing is left to the next look at everything.
+        // Requests wait for the engines' holders, so don't wait for the next tick.
         self.tick_engines(now)
     }
 
@@ -99,17 +97,17 @@
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         let rows = rows.map(|batch| batch.rows);
-        self.holding.on_table_read(rows.as_deref(), term, now);
+        self.assignment.on_table_read(rows.as_deref(), term, now);
         for row in rows.iter().flatten() {
             let value = row.value.as_deref().unwrap_or_default();
             if HostRow::peer_of(&row.key).is_none() {
-                tell_unreadable_holder(row);
+                log_unreadable_holder(row);
                 continue;
             }
             let host = match serde_json::from_slice::<HostRow>(value) {
                 Ok(host) => host,
-                Err(problem) => {
-                    tell_unreadable(row, &problem);
+                Err(error) => {
+                    log_unreadable_row(row, &error);
                     continue;
                 }
             };
@@ -122,8 +120,8 @@
                 lease_version: row.version,
                 ..Default::default()
             };
-            let wanted = self.hosts.on_named(&rumor, now);
-            actions.extend(self.host_actions(wanted, now));
+            let host_actions = self.hosts.on_discovered(&rumor, now);
+            actions.extend(self.host_actions(host_actions, now));
         }
         self.changed = true;
         actions.extend(self.tick_engines(now));
@@ -142,65 +140,67 @@
                 for TakenEngine { target, fence } in engines {
                     note!(Event::TargetTaken, target = target, fence = fence);
                 }
-                self.holding.on_taken(engines, version, term);
+                self.assignment.on_taken(engines, version, term);
             }
-            Some(Commit::Conflict { rows }) => self.holding.on_take_conflict(engines, &rows, now),
-            Some(Commit::TurnedAway) => self.holding.on_take_rejected(engines, now),
-            None => self.holding.on_take_outcome_unknown(now),
+            Some(Commit::Conflict { rows }) => {
+                self.assignment.on_take_conflict(engines, &rows, now)
+            }
+            Some(Commit::Rejected) => self.assignment.on_take_rejected(engines, now),
+            None => self.assignment.on_take_outcome_unknown(now),
         }
         self.changed = true;
     }
 
-    /// The hosts that give orders to engines, as far as they answer, by engine.
+    /// Returns the reachable holder of each engine.
     pub(super) fn holders(
         &self,
         now: Instant,
     ) -> HashMap<&str, SocketAddr> {
         let up = self.hosts.hosts().filter(|host| host.state.is_up());
-        let told = up.flat_map(|host| {
+        let claimed = up.flat_map(|host| {
             let peer = host.identity.peer;
             host.holds.iter().map(move |held| (held.as_str(), peer))
         });
         let me = self.hosts.me().peer;
-        let mine = self.holding.held(now);
-        let mine = mine.map(|(target, _)| (target.as_str(), me));
-        // What this host knows of itself outweighs what others say.
-        told.chain(mine).collect()
+        let own = self.assignment.held(now);
+        let own = own.map(|(target, _)| (target.as_str(), me));
+        // This host's own assignments take precedence over the other hosts' claims.
+        claimed.chain(own).collect()
     }
 
-    pub(super) fn decide_holding(
+    pub(super) fn decide_assignment(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let engines = self.engine_keys();
-        let drawn = self.takers.for_engines(engines.len(), &self.hosts);
-        let is_starting = now.saturating_duration_since(self.started) < STARTING;
-        let settled = match is_starting {
-            true => FIRST_SETTLED,
-            false => SETTLED,
+        let engines = self.assignment_keys();
+        let selected = self.takers.for_engines(engines.len(), &self.hosts);
+        let is_starting = now.saturating_duration_since(self.started) < STARTUP_WINDOW;
+        let quiet_time = match is_starting {
+            true => STARTUP_DISCOVERY_QUIET_TIME,
+            false => DISCOVERY_QUIET_TIME,
         };
-        let may_take = self.hosts.is_settled(NEARLY_SETTLED, now)
+        let is_likely_taker = self.hosts.is_settled(LOOKUP_QUIET_TIME, now)
             && is_starting
-            && drawn.contains(&self.hosts.me().peer);
-        // Nobody takes anything before the hosts have got to know one another.
-        let takers = match self.hosts.is_settled(settled, now) {
-            true => drawn,
+            && selected.contains(&self.hosts.me().peer);
+        // No takeovers before host discovery has completed.
+        let takers = match self.hosts.is_settled(quiet_time, now) {
+            true => selected,
             false => Arc::default(),
         };
         let hosts = &self.hosts;
         let open_engines = &mut self.open_engines;
-        let open = || open_engines.among(&engines, hosts);
+        let unclaimed = || open_engines.unclaimed_among(&engines, hosts);
         let lease_of = |peer| {
             hosts.get(peer).map(|host| KnownLease {
                 version: host.lease_version,
                 known_since: host.lease_known_since,
             })
         };
-        let wanted = self
-            .holding
-            .decide(&engines, &takers, may_take, open, lease_of, now);
-        let term = self.holding.lease().term();
-        wanted
+        let assignment_actions =
+            self.assignment
+                .decide(&engines, &takers, is_likely_taker, unclaimed, lease_of, now);
+        let term = self.assignment.lease().term();
+        assignment_actions
             .into_iter()
             .map(|action| match action {
                 AssignmentAction::Renew { transaction } => ControlAction::Renew { transaction },
@@ -208,7 +208,7 @@
                 AssignmentAction::Take {
                     engines,
                     transaction,
-                } => ControlAction::Take {
+                } => ControlAction::TakeEngines {
                     engines,
                     term,
                     transaction,
@@ -217,52 +217,52 @@
             .collect()
     }
 
-    /// The engines there are, and the slots of customers' use where any is limited, with the key by which they are shared
-    /// out. They are put together anew only
-    /// when targets or the configuration have changed: it is looked at twenty times a second, and at 3,000
-    /// engines each time cost 1.5 ms, a quarter of what a small host's processor gives.
-    pub(super) fn engine_keys(&mut self) -> Arc<BTreeMap<String, String>> {
+    /// Returns all engines, and all quota shards if any customer is limited, with their assignment keys.
+    ///
+    /// Cached until targets or the configuration change, since every tick reads it.
+    pub(super) fn assignment_keys(&mut self) -> Arc<BTreeMap<String, String>> {
         if let Some(engines) = &self.engines {
             return engines.clone();
         }
         let engines = self.targets.iter();
         let engines = engines
-            .filter(|(_, target)| self.is_engine(&target.record.service))
+            .filter(|(_, target)| self.is_engine_service(&target.record.service))
             .map(|(id, target)| (id.clone(), target.record.address.to_string()));
-        let slots = (0..self.slot_count()).map(|slot| (shard_lease(slot), shard_lease(slot)));
+        let slots = (0..self.shard_count()).map(|slot| (shard_lease(slot), shard_lease(slot)));
         let engines: Arc<BTreeMap<String, String>> = Arc::new(engines.chain(slots).collect());
         self.engines = Some(engines.clone());
         engines
     }
 
-    /// Opens a desk for each engine held here, and closes those of others.
-    pub(super) fn open_desks(
+    /// Creates an allocator for each engine newly held here and removes those of engines no longer held.
+    pub(super) fn sync_allocators(
         &mut self,
         now: Instant,
     ) {
         let held: Vec<String> = self
-            .holding
+            .assignment
             .held(now)
             .map(|(target, _)| target.clone())
             .collect();
         let lost: Vec<String> = self
-            .desks
+            .allocators
             .keys()
             .filter(|target| !held.contains(target))
             .cloned()
             .collect();
         for target in lost {
             note!(Event::TargetLost, target = target);
-            if let Some(desk) = self.desks.remove(&target) {
-                self.late_orders
-                    .insert(target.clone(), desk.into_unanswered_orders(now));
+            if let Some(allocator) = self.allocators.remove(&target) {
+                self.unanswered_orders
+                    .insert(target.clone(), allocator.into_unanswered_orders(now));
             }
             self.shared.remove_engine(&target);
             self.changed = true;
         }
-        self.late_orders.retain(|_, late| !late.all_expired(now));
+        self.unanswered_orders
+            .retain(|_, orders| !orders.all_expired(now));
         for target in held {
-            if self.desks.contains_key(&target) {
+            if self.allocators.contains_key(&target) {
                 continue;
             }
             let Some(listed) = self.targets.get(&target) else {
@@ -272,36 +272,37 @@
             let Some(spec) = service.and_then(|service| service.engine.clone()) else {
                 continue;
             };
-            let mut desk = EngineAllocator::new(&target, spec, self.shared.clone(), now);
-            desk.on_incarnation(listed.record.started, now);
-            desk.set_unanswered_orders(self.late_orders.remove(&target).unwrap_or_default());
+            let mut allocator = EngineAllocator::new(&target, spec, self.shared.clone(), now);
+            allocator.on_incarnation(listed.record.started, now);
+            allocator
+                .set_unanswered_orders(self.unanswered_orders.remove(&target).unwrap_or_default());
             for (adapter, versions) in self.versions.iter() {
-                desk.on_newest_version(adapter, versions.newest());
+                allocator.on_newest_version(adapter, versions.newest());
             }
-            self.desks.insert(target, desk);
+            self.allocators.insert(target, allocator);
             self.changed = true;
         }
     }
 }
 
-/// A line for a row that should name an engine's holder and can't be read.
-fn tell_unreadable_holder(row: &Row) {
+/// Logs a holder row that can't be parsed.
+fn log_unreadable_holder(row: &Row) {
     let value = row.value.as_deref();
     let (Some(value), Some(_)) = (value, HolderRow::target_of(&row.key)) else {
         return;
     };
-    if let Err(problem) = serde_json::from_slice::<HolderRow>(value) {
-        tell_unreadable(row, &problem);
+    if let Err(error) = serde_json::from_slice::<HolderRow>(value) {
+        log_unreadable_row(row, &error);
     }
 }
 
-fn tell_unreadable(
+fn log_unreadable_row(
     row: &Row,
-    problem: &serde_json::Error,
+    error: &serde_json::Error,
 ) {
     note!(
         Event::RowUnreadable,
         row = quoted(&row.key),
-        problem = quoted(problem)
+        problem = quoted(error)
     );
 }
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -1,5 +1,5 @@
-//! The control thread's part for what targets say of themselves: news of it between hosts, and leave to send to those that
-//! take only so many requests a second.
+//! Control-thread handling of target notices: their distribution between hosts, and permits to send to rate-limited
+//! targets.
 
 use {
     super::{ControlAction, HostControl, listed_target::ListedTarget},
@@ -18,75 +18,75 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// News of a target is told to all so many times, since messages are lost.
-const TELLINGS: u32 = 3;
+/// Number of times a notice is broadcast, since datagrams can be lost.
+const BROADCAST_COUNT: u32 = 3;
 
-/// Time between two of them.
-const TELLING_PAUSE: Duration = Duration::from_millis(300);
+/// Time between two broadcasts of the same notice.
+const BROADCAST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A host that is not the one to count says so, and is not asked again for so long: by then all know the same hosts.
-const NOT_COUNTED_PAUSE: Duration = Duration::from_millis(100);
+/// Retry delay returned by a host that does not issue the target's permits.
+const WRONG_HOST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What targets have said of themselves, as this host knows it, and what it counts for the others.
+/// Target notices known to this host, and the permits that it issues.
 #[derive(Debug, Default)]
-pub(super) struct KnownNotices {
-    book: NoticeRegistry,
-    desk: PermitAllocator,
-    /// News that all hosts are still to be told of.
-    untold: Vec<Telling>,
+pub(super) struct NoticeState {
+    registry: NoticeRegistry,
+    allocator: PermitAllocator,
+    /// Notices with broadcasts left.
+    pending_broadcasts: Vec<NoticeBroadcast>,
 }
 
 #[derive(Debug)]
-struct Telling {
+struct NoticeBroadcast {
     target: String,
     notices: TargetNotices,
-    left: u32,
+    remaining: u32,
     due: Instant,
 }
 
-impl KnownNotices {
-    /// True if a target has said in an answer that it leaves; the list may say so much later, or still tell otherwise.
-    pub fn says_leaving(
+impl NoticeState {
+    /// Returns true if a response of the target announced that it is leaving; its list entry may lag behind.
+    pub fn has_announced_leaving(
         &self,
         id: &str,
         target: &ListedTarget,
     ) -> bool {
-        self.book.is_leaving(id, target.record.started)
+        self.registry.is_leaving(id, target.record.started)
     }
 }
 
 impl HostControl {
-    /// An answer to a request of this host says something new of its target.
-    pub(super) fn on_notice_heard(
+    /// Handles notices from a response to a request of this host.
+    pub(super) fn on_response_notices(
         &mut self,
         target: &str,
         notices: &TargetNotices,
         now: Instant,
     ) -> Vec<ControlAction> {
-        if !self.take_notices(target, notices, now) {
+        if !self.merge_notices(target, notices, now) {
             return Vec::new();
         }
         match self.permit_host(target) {
-            Some(counting_host) if counting_host != self.hosts.me().peer => {
+            Some(permit_peer) if permit_peer != self.hosts.me().peer => {
                 let news = TargetNews::of(target, notices, now);
                 let message = Message::TargetNews(news);
                 vec![ControlAction::Send {
-                    to: counting_host,
+                    to: permit_peer,
                     message,
                 }]
             }
-            _ => self.tell_notices(target, notices, now),
+            _ => self.broadcast_notices(target, notices, now),
         }
     }
 
-    /// Another host tells of a target.
+    /// Merges a target's notices received from another host.
     pub(super) fn on_target_news(
         &mut self,
         news: &TargetNews,
         now: Instant,
     ) -> Vec<ControlAction> {
         let notices = news.notices(now);
-        if !self.take_notices(&news.target, &notices, now) {
+        if !self.merge_notices(&news.target, &notices, now) {
             return Vec::new();
         }
         let limit = notices.limit;
@@ -100,61 +100,64 @@
                 now.saturating_duration_since(limit.reported_at).as_millis()
             }),
         );
-        let mut actions = vec![ControlAction::TargetNews {
+        let mut actions = vec![ControlAction::DeliverNotices {
             target: news.target.clone(),
             notices,
         }];
-        // Whoever hears of a target tells the host that counts for it, and that one all others.
+        // Hosts report notices to the target's permit host, which broadcasts them.
         if self.permit_host(&news.target) == Some(self.hosts.me().peer) {
-            actions.extend(self.tell_notices(&news.target, &notices, now));
+            actions.extend(self.broadcast_notices(&news.target, &notices, now));
         }
         actions
     }
 
-    /// A host asks for leave to send one request to a target.
+    /// Answers a host's request for a permit to send one request to a target.
     pub(super) fn on_permit_ask(
         &mut self,
         from: SocketAddr,
-        ask: &PermitAsk,
+        request: &PermitAsk,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut actions = self.on_target_news(&ask.news, now);
-        let outcome = self.permit(&ask.news, now);
+        let mut actions = self.on_target_news(&request.news, now);
+        let outcome = self.allocate_permit(&request.news, now);
         let state = match &outcome {
             Ok(()) => "granted",
             Err(_) => "denied",
         };
         let labels = StateLabels { state };
         metrics().permits.get_or_create(&labels).inc();
-        let pause = outcome.err().unwrap_or_default();
+        let retry_delay = outcome.err().unwrap_or_default();
         let answer = PermitAnswer {
-            id: ask.id,
+            id: request.id,
             granted: outcome.is_ok(),
-            ask_again_ms: u32::try_from(pause.as_millis() + 1).unwrap_or(u32::MAX),
+            ask_again_ms: u32::try_from(retry_delay.as_millis() + 1).unwrap_or(u32::MAX),
         };
         actions.push(self.send(from, Message::PermitAnswer(answer)));
         actions
     }
 
-    fn permit(
+    fn allocate_permit(
         &mut self,
         news: &TargetNews,
         now: Instant,
     ) -> Result<(), Duration> {
         if self.permit_host(&news.target) != Some(self.hosts.me().peer) {
-            return Err(NOT_COUNTED_PAUSE);
+            return Err(WRONG_HOST_RETRY_DELAY);
         }
         let start = news.notices(now).start;
-        let known = self.notices.book.get(&news.target, start);
-        let limit = known.and_then(|known| known.limit);
+        let merged = self.notices.registry.get(&news.target, start);
+        let limit = merged.and_then(|notices| notices.limit);
         match limit.and_then(|limit| limit.rate_at(now)) {
-            Some(rate) => self.notices.desk.request(&news.target, start, rate, now),
-            // The limit is over; whoever asks has not heard of it.
+            Some(rate) => self
+                .notices
+                .allocator
+                .request(&news.target, start, rate, now),
+            // The limit has ended, and the requesting host does not know it yet.
             None => Ok(()),
         }
     }
 
-    /// Where this host asks for leave to send to a target.
+    /// Returns the host that issues permits for a target.
     pub(super) fn permit_host(
         &self,
         target: &str,
@@ -166,60 +169,63 @@
         permit_host(target, peers.chain(me))
     }
 
-    fn take_notices(
+    fn merge_notices(
         &mut self,
         target: &str,
         notices: &TargetNotices,
         now: Instant,
     ) -> bool {
-        if !self.notices.book.merge(target, notices, now) {
+        if !self.notices.registry.merge(target, notices, now) {
             return false;
         }
         if notices.leaving {
-            // It is no longer seen by requests, and gets no orders.
+            // A leaving target is removed from the published view and from the assignable engines.
             self.changed = true;
             self.engines = None;
         }
         true
     }
 
-    /// Tells all hosts of a target, a few times.
-    fn tell_notices(
+    /// Broadcasts a target's notices to all hosts, `BROADCAST_COUNT` times.
+    fn broadcast_notices(
         &mut self,
         target: &str,
         notices: &TargetNotices,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let untold = &mut self.notices.untold;
-        untold.retain(|telling| telling.target != target);
-        untold.push(Telling {
+        let pending_broadcasts = &mut self.notices.pending_broadcasts;
+        pending_broadcasts.retain(|broadcast| broadcast.target != target);
+        pending_broadcasts.push(NoticeBroadcast {
             target: target.to_string(),
             notices: *notices,
-            left: TELLINGS,
+            remaining: BROADCAST_COUNT,
             due: now,
         });
         self.tick_notices(now)
     }
 
-    /// Tells what is due to be told.
+    /// Sends the broadcasts that are due.
     pub(super) fn tick_notices(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut untold = std::mem::take(&mut self.notices.untold);
+        let mut pending_broadcasts = std::mem::take(&mut self.notices.pending_broadcasts);
         let mut actions = Vec::new();
-        for telling in untold.iter_mut().filter(|telling| telling.due <= now) {
-            telling.left -= 1;
-            telling.due = now + TELLING_PAUSE;
-            let news = TargetNews::of(&telling.target, &telling.notices, now);
+        for broadcast in pending_broadcasts
+            .iter_mut()
+            .filter(|broadcast| broadcast.due <= now)
+        {
+            broadcast.remaining -= 1;
+            broadcast.due = now + BROADCAST_INTERVAL;
+            let news = TargetNews::of(&broadcast.target, &broadcast.notices, now);
             let up = self.hosts.hosts().filter(|host| host.state.is_up());
             actions.extend(up.map(|host| ControlAction::Send {
                 to: host.identity.peer,
                 message: Message::TargetNews(news.clone()),
             }));
         }
-        untold.retain(|telling| telling.left > 0);
-        self.notices.untold = untold;
+        pending_broadcasts.retain(|broadcast| broadcast.remaining > 0);
+        self.notices.pending_broadcasts = pending_broadcasts;
         actions
     }
 }
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for messages between hosts.
+//! Handles messages between hosts and the control requests of this host's own traffic.
 
 use {
     super::{ControlAction, HostControl},
@@ -18,28 +18,31 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Times after the start at which the seeds are asked.
-const JOINS: [Duration; 3] = [
+/// Times after the start at which the seeds are queried.
+const SEED_QUERY_TIMES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(400),
     Duration::from_millis(1200),
 ];
 
-/// Hosts that start at once read the store for the first time within this time.
-const FIRST_READ_SPREAD: Duration = Duration::from_millis(40);
+/// Range of the random delay of the first read, so that hosts that start together spread their reads.
+const FIRST_READ_JITTER: Duration = Duration::from_millis(40);
 
 impl HostControl {
-    /// Asks the seeds for the hosts that they know, a few times after the start: all hosts of a site
-    /// may start at once.
-    pub(super) fn join(
+    /// Queries the seeds for the hosts that they know. Repeated a few times, as all hosts of a site may
+    /// start at once.
+    pub(super) fn query_seeds(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
         let passed = now.saturating_duration_since(self.started);
-        if JOINS.get(self.joins).is_none_or(|at| passed < *at) {
+        if SEED_QUERY_TIMES
+            .get(self.completed_seed_queries)
+            .is_none_or(|at| passed < *at)
+        {
             return Vec::new();
         }
-        self.joins += 1;
+        self.completed_seed_queries += 1;
         let me = self.hosts.me().peer;
         let seeds = self.settings.seed_peers().filter(|peer| *peer != me);
         let mut actions: Vec<ControlAction> = seeds
@@ -49,7 +52,7 @@
         actions
     }
 
-    /// A seed told the hosts that it knows: each is pinged that was not known here.
+    /// Handles the hosts that a seed knows and pings those that are new here.
     pub(super) fn on_hosts_pulled(
         &mut self,
         from: SocketAddr,
@@ -58,39 +61,39 @@
     ) -> Vec<ControlAction> {
         let hosts = hosts.unwrap_or_default();
         if !hosts.iter().any(|host| host.ready) {
-            self.empty_seeds.insert(from);
-            self.read_without_seeds(now);
+            self.seeds_without_ready_hosts.insert(from);
+            self.schedule_first_read(now);
         }
         let mut actions = Vec::new();
         for rumor in &hosts {
-            let wanted = self.hosts.on_rumor(rumor, now);
-            actions.extend(self.host_actions(wanted, now));
+            let requested = self.hosts.on_rumor(rumor, now);
+            actions.extend(self.host_actions(requested, now));
         }
         actions
     }
 
-    /// Once no seed knows a host that has copies of the tables, the store is read without waiting for
-    /// one: all hosts have started at once, and callers wait.
-    fn read_without_seeds(
+    /// Schedules the first read of the store once no seed knows a ready host, which happens when all hosts
+    /// start at once.
+    fn schedule_first_read(
         &mut self,
         now: Instant,
     ) {
         let me = self.hosts.me().peer;
         let mut seeds = self.settings.seed_peers().filter(|peer| *peer != me);
-        if seeds.all(|seed| self.empty_seeds.contains(&seed)) {
-            let at = now + rand::rng().random_range(Duration::ZERO..FIRST_READ_SPREAD);
-            self.declared.schedule.on_no_copy(at);
-            self.listed.schedule.on_no_copy(at);
+        if seeds.all(|seed| self.seeds_without_ready_hosts.contains(&seed)) {
+            let at = now + rand::rng().random_range(Duration::ZERO..FIRST_READ_JITTER);
+            self.declared.schedule.on_no_replica(at);
+            self.listed.schedule.on_no_replica(at);
         }
     }
 
-    /// The hosts that this one knows, itself included.
-    pub(super) fn hosts_for_host(
+    /// Returns rumors of all known hosts, including this one.
+    pub(super) fn known_host_rumors(
         &self,
         now: Instant,
     ) -> Vec<HostRumor> {
         let known = self.hosts.hosts().map(KnownHost::to_rumor);
-        known.chain([self.my_rumor(now)]).collect()
+        known.chain([self.local_rumor(now)]).collect()
     }
 
     fn ping_seeds(
@@ -116,13 +119,13 @@
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let wanted = self.hosts.on_tick(now);
-        let mut actions = self.host_actions(wanted, now);
+        let requested = self.hosts.on_tick(now);
+        let mut actions = self.host_actions(requested, now);
         actions.extend(self.take_host_events(now));
-        // Requests divide the extra allowance of repeats by it.
+        // Requests divide the extra retry quota by this number.
         let known = self.hosts.known_count();
-        if self.told_known_hosts != known {
-            self.told_known_hosts = known;
+        if self.published_known_hosts != known {
+            self.published_known_hosts = known;
             self.changed = true;
         }
         actions
@@ -138,42 +141,42 @@
         let mut actions = match message {
             Message::Ping(ping) => self.on_ping(from, &ping, arrived_after, now),
             Message::Ack(ack) => {
-                self.on_exchange(from, &ack, now);
-                let mut actions = self.on_host_news(&ack.sender, &ack.rumors, now);
+                self.update_peer_clock(from, &ack, now);
+                let mut actions = self.on_rumors(&ack.sender, &ack.rumors, now);
                 actions.extend(self.on_freshness(&ack.sender, &ack.freshness, arrived_after, now));
                 actions.extend(self.on_poison_digest(from, ack.freshness.poison, now));
                 actions
             }
             Message::PingRequest(request) => self.on_ping_request(from, &request, now),
             Message::Vouch(vouch) => {
-                self.hosts.on_vouched(vouch.peer.into());
+                self.hosts.on_indirect_answer(vouch.peer.into());
                 Vec::new()
             }
             Message::Want(want) => self.on_want(from, &want, now),
             Message::Usage(usage) => {
-                if let Some(desk) = self.desks.get_mut(&usage.target) {
-                    desk.on_usage(from, &usage, now);
+                if let Some(allocator) = self.allocators.get_mut(&usage.target) {
+                    allocator.on_usage(from, &usage, now);
                 }
                 Vec::new()
             }
-            Message::Placement(placement) => vec![ControlAction::Place(placement)],
-            Message::EngineLoad(load) => vec![ControlAction::Load(load)],
+            Message::Placement(placement) => vec![ControlAction::DeliverPlacement(placement)],
+            Message::EngineLoad(load) => vec![ControlAction::DeliverLoad(load)],
             Message::EngineQuery(query) => self.on_query(from, &query, now).into_iter().collect(),
-            Message::EngineStanding(standing) => vec![ControlAction::Stand(standing)],
-            Message::LoanAsk(ask) => vec![ControlAction::Lend { to: from, ask }],
-            Message::Loan(loan) => vec![ControlAction::Borrow(loan)],
+            Message::EngineStanding(standing) => vec![ControlAction::DeliverEngineStatus(standing)],
+            Message::LoanAsk(request) => vec![ControlAction::LendQuota { to: from, request }],
+            Message::Loan(loan) => vec![ControlAction::DeliverLoan(loan)],
             Message::PoisonNews(news) => self.on_poison_news(&news, now),
             Message::ChargeAsk(ask) => vec![self.on_charge_ask(from, &ask, now)],
-            Message::PlaceWanted(wanted) => vec![self.on_place_wanted(from, &wanted, now)],
-            Message::PlaceGiven(given) => vec![ControlAction::PlaceGiven(given)],
+            Message::PlaceWanted(wanted) => vec![self.on_slot_request(from, &wanted, now)],
+            Message::PlaceGiven(given) => vec![ControlAction::DeliverSlotResponse(given)],
             Message::TargetNews(news) => self.on_target_news(&news, now),
             Message::PermitAsk(ask) => self.on_permit_ask(from, &ask, now),
-            Message::PermitAnswer(answer) => vec![ControlAction::Permit(answer)],
+            Message::PermitAnswer(answer) => vec![ControlAction::DeliverPermitAnswer(answer)],
             Message::PlaceEnded(ended) => {
-                self.on_place_ended(&ended);
+                self.on_slot_release(&ended);
                 Vec::new()
             }
-            Message::ChargeAnswer(answer) => vec![ControlAction::Charged(answer)],
+            Message::ChargeAnswer(answer) => vec![ControlAction::DeliverChargeAnswer(answer)],
             Message::ChargeRefund(refund) => {
                 self.on_charge_refund(&refund, now);
                 Vec::new()
@@ -183,7 +186,7 @@
         actions
     }
 
-    /// A need of this host's own requests.
+    /// Handles a control request of this host's own traffic.
     pub(super) fn on_request(
         &mut self,
         request: ControlRequest,
@@ -199,8 +202,8 @@
                 message: Message::Want(want),
             }],
             ControlRequest::ReportUsage { holder, usage } if holder == me => {
-                if let Some(desk) = self.desks.get_mut(&usage.target) {
-                    desk.on_usage(me, &usage, now);
+                if let Some(allocator) = self.allocators.get_mut(&usage.target) {
+                    allocator.on_usage(me, &usage, now);
                 }
                 Vec::new()
             }
@@ -216,8 +219,8 @@
                 message: Message::EngineQuery(query),
             }],
             ControlRequest::ReportMissing { target, adapter } => {
-                if let Some(desk) = self.desks.get_mut(&target) {
-                    desk.on_missing_adapter(&adapter, now);
+                if let Some(allocator) = self.allocators.get_mut(&target) {
+                    allocator.on_missing_adapter(&adapter, now);
                 }
                 Vec::new()
             }
@@ -230,18 +233,18 @@
                 message: Message::ChargeAsk(ask),
             }],
             ControlRequest::RequestSlot { to, wanted } if to == me => {
-                vec![self.on_place_wanted(me, &wanted, now)]
+                vec![self.on_slot_request(me, &wanted, now)]
             }
             ControlRequest::RequestSlot { to, wanted } => vec![ControlAction::Send {
                 to,
                 message: Message::PlaceWanted(wanted),
             }],
             ControlRequest::PublishNotices { target, notices } => {
-                self.on_notice_heard(&target, &notices, now)
+                self.on_response_notices(&target, &notices, now)
             }
-            ControlRequest::RequestPermit(ask) => self.want_permit(ask, now),
+            ControlRequest::RequestPermit(ask) => self.request_permit(ask, now),
             ControlRequest::ReleaseSlot { to, ended } if to == me => {
-                self.on_place_ended(&ended);
+                self.on_slot_release(&ended);
                 Vec::new()
             }
             ControlRequest::ReleaseSlot { to, ended } => vec![ControlAction::Send {
@@ -256,7 +259,7 @@
                 to,
                 message: Message::ChargeRefund(refund),
             }],
-            ControlRequest::RequestLoan(ask) => self.ask_loan(ask).into_iter().collect(),
+            ControlRequest::RequestLoan(ask) => self.request_loan(ask).into_iter().collect(),
             ControlRequest::GrantLoan { to, loan } => vec![ControlAction::Send {
                 to,
                 message: Message::Loan(loan),
@@ -264,36 +267,36 @@
         }
     }
 
-    /// Asks the next host for a loan: each in turn, in an order that changes.
-    fn ask_loan(
+    /// Asks the next host to lend retry quota; each round visits all hosts in a new order.
+    fn request_loan(
         &mut self,
-        ask: LoanAsk,
+        request: LoanAsk,
     ) -> Option<ControlAction> {
         if self.lenders.is_empty() {
-            self.lenders = self.hosts.pick_up(usize::MAX);
+            self.lenders = self.hosts.pick_reachable(usize::MAX);
         }
         let to = self.lenders.pop()?;
-        let message = Message::LoanAsk(ask);
+        let message = Message::LoanAsk(request);
         Some(ControlAction::Send { to, message })
     }
 
-    /// Asks the host that counts what a target gets for leave to send one request there.
-    fn want_permit(
+    /// Requests a permit for one request from the host that allocates the target's permits.
+    fn request_permit(
         &mut self,
-        ask: PermitAsk,
+        request: PermitAsk,
         now: Instant,
     ) -> Vec<ControlAction> {
         let me = self.hosts.me().peer;
-        match self.permit_host(&ask.news.target) {
+        match self.permit_host(&request.news.target) {
             Some(to) if to != me => vec![ControlAction::Send {
                 to,
-                message: Message::PermitAsk(ask),
+                message: Message::PermitAsk(request),
             }],
-            _ => self.on_permit_ask(me, &ask, now),
+            _ => self.on_permit_ask(me, &request, now),
         }
     }
 
-    /// Sends a message to a host, or hands it to this host's own requests.
+    /// Sends a message to a host, or delivers it to this host's own requests.
     pub(super) fn send(
         &self,
         to: SocketAddr,
@@ -303,12 +306,12 @@
             return ControlAction::Send { to, message };
         }
         match message {
-            Message::Placement(placement) => ControlAction::Place(placement),
-            Message::EngineLoad(load) => ControlAction::Load(load),
-            Message::EngineStanding(standing) => ControlAction::Stand(standing),
-            Message::ChargeAnswer(answer) => ControlAction::Charged(answer),
-            Message::PlaceGiven(given) => ControlAction::PlaceGiven(given),
-            Message::PermitAnswer(answer) => ControlAction::Permit(answer),
+            Message::Placement(placement) => ControlAction::DeliverPlacement(placement),
+            Message::EngineLoad(load) => ControlAction::DeliverLoad(load),
+            Message::EngineStanding(standing) => ControlAction::DeliverEngineStatus(standing),
+            Message::ChargeAnswer(answer) => ControlAction::DeliverChargeAnswer(answer),
+            Message::PlaceGiven(given) => ControlAction::DeliverSlotResponse(given),
+            Message::PermitAnswer(answer) => ControlAction::DeliverPermitAnswer(answer),
             message => ControlAction::Send { to, message },
         }
     }
@@ -320,12 +323,12 @@
         arrived_after: Instant,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut actions = self.on_host_news(&ping.sender, &ping.rumors, now);
+        let mut actions = self.on_rumors(&ping.sender, &ping.rumors, now);
         actions.extend(self.on_freshness(&ping.sender, &ping.freshness, arrived_after, now));
         actions.extend(self.on_poison_digest(from, ping.freshness.poison, now));
         if !ping.one_way {
             let ack = Ack {
-                sender: self.my_rumor(now),
+                sender: self.local_rumor(now),
                 freshness: self.freshness(now),
                 rumors: self.hosts.take_rumors(),
                 echo: Some(PingEcho {
@@ -341,8 +344,8 @@
         actions
     }
 
-    /// An answer tells of the other side's clock, if it is to a ping of this process.
-    fn on_exchange(
+    /// Updates the clock estimate of a peer from its answer, if it answers a ping of this process.
+    fn update_peer_clock(
         &mut self,
         from: SocketAddr,
         ack: &Ack,
@@ -355,13 +358,13 @@
         let exchange = PingExchange {
             peer: from,
             process: ack.sender.process,
-            pinged: self.started + Duration::from_micros(echo.told_us),
-            answered: Duration::from_micros(ack.freshness.told_us),
+            ping_sent_at: self.started + Duration::from_micros(echo.told_us),
+            answer_sent_after: Duration::from_micros(ack.freshness.told_us),
         };
         self.clocks.on_exchange(&exchange, now);
     }
 
-    fn on_host_news(
+    fn on_rumors(
         &mut self,
         sender: &HostRumor,
         rumors: &[HostRumor],
@@ -370,15 +373,15 @@
         let known = self.hosts.get(sender.peer.into()).cloned();
         self.hosts.on_heard(sender, now);
         let heard = self.hosts.get(sender.peer.into());
-        let matters = match (&known, heard) {
+        let is_relevant = match (&known, heard) {
             (Some(old), Some(new)) => old.holds != new.holds || old.ready != new.ready,
             _ => true,
         };
-        self.changed |= matters;
+        self.changed |= is_relevant;
         let mut actions = Vec::new();
         for rumor in rumors {
-            let wanted = self.hosts.on_rumor(rumor, now);
-            actions.extend(self.host_actions(wanted, now));
+            let requested = self.hosts.on_rumor(rumor, now);
+            actions.extend(self.host_actions(requested, now));
         }
         actions
     }
@@ -390,11 +393,11 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let peer: SocketAddr = request.peer.into();
-        let heard_lately = self.hosts.get(peer).is_some_and(|host| {
+        let was_heard_recently = self.hosts.get(peer).is_some_and(|host| {
             let recent = |at: Instant| now.saturating_duration_since(at).as_millis() < 300;
             host.state.is_up() && host.heard.is_some_and(recent)
         });
-        if heard_lately {
+        if was_heard_recently {
             let vouch = Vouch { peer: request.peer };
             return vec![ControlAction::Send {
                 to: from,
@@ -409,10 +412,10 @@
 
     pub(super) fn host_actions(
         &mut self,
-        wanted: Vec<HostAction>,
+        requested: Vec<HostAction>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        wanted
+        requested
             .into_iter()
             .map(|action| match action {
                 HostAction::Ping { peer } => ControlAction::Send {
@@ -427,25 +430,24 @@
             .collect()
     }
 
-    /// Takes changes of hosts in. A host that answers from now on is told at once which engines are held here:
-    /// who was not known when all were told would else hear of it when its turn to be pinged comes,
-    /// after 30 s with 300 hosts.
+    /// Handles state changes of hosts. A host that has become alive is notified at once of the engines held
+    /// here; otherwise it would learn of them only with its next regular ping.
     fn take_host_events(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut untold = Vec::new();
+        let mut newly_alive = Vec::new();
         for event in self.hosts.take_events() {
             self.changed = true;
             match event {
                 HostEvent::StateChanged { peer, name, state } => {
-                    note!(event_of(state), peer = name, address = peer);
-                    if state == HostState::Alive && !self.told_holds.is_empty() {
-                        untold.push(peer);
+                    note!(state_event(state), peer = name, address = peer);
+                    if state == HostState::Alive && !self.published_holdings.is_empty() {
+                        newly_alive.push(peer);
                     }
                     if state == HostState::Dead {
-                        for desk in self.desks.values_mut() {
-                            desk.on_host_gone(peer);
+                        for allocator in self.allocators.values_mut() {
+                            allocator.on_host_gone(peer);
                         }
                     }
                 }
@@ -454,11 +456,11 @@
                 }
             }
         }
-        self.tell(untold, now)
+        self.notify_hosts(newly_alive, now)
     }
 }
 
-fn event_of(state: HostState) -> Event {
+fn state_event(state: HostState) -> Event {
     match state {
         HostState::Alive => Event::PeerAlive,
         HostState::Leaving => Event::PeerLeaving,
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -1,11 +1,11 @@
-//! The control thread's part for requests that end targets: it joins what this host's requests, other hosts and the store
-//! tell, and hands on what is news.
+//! Control-thread handling of poison requests (requests that crash targets): merges reports of this host's requests, of
+//! other hosts and of the store, and distributes the changes.
 
 use {
     super::{
         ControlAction, HostControl,
         control_tables::quoted,
-        poison_rows::{POISON_TABLE, poison_of, removal_of, row_of},
+        poison_rows::{POISON_TABLE, delete_write, parse_row, store_write},
     },
     crate::{
         clock::Instant,
@@ -23,133 +23,138 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Records in one datagram: with 8 strikes and 32 cleared ends each, 0.4 kB, it stays below the size of a packet.
-const PAGE: usize = 3;
+/// Maximum number of records in one datagram; a record takes up to 0.4 kB, and a datagram must fit into a packet.
+const RECORDS_PER_DATAGRAM: usize = 3;
 
-/// Datagrams with records for a host that knows others than this one, at each exchange with it.
-const PAGES: usize = 10;
+/// Maximum number of datagrams sent to a host whose digest differs.
+const MAX_DATAGRAMS_PER_EXCHANGE: usize = 10;
 
-/// A process reads what the store keeps so long after its start, unless another host has told it by then: the
-/// seeds have answered by then.
-const FIRST_READ: Duration = Duration::from_millis(300);
+/// Minimum time from start to the first read of the store; skipped if another host has sent its records by then.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(300);
 
-/// The first reads of hosts that start together are spread over this time for each host known, so that most hear from
-/// another one first. 300 hosts take 2.7 s, less than the time within which they must know.
-const READ_SPREAD: Duration = Duration::from_millis(9);
+/// Jitter of the first read for each known host: of hosts that start together, most get the records from another host
+/// first.
+const FIRST_READ_JITTER_PER_HOST: Duration = Duration::from_millis(9);
 
-/// Pause before the store is asked again after a failed read.
-const READ_PAUSE: Duration = Duration::from_secs(2);
+/// Delay before a failed read of the store is retried.
+const READ_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Pause between two looks for records that are old.
-const DROP_PERIOD: Duration = Duration::from_secs(5);
+/// Time between two evictions of expired records.
+const EVICTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A request is kept in the store from so many strikes on: with fewer, a loss of all hosts costs one target at most.
-const KEPT_STRIKES: usize = 2;
+/// Minimum number of crashes for which a request is stored; with fewer, losing the record costs at most one target.
+const MIN_STORED_CRASHES: usize = 2;
 
-/// What this host knows of requests that end targets, and how it came to it.
+/// Poison records known to this host, and the state of their synchronization.
 #[derive(Debug, Default)]
-pub(super) struct KnownPoison {
+pub(super) struct PoisonState {
     pub ledger: PoisonLedger,
-    /// What the store or another host knows is known here, too.
-    pub is_known: bool,
+    /// True once the records of the store or of a synchronized host have been merged.
+    pub is_synchronized: bool,
     next_read: Option<Instant>,
-    next_drop: Option<Instant>,
-    /// The last record told to a host that knows others.
-    told: Option<Fingerprint>,
+    next_eviction: Option<Instant>,
+    /// The last record sent to a host whose digest differed; the next page starts after it.
+    last_sent: Option<Fingerprint>,
 }
 
 impl HostControl {
-    /// What this host is known by to know, once it knows what others do.
+    /// Returns the digest of the known records; `None` until they have been synchronized.
     pub(super) fn poison_digest(&self) -> Option<u64> {
-        self.poison.is_known.then(|| self.poison.ledger.digest())
+        self.poison
+            .is_synchronized
+            .then(|| self.poison.ledger.digest())
     }
 
-    /// A need of this host's own requests, or of an operator.
+    /// Handles a report from this host's requests or from an operator.
     pub fn on_poison_report(
         &mut self,
         report: PoisonReport,
         now: Instant,
     ) -> Vec<ControlAction> {
         let changed = match report {
-            PoisonReport::Crashed { evidence } => self.strike(&evidence, now),
+            PoisonReport::Crashed { evidence } => self.record_crashes(&evidence, now),
             PoisonReport::Cleared { fingerprint } => match self.poison.ledger.clear(&fingerprint) {
                 true => vec![fingerprint],
                 false => Vec::new(),
             },
         };
-        let mut actions = self.tell_all_poison(&changed, now);
-        actions.extend(self.keep(&changed, now));
-        actions.extend(self.note_standings(&changed, "here"));
+        let mut actions = self.broadcast_poison(&changed, now);
+        actions.extend(self.store_records(&changed, now));
+        actions.extend(self.publish_statuses(&changed, "here"));
         actions
     }
 
-    fn strike(
+    fn record_crashes(
         &mut self,
-        strikes: &[(Fingerprint, CrashEvidence)],
+        evidence: &[(Fingerprint, CrashEvidence)],
         now: Instant,
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
-        for (fingerprint, strike) in strikes {
-            let told = PoisonUpdate {
+        for (fingerprint, evidence) in evidence {
+            let update = PoisonUpdate {
                 fingerprint: *fingerprint,
-                strikes: vec![*strike],
+                strikes: vec![*evidence],
                 cleared: Vec::new(),
                 age: Duration::ZERO,
             };
-            if self.poison.ledger.merge(&told, now) {
+            if self.poison.ledger.merge(&update, now) {
                 changed.push(*fingerprint);
             }
         }
         changed
     }
 
-    /// Another host tells what it knows.
+    /// Merges the records sent by another host.
     pub(super) fn on_poison_news(
         &mut self,
         news: &PoisonNews,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let told = news.entries.iter().filter_map(told_of);
-        let told: Vec<PoisonUpdate> = told.collect();
-        let changed = self.join_poison(&told, now);
-        self.note_standings(&changed, "host")
+        let updates = news.entries.iter().filter_map(update_from_wire);
+        let updates: Vec<PoisonUpdate> = updates.collect();
+        let changed = self.merge_poison(&updates, now);
+        self.publish_statuses(&changed, "host")
     }
 
-    fn join_poison(
+    fn merge_poison(
         &mut self,
-        told: &[PoisonUpdate],
+        updates: &[PoisonUpdate],
         now: Instant,
     ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
-        for told in told {
-            if self.poison.ledger.merge(told, now) {
-                changed.push(told.fingerprint);
+        for update in updates {
+            if self.poison.ledger.merge(update, now) {
+                changed.push(update.fingerprint);
             }
         }
         changed
     }
 
-    /// Another host has told by a digest what it knows: it gets what this host knows if that differs.
+    /// Sends a page of records to a host whose digest differs from this host's.
     pub(super) fn on_poison_digest(
         &mut self,
         from: SocketAddr,
         digest: Option<u64>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        // Whoever knows all tells this host, too, as soon as it sees its digest.
-        self.poison.is_known |= digest.is_some();
+        // A synchronized host sends its records in turn when it sees this host's digest.
+        self.poison.is_synchronized |= digest.is_some();
         if digest == Some(self.poison.ledger.digest()) || self.poison.ledger.is_empty() {
             return Vec::new();
         }
-        let page = self.poison.ledger.page(self.poison.told, PAGE * PAGES, now);
-        self.poison.told = page.last().map(|told| told.fingerprint);
-        let news = page.chunks(PAGE).map(news_of);
+        let updates = self.poison.ledger.page(
+            self.poison.last_sent,
+            RECORDS_PER_DATAGRAM * MAX_DATAGRAMS_PER_EXCHANGE,
+            now,
+        );
+        self.poison.last_sent = updates.last().map(|update| update.fingerprint);
+        let messages = updates.chunks(RECORDS_PER_DATAGRAM).map(to_message);
         let send = |message| ControlAction::Send { to: from, message };
-        news.map(send).collect()
+        messages.map(send).collect()
     }
 
-    /// Tells all hosts at once: news on the way by digests alone would cost a target for each step.
-    fn tell_all_poison(
+    /// Sends changed records to all hosts at once: spread by digests alone, they could cost a target at each hop.
+    fn broadcast_poison(
         &mut self,
         changed: &[Fingerprint],
         now: Instant,
@@ -158,77 +163,78 @@
             return Vec::new();
         }
         let ledger = &self.poison.ledger;
-        let told = changed.iter().filter_map(|fingerprint| {
+        let updates = changed.iter().filter_map(|fingerprint| {
             let record = ledger.get(fingerprint)?;
             Some(record.to_update(*fingerprint, now))
         });
-        let told: Vec<PoisonUpdate> = told.collect();
+        let updates: Vec<PoisonUpdate> = updates.collect();
         let mut actions = Vec::new();
-        for to in self.hosts.pick_up(usize::MAX) {
-            let news = told.chunks(PAGE).map(news_of);
-            actions.extend(news.map(|message| ControlAction::Send { to, message }));
+        for to in self.hosts.pick_reachable(usize::MAX) {
+            let messages = updates.chunks(RECORDS_PER_DATAGRAM).map(to_message);
+            actions.extend(messages.map(|message| ControlAction::Send { to, message }));
         }
         actions
     }
 
-    /// Keeps in the store what must outlive all hosts.
-    fn keep(
+    /// Stores the records that must survive the loss of all hosts.
+    fn store_records(
         &self,
         changed: &[Fingerprint],
         now: Instant,
     ) -> Option<ControlAction> {
-        let kept = changed.iter().filter_map(|fingerprint| {
+        let writes = changed.iter().filter_map(|fingerprint| {
             let record = self.poison.ledger.get(fingerprint)?;
-            let told = record.to_update(*fingerprint, now);
-            let matters = record.crash_count() >= KEPT_STRIKES || !told.cleared.is_empty();
-            matters.then(|| row_of(&told))
+            let update = record.to_update(*fingerprint, now);
+            let must_store =
+                record.crash_count() >= MIN_STORED_CRASHES || !update.cleared.is_empty();
+            must_store.then(|| store_write(&update))
         });
-        let writes: Vec<_> = kept.collect();
-        (!writes.is_empty()).then_some(ControlAction::KeepPoison { writes })
+        let writes: Vec<_> = writes.collect();
+        (!writes.is_empty()).then_some(ControlAction::WritePoison { writes })
     }
 
-    /// Looks at what is due: the first read of the store, and records that are old.
+    /// Evicts expired records and triggers the first read of the store when due.
     pub(super) fn tick_poison(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        if self.poison.next_drop.is_none_or(|at| now >= at) {
-            self.poison.next_drop = Some(now + DROP_PERIOD);
-            let dropped = self.poison.ledger.evict_expired(now);
-            actions.extend(self.note_standings(&dropped, "age"));
+        if self.poison.next_eviction.is_none_or(|at| now >= at) {
+            self.poison.next_eviction = Some(now + EVICTION_INTERVAL);
+            let evicted = self.poison.ledger.evict_expired(now);
+            actions.extend(self.publish_statuses(&evicted, "age"));
         }
-        if self.poison.is_known {
+        if self.poison.is_synchronized {
             return actions;
         }
         if self.settings.first_start {
-            // The store keeps nothing yet.
-            self.poison.is_known = true;
+            // The store is still empty.
+            self.poison.is_synchronized = true;
             return actions;
         }
-        // How many hosts there are becomes clear in the first moments.
-        if now < self.started + FIRST_READ {
+        // The jitter depends on the number of hosts, which discovery has to find first.
+        if now < self.started + FIRST_READ_DELAY {
             return actions;
         }
         let due = match self.poison.next_read {
             Some(due) => due,
-            None => self.started + FIRST_READ + self.read_delay(),
+            None => self.started + FIRST_READ_DELAY + self.read_jitter(),
         };
         self.poison.next_read = Some(due);
         if now >= due {
-            self.poison.next_read = Some(now + READ_PAUSE);
+            self.poison.next_read = Some(now + READ_RETRY_DELAY);
             actions.push(ControlAction::ReadPoison);
         }
         actions
     }
 
-    /// Drawn by chance, the longer the more hosts there are.
-    fn read_delay(&self) -> Duration {
+    /// Returns a random delay whose maximum grows with the number of known hosts.
+    fn read_jitter(&self) -> Duration {
         let hosts = u32::try_from(self.hosts.known_count()).unwrap_or(u32::MAX);
-        rand::rng().random_range(Duration::ZERO..READ_SPREAD * hosts.max(1))
+        rand::rng().random_range(Duration::ZERO..FIRST_READ_JITTER_PER_HOST * hosts.max(1))
     }
 
-    /// The store's rows were read, or could not be.
+    /// Merges the rows read from the store; `None` if the read failed.
     pub(super) fn on_poison_read(
         &mut self,
         rows: Option<RowBatch>,
@@ -237,56 +243,56 @@
         let Some(batch) = rows else {
             return Vec::new();
         };
-        self.poison.is_known = true;
-        let mut told = Vec::new();
-        let mut old = Vec::new();
+        self.poison.is_synchronized = true;
+        let mut updates = Vec::new();
+        let mut deletions = Vec::new();
         for row in &batch.rows {
-            match row.value.as_deref().map(poison_of) {
-                Some(Ok(poison)) => told.push(poison),
-                Some(Err(problem)) => {
+            match row.value.as_deref().map(parse_row) {
+                Some(Ok(update)) => updates.push(update),
+                Some(Err(error)) => {
                     note!(
                         Event::RowUnreadable,
                         table = POISON_TABLE,
                         row = quoted(&row.key),
-                        problem = quoted(&problem)
+                        problem = quoted(&error)
                     );
                 }
                 None => {}
             }
         }
-        let changed = self.join_poison(&told, now);
-        for poison in &told {
-            if self.poison.ledger.get(&poison.fingerprint).is_none() {
-                old.push(removal_of(&poison.fingerprint));
+        let changed = self.merge_poison(&updates, now);
+        for update in &updates {
+            if self.poison.ledger.get(&update.fingerprint).is_none() {
+                deletions.push(delete_write(&update.fingerprint));
             }
         }
-        let mut actions = self.note_standings(&changed, "store");
-        if !old.is_empty() {
-            actions.push(ControlAction::KeepPoison { writes: old });
+        let mut actions = self.publish_statuses(&changed, "store");
+        if !deletions.is_empty() {
+            actions.push(ControlAction::WritePoison { writes: deletions });
         }
         actions
     }
 
-    /// Writes down how requests stand now, and tells this host's requests.
-    fn note_standings(
+    /// Logs the current status of changed requests and publishes it to this host's traffic thread.
+    fn publish_statuses(
         &self,
         changed: &[Fingerprint],
         source: &str,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         for fingerprint in changed {
-            let standing = self.poison.ledger.status(fingerprint);
+            let status = self.poison.ledger.status(fingerprint);
             let record = self.poison.ledger.get(fingerprint);
             note!(
                 Event::PoisonStanding,
                 fingerprint = fingerprint,
-                standing = PoisonStatus::word(standing),
+                standing = PoisonStatus::word(status),
                 targets_ended = record.map_or(0, |record| record.crash_count()),
                 source = source,
             );
-            actions.push(ControlAction::Stands {
+            actions.push(ControlAction::SetPoisonStatus {
                 fingerprint: *fingerprint,
-                standing,
+                status,
             });
         }
         if !changed.is_empty() {
@@ -296,47 +302,47 @@
     }
 
     fn set_poison_gauges(&self) {
-        for standing in [PoisonStatus::Suspected, PoisonStatus::Rejected] {
+        for status in [PoisonStatus::Suspected, PoisonStatus::Rejected] {
             let labels = StateLabels {
-                state: PoisonStatus::word(Some(standing)),
+                state: PoisonStatus::word(Some(status)),
             };
-            let count = self.poison.ledger.count(standing);
+            let count = self.poison.ledger.count(status);
             let gauge = metrics().poison.get_or_create(&labels).clone();
             gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         }
     }
 }
 
-fn news_of(told: &[PoisonUpdate]) -> Message {
-    let entries = told.iter().map(|told| PoisonEntry {
-        fingerprint: told.fingerprint.as_bytes().to_vec(),
-        strikes: told.strikes.iter().map(strike_to_wire).collect(),
-        cleared: told.cleared.iter().map(|end| end.number()).collect(),
-        age_s: u32::try_from(told.age.as_secs()).unwrap_or(u32::MAX),
+fn to_message(updates: &[PoisonUpdate]) -> Message {
+    let entries = updates.iter().map(|update| PoisonEntry {
+        fingerprint: update.fingerprint.as_bytes().to_vec(),
+        strikes: update.strikes.iter().map(evidence_to_wire).collect(),
+        cleared: update.cleared.iter().map(|end| end.number()).collect(),
+        age_s: u32::try_from(update.age.as_secs()).unwrap_or(u32::MAX),
     });
     Message::PoisonNews(PoisonNews {
         entries: entries.collect(),
     })
 }
 
-fn strike_to_wire(strike: &CrashEvidence) -> PoisonStrike {
+fn evidence_to_wire(evidence: &CrashEvidence) -> PoisonStrike {
     PoisonStrike {
-        end: strike.end.number(),
-        alone: strike.alone,
-        begun: strike.begun,
+        end: evidence.end.number(),
+        alone: evidence.alone,
+        begun: evidence.begun,
     }
 }
 
-/// What an entry tells; `None` if it names no request.
-fn told_of(entry: &PoisonEntry) -> Option<PoisonUpdate> {
-    let strike = |strike: &PoisonStrike| CrashEvidence {
-        end: CrashId::from_number(strike.end),
-        alone: strike.alone,
-        begun: strike.begun,
+/// Converts an entry from its wire format; `None` if its fingerprint is invalid.
+fn update_from_wire(entry: &PoisonEntry) -> Option<PoisonUpdate> {
+    let evidence_from_wire = |evidence: &PoisonStrike| CrashEvidence {
+        end: CrashId::from_number(evidence.end),
+        alone: evidence.alone,
+        begun: evidence.begun,
     };
     Some(PoisonUpdate {
         fingerprint: Fingerprint::from_bytes(&entry.fingerprint)?,
-        strikes: entry.strikes.iter().map(strike).collect(),
+        strikes: entry.strikes.iter().map(evidence_from_wire).collect(),
         cleared: entry
             .cleared
             .iter()
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for customers' use: the parts of it that are counted here, and the answers to those who ask.
+//! Control-thread handling of customer quotas: the ledgers of the shards held by this host, and the replies to charges.
 
 use {
     super::{ControlAction, HostControl},
@@ -12,160 +12,163 @@
             shard_of_lease,
         },
         timeline::Event,
-        version::routing::UseLimit,
+        version::routing::QuotaLimit,
     },
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
 
-/// A part of customers' use that this host counts.
-pub(super) struct HeldLedger {
-    /// Another fence means that another host may have counted meanwhile.
+/// The ledger of a quota shard held by this host.
+pub(super) struct ShardLedger {
+    /// Fence of the assignment; if it changes, another host may have held the shard in between.
     fence: u64,
     ledger: QuotaLedger,
 }
 
 impl HostControl {
-    /// Slots in which use is counted: none where no customer has a limit.
-    pub(super) fn slot_count(&self) -> usize {
-        match self.routing.customers.any_limited() {
+    /// Returns the number of quota shards, or 0 if no customer has a limit.
+    pub(super) fn shard_count(&self) -> usize {
+        match self.routing.customers.has_limits() {
             true => QUOTA_SHARDS,
             false => 0,
         }
     }
 
-    /// The slots that this host holds now.
-    pub(super) fn held_slots(
+    /// Returns the shards that this host holds.
+    pub(super) fn held_shards(
         &self,
         now: Instant,
     ) -> Vec<usize> {
-        let held = self.holding.held(now);
+        let held = self.assignment.held(now);
         held.filter_map(|(name, _)| shard_of_lease(name)).collect()
     }
 
-    /// Begins to count where this host has become the holder. It begins with nothing: what the holder before let be
-    /// spent is not known.
+    /// Opens a ledger for each shard newly held by this host. Ledgers start empty, as the previous holder's charges are
+    /// unknown.
     pub(super) fn open_ledgers(
         &mut self,
         now: Instant,
     ) {
-        for slot in self.held_slots(now) {
-            let Some(held) = self.holding.held_engine(&shard_lease(slot), now) else {
+        for shard in self.held_shards(now) {
+            let Some(held) = self.assignment.held_engine(&shard_lease(shard), now) else {
                 continue;
             };
-            let known = self.ledgers.get(&slot);
-            if known.is_some_and(|known| known.fence == held.fence) {
+            let held_ledger = self.ledgers.get(&shard);
+            if held_ledger.is_some_and(|entry| entry.fence == held.fence) {
                 continue;
             }
-            note!(Event::QuotaCounted, slot = slot, fence = held.fence);
-            let ledger = HeldLedger {
+            note!(Event::QuotaCounted, slot = shard, fence = held.fence);
+            let ledger = ShardLedger {
                 fence: held.fence,
                 ledger: QuotaLedger::new(self.settings.bounds.quota_window, now),
             };
-            self.ledgers.insert(slot, ledger);
+            self.ledgers.insert(shard, ledger);
             self.changed = true;
         }
     }
 
-    /// The hosts that hold the slots.
-    pub(super) fn slot_holders(
+    /// Returns the holder of each shard.
+    pub(super) fn shard_holders(
         &self,
         holders: &HashMap<&str, SocketAddr>,
     ) -> Vec<Option<SocketAddr>> {
-        let holder = |slot| holders.get(shard_lease(slot).as_str()).copied();
-        (0..self.slot_count()).map(holder).collect()
+        let holder = |shard| holders.get(shard_lease(shard).as_str()).copied();
+        (0..self.shard_count()).map(holder).collect()
     }
 
-    /// A host asks whether a customer may use more.
+    /// Answers a host's request to charge a customer's quota.
     pub(super) fn on_charge_ask(
         &mut self,
         from: SocketAddr,
-        ask: &ChargeAsk,
+        request: &ChargeAsk,
         now: Instant,
     ) -> ControlAction {
-        let outcome = self.charge(ask, now);
-        let word = match &outcome {
+        let outcome = self.charge(request, now);
+        let outcome_label = match &outcome {
             None => "not_counted",
             Some(Ok(_)) => "granted",
             Some(Err(_)) => "over",
         };
-        let labels = StateLabels { state: word };
+        let labels = StateLabels {
+            state: outcome_label,
+        };
         metrics().quota_charges.get_or_create(&labels).inc();
         let mut answer = ChargeAnswer {
-            id: ask.id,
+            id: request.id,
             ..ChargeAnswer::default()
         };
         match outcome {
             None => answer.not_counted = true,
             Some(Ok(granted)) => answer.granted = granted.floor() as u32,
-            Some(Err(come_back)) => answer.come_back_ms = whole_millis(come_back),
+            Some(Err(retry_after)) => answer.come_back_ms = round_up_millis(retry_after),
         }
         self.send(from, Message::ChargeAnswer(answer))
     }
 
-    /// Some of what was granted is not used.
+    /// Refunds the unused part of a charge.
     pub(super) fn on_charge_refund(
         &mut self,
         refund: &ChargeRefund,
         now: Instant,
     ) {
-        let Some((terms, ledger)) = self.account(refund.slot, &refund.customer, now) else {
+        let Some((limits, ledger)) = self.customer_ledger(refund.slot, &refund.customer, now)
+        else {
             return;
         };
-        if let Some(terms) = terms {
+        if let Some(limits) = limits {
             let amount = f64::from(refund.amount);
-            ledger.refund(&refund.customer, &terms, refund.id, amount, now);
+            ledger.refund(&refund.customer, &limits, refund.id, amount, now);
         }
     }
 
-    /// What is granted, or the time after which it could be; `None` if the customer's use is not counted here.
+    /// Returns the granted amount or the delay until a retry; `None` if this host does not hold the customer's shard.
     fn charge(
         &mut self,
-        ask: &ChargeAsk,
+        request: &ChargeAsk,
         now: Instant,
     ) -> Option<Result<f64, Duration>> {
         let charge = Charge {
-            id: ask.id,
-            need: f64::from(ask.need),
-            prefetch: f64::from(ask.ahead),
+            id: request.id,
+            need: f64::from(request.need),
+            prefetch: f64::from(request.ahead),
         };
-        let (terms, ledger) = self.account(ask.slot, &ask.customer, now)?;
-        Some(match terms {
-            Some(terms) => ledger.charge(&ask.customer, &terms, charge, now),
-            // Its limit was lifted; whoever asks has not heard of it.
+        let (limits, ledger) = self.customer_ledger(request.slot, &request.customer, now)?;
+        Some(match limits {
+            Some(limits) => ledger.charge(&request.customer, &limits, charge, now),
+            // The limit was removed, and the requesting host does not know it yet.
             None => Ok(charge.need),
         })
     }
 
-    /// The ledger of a slot that this host holds, and the terms of a customer's bucket in it, if it has a limit.
-    fn account(
+    /// Returns the limits of a customer's bucket, if any, and the shard's ledger; `None` if the shard is not held here.
+    fn customer_ledger(
         &mut self,
-        slot: u32,
+        shard: u32,
         customer: &str,
         now: Instant,
     ) -> Option<(Option<BucketLimits>, &mut QuotaLedger)> {
-        let slot = slot as usize;
-        let held = self.holding.held_engine(&shard_lease(slot), now)?;
-        let limit = self.routing.customers.named(customer)?.limit;
-        let terms = limit.map(|limit| self.bucket_terms(&limit));
-        let known = self.ledgers.get_mut(&slot)?;
-        (known.fence == held.fence).then_some((terms, &mut known.ledger))
+        let shard = shard as usize;
+        let held = self.assignment.held_engine(&shard_lease(shard), now)?;
+        let limit = self.routing.customers.find_by_name(customer)?.limit;
+        let limits = limit.map(|limit| self.bucket_limits(&limit));
+        let held_ledger = self.ledgers.get_mut(&shard)?;
+        (held_ledger.fence == held.fence).then_some((limits, &mut held_ledger.ledger))
     }
 
-    fn bucket_terms(
+    fn bucket_limits(
         &self,
-        limit: &UseLimit,
+        limit: &QuotaLimit,
     ) -> BucketLimits {
         let bounds = &self.settings.bounds;
-        let terms = QuotaPolicy {
+        let policy = QuotaPolicy {
             window: bounds.quota_window,
             tolerance: bounds.quota_over,
             slack: bounds.quota_slack,
         };
-        terms.bucket(limit)
+        policy.bucket(limit)
     }
 }
 
-/// Rounded up: who comes back sooner finds too little.
-fn whole_millis(time: Duration) -> u32 {
+/// Converts to milliseconds, rounded up so that a retry does not come too early.
+fn round_up_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis() + 1).unwrap_or(u32::MAX)
 }
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -1,14 +1,14 @@
-//! Carries the control thread's actions out, and brings back how they ended.
+//! Executes the control thread's actions and feeds their results back as events.
 
 use {
     super::{
         ControlAction, ControlEvent, HostControl,
+        call_pool::CallPool,
         control_tables::quoted,
-        copy_reader::{CopyReader, STORE_LIMIT},
-        kept_calls::KeptCalls,
         poison_rows::POISON_TABLE,
+        table_reader::{STORE_CALL_LIMIT, TableReader},
         traffic::TrafficInput,
-        wake_watch::{WakeWatch, tell_wake},
+        wake_monitor::{WakeMonitor, record_wake},
     },
     crate::{
         clock::{Instant, sleep_until},
@@ -32,23 +32,21 @@
     tokio::task::spawn_local,
 };
 
-/// Longest time for an engine's answer to an order; engines answer within some milliseconds.
-const ORDER_LIMIT: Duration = Duration::from_millis(120);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Longest time for an engine's report.
-const REPORT_LIMIT: Duration = Duration::from_millis(400);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Rows that the store takes in one transaction.
-const MAX_WRITES: usize = 100;
+/// Maximum number of rows that the store accepts in one transaction.
+const MAX_ROWS_PER_TRANSACTION: usize = 100;
 
-/// Tries to keep rows, and the pause between them: an outage of the store lasts seconds to a minute.
-const KEEP_TRIES: u32 = 30;
-const KEEP_PAUSE: Duration = Duration::from_secs(2);
+/// Attempts to write poison rows, and the delay between them; together they cover a store outage of a minute.
+const STORE_MAX_ATTEMPTS: u32 = 30;
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// An order is not sent so shortly before the lease ends.
-const LEASE_MARGIN: Duration = Duration::from_millis(200);
+/// Minimum remaining lease time for sending an order.
+const MIN_REMAINING_LEASE: Duration = Duration::from_millis(200);
 
-/// Runs the control thread's decisions against the world.
+/// Event loop of the control thread: passes events to [`HostControl`] and executes the resulting actions.
 pub struct ControlRunner {
     control: Rc<RefCell<HostControl>>,
     formats: Arc<dyn Formats>,
@@ -59,8 +57,8 @@
     inbox: flume::Receiver<ControlEvent>,
     requests: flume::Receiver<ControlRequest>,
     traffic: flume::Sender<TrafficInput>,
-    calls: Rc<KeptCalls>,
-    copies: CopyReader,
+    calls: Rc<CallPool>,
+    copies: TableReader,
 }
 
 impl ControlRunner {
@@ -74,11 +72,11 @@
     ) -> Self {
         let (events, inbox) = flume::unbounded();
         let lease = control.borrow().lease();
-        let store = StoreClient::new(settings.store, formats.clone(), STORE_LIMIT);
+        let store = StoreClient::new(settings.store, formats.clone(), STORE_CALL_LIMIT);
         let store = Rc::new(store);
-        let calls = Rc::<KeptCalls>::default();
+        let calls = Rc::<CallPool>::default();
         Self {
-            copies: CopyReader {
+            copies: TableReader {
                 formats: formats.clone(),
                 store: store.clone(),
                 calls: calls.clone(),
@@ -97,17 +95,17 @@
         }
     }
 
-    /// Where events go that come from elsewhere.
+    /// Returns the sender for external events.
     pub fn events(&self) -> flume::Sender<ControlEvent> {
         self.events.clone()
     }
 
-    /// Runs until the process ends.
+    /// Runs until the event or request channel is closed.
     pub async fn run(self) {
-        let mut watch = WakeWatch::new(Instant::now());
+        let mut wake_watch = WakeMonitor::new(Instant::now());
         loop {
-            let looked = Instant::now();
-            let wake = self.control.borrow().next_wake(looked);
+            let waiting_since = Instant::now();
+            let wake = self.control.borrow().next_wake(waiting_since);
             let event = tokio::select! {
                 biased;
                 event = self.inbox.recv_async() => match event {
@@ -124,23 +122,23 @@
                     arrived_after: self.socket.drained_at(),
                 },
                 _ = sleep_until(wake) => {
-                    if wake > looked {
-                        // What had arrived by then would have come first.
-                        self.socket.note_drained(looked);
+                    if wake > waiting_since {
+                        // Datagrams that had arrived by then would have been received first.
+                        self.socket.note_drained(waiting_since);
                     }
                     ControlEvent::Tick
                 }
             };
-            let (kind, begun) = (event.kind(), Instant::now());
-            let actions = self.control.borrow_mut().on(event, begun);
+            let (kind, started_at) = (event.kind(), Instant::now());
+            let actions = self.control.borrow_mut().on(event, started_at);
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
-            tell_wake(&mut watch, kind, begun);
+            record_wake(&mut wake_watch, kind, started_at);
         }
     }
 
-    fn carry_out(
+    fn execute(
         &self,
         action: ControlAction,
     ) {
@@ -154,7 +152,7 @@
             ControlAction::PullHosts { from } => self.copies.pull_hosts(from),
             ControlAction::Renew { transaction } => self.renew(transaction),
             ControlAction::ReadHolders { term } => self.read_holders(term),
-            ControlAction::Take {
+            ControlAction::TakeEngines {
                 engines,
                 term,
                 transaction,
@@ -165,41 +163,51 @@
                 term,
                 order,
             } => self.order(target, address, term, order),
-            ControlAction::AskReport { target, address } => self.ask_report(target, address),
-            ControlAction::Publish(view) => self.tell_traffic(TrafficInput::View(view)),
-            ControlAction::Confirm(confirmation) => {
-                self.tell_traffic(TrafficInput::Confirmed(confirmation));
+            ControlAction::RequestReport { target, address } => {
+                self.request_report(target, address)
             }
-            ControlAction::Place(placement) => {
-                self.tell_traffic(TrafficInput::Placement(placement));
+            ControlAction::PublishView(view) => self.send_to_traffic(TrafficInput::View(view)),
+            ControlAction::PublishFreshness(confirmation) => {
+                self.send_to_traffic(TrafficInput::Freshness(confirmation));
             }
-            ControlAction::Load(load) => self.tell_traffic(TrafficInput::Load(load)),
-            ControlAction::Stand(standing) => {
-                self.tell_traffic(TrafficInput::Standing(standing));
+            ControlAction::DeliverPlacement(placement) => {
+                self.send_to_traffic(TrafficInput::Placement(placement));
             }
-            ControlAction::PlaceGiven(given) => self.tell_traffic(TrafficInput::PlaceGiven(given)),
-            ControlAction::Permit(answer) => self.tell_traffic(TrafficInput::Permit(answer)),
-            ControlAction::TargetNews { target, notices } => {
-                self.tell_traffic(TrafficInput::TargetNews { target, notices });
+            ControlAction::DeliverLoad(load) => self.send_to_traffic(TrafficInput::Load(load)),
+            ControlAction::DeliverEngineStatus(standing) => {
+                self.send_to_traffic(TrafficInput::EngineStatus(standing));
             }
-            ControlAction::Charged(answer) => self.tell_traffic(TrafficInput::Charged(answer)),
-            ControlAction::Borrow(loan) => self.tell_traffic(TrafficInput::Borrowed(loan)),
-            ControlAction::Stands {
+            ControlAction::DeliverSlotResponse(given) => {
+                self.send_to_traffic(TrafficInput::SlotAnswer(given))
+            }
+            ControlAction::DeliverPermitAnswer(answer) => {
+                self.send_to_traffic(TrafficInput::Permit(answer))
+            }
+            ControlAction::DeliverNotices { target, notices } => {
+                self.send_to_traffic(TrafficInput::TargetNotices { target, notices });
+            }
+            ControlAction::DeliverChargeAnswer(answer) => {
+                self.send_to_traffic(TrafficInput::QuotaAnswer(answer))
+            }
+            ControlAction::DeliverLoan(loan) => {
+                self.send_to_traffic(TrafficInput::BorrowedBudget(loan))
+            }
+            ControlAction::SetPoisonStatus {
                 fingerprint,
-                standing,
-            } => self.tell_traffic(TrafficInput::Stands {
+                status,
+            } => self.send_to_traffic(TrafficInput::PoisonStatus {
                 fingerprint,
-                standing,
+                status,
             }),
             ControlAction::ReadPoison => self.read_poison(),
-            ControlAction::KeepPoison { writes } => self.keep_poison(writes),
-            ControlAction::Lend { to, ask } => {
-                self.tell_traffic(TrafficInput::LoanAsked { to, ask });
+            ControlAction::WritePoison { writes } => self.store_poison(writes),
+            ControlAction::LendQuota { to, request } => {
+                self.send_to_traffic(TrafficInput::BorrowRequest { to, request });
             }
         }
     }
 
-    fn tell_traffic(
+    fn send_to_traffic(
         &self,
         input: TrafficInput,
     ) {
@@ -213,7 +221,7 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         spawn_local(async move {
             let sent = Instant::now();
-            let commit = committed(store.commit(&transaction).await);
+            let commit = commit_outcome(store.commit(&transaction).await);
             let _ = events.send(ControlEvent::Renewed { sent, commit });
         });
     }
@@ -233,11 +241,11 @@
         let (store, events) = (self.store.clone(), self.events.clone());
         spawn_local(async move {
             let rows = store.read_table(POISON_TABLE).await;
-            if let Err(problem) = &rows {
+            if let Err(error) = &rows {
                 note!(
                     Event::PoisonStoreFailed,
                     call = "read",
-                    problem = quoted(problem)
+                    problem = quoted(error)
                 );
             }
             let rows = rows.ok();
@@ -245,21 +253,21 @@
         });
     }
 
-    /// Writes rows, again and again until the store takes them or they are no longer worth it: hosts know without the store,
-    /// which only stands for a loss of all of them.
-    fn keep_poison(
+    /// Writes poison rows to the store, retrying on failure. Giving up is safe: hosts keep the records in memory, and the
+    /// store only covers the loss of all hosts.
+    fn store_poison(
         &self,
         writes: Vec<RowWrite>,
     ) {
         let store = self.store.clone();
         spawn_local(async move {
-            for group in writes.chunks(MAX_WRITES) {
+            for chunk in writes.chunks(MAX_ROWS_PER_TRANSACTION) {
                 let transaction = Transaction {
                     expected: Vec::new(),
-                    writes: group.to_vec(),
+                    writes: chunk.to_vec(),
                 };
-                if !keep_group(&store, &transaction).await {
-                    note!(Event::PoisonStoreFailed, call = "keep", rows = group.len());
+                if !commit_with_retries(&store, &transaction).await {
+                    note!(Event::PoisonStoreFailed, call = "keep", rows = chunk.len());
                 }
             }
         });
@@ -273,8 +281,8 @@
     ) {
         let (store, events) = (self.store.clone(), self.events.clone());
         spawn_local(async move {
-            let commit = committed(store.commit(&transaction).await);
-            let _ = events.send(ControlEvent::Taken {
+            let commit = commit_outcome(store.commit(&transaction).await);
+            let _ = events.send(ControlEvent::EnginesTaken {
                 engines,
                 term,
                 commit,
@@ -296,27 +304,27 @@
         );
         let lease = self.lease.clone();
         spawn_local(async move {
-            let expect = expect_line(&formats, &target);
+            let expect = expect_target_header(&formats, &target);
             let call = formats.order_call(&order);
-            // The last moment before the order leaves.
-            if !lease.holds_in(term, Instant::now() + LEASE_MARGIN) {
-                let _ = events.send(ControlEvent::OrderWithheld { target });
+            // The lease is checked as late as possible before sending.
+            if !lease.is_valid_in(term, Instant::now() + MIN_REMAINING_LEASE) {
+                let _ = events.send(ControlEvent::OrderCancelled { target });
                 return;
             }
-            let limit = CallLimit::whole(ORDER_LIMIT);
+            let limit = CallLimit::whole(ORDER_TIMEOUT);
             let reply = calls.call(address, &call, &expect, limit).await;
             let reply = reply.ok();
             let reply = reply.and_then(|reply| formats.order_reply(reply.status).ok());
             let labels = OrderLabels {
-                order: order.kind.word(),
-                reply: reply.map_or("none", OrderReply::word),
+                order: order.kind.label(),
+                reply: reply.map_or("none", OrderReply::label),
             };
             metrics().orders.get_or_create(&labels).inc();
             let _ = events.send(ControlEvent::OrderEnded { target, reply });
         });
     }
 
-    fn ask_report(
+    fn request_report(
         &self,
         target: String,
         address: SocketAddr,
@@ -327,42 +335,42 @@
             self.formats.clone(),
         );
         spawn_local(async move {
-            let expect = expect_line(&formats, &target);
+            let expect = expect_target_header(&formats, &target);
             let call = formats.report_call();
-            let limit = CallLimit::whole(REPORT_LIMIT);
+            let limit = CallLimit::whole(REPORT_TIMEOUT);
             let reply = calls.call(address, &call, &expect, limit).await;
             let report = reply.ok();
             let report = report.and_then(|reply| formats.report_reply(&reply).ok());
-            let _ = events.send(ControlEvent::Reported { target, report });
+            let _ = events.send(ControlEvent::ReportReceived { target, report });
         });
     }
 }
 
-/// Commits rows, however often the store fails; false if it failed too often.
-async fn keep_group(
+/// Commits a transaction with up to `STORE_MAX_ATTEMPTS` attempts; returns true on success.
+async fn commit_with_retries(
     store: &StoreClient,
     transaction: &Transaction,
 ) -> bool {
-    for _ in 0..KEEP_TRIES {
+    for _ in 0..STORE_MAX_ATTEMPTS {
         if let Ok(Commit::Done { .. }) = store.commit(transaction).await {
             return true;
         }
-        tokio::time::sleep(KEEP_PAUSE).await;
+        tokio::time::sleep(STORE_RETRY_DELAY).await;
     }
     false
 }
 
-/// How a transaction ended; `None` if that is not known.
-fn committed(outcome: Result<Commit, StoreFailure>) -> Option<Commit> {
+/// Returns the outcome of a transaction; `None` if it is unknown whether it was committed.
+fn commit_outcome(outcome: Result<Commit, StoreFailure>) -> Option<Commit> {
     match outcome {
         Ok(commit) => Some(commit),
-        Err(failure) if failure.left_nothing() => Some(Commit::TurnedAway),
+        Err(failure) if failure.left_nothing() => Some(Commit::Rejected),
         Err(_) => None,
     }
 }
 
-/// The header line that lets only one target answer.
-fn expect_line(
+/// Returns the header line that names the only target that may answer a call.
+fn expect_target_header(
     formats: &Arc<dyn Formats>,
     target: &str,
 ) -> String {
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -1,4 +1,4 @@
-//! The control thread's part for the copies of the store's tables.
+//! Keeps the replicas of the store's tables up to date: reads, pulls from other hosts, and changed rows.
 
 use {
     super::{ControlAction, HostControl, TableName},
@@ -8,7 +8,7 @@
             datagram::{Freshness, HostRumor, Message},
             targets::{TableFreshness, VersionHistory},
         },
-        formats::{Declared, Formats, Row, RowBatch, RowsReply},
+        formats::{DeclaredRow, Formats, Row, RowBatch, RowsReply},
         note,
         process::tables::{Comparison, TableChanges},
         timeline::Event,
@@ -18,54 +18,50 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A copy of so many bytes, before it is packed, goes from host to host, as its first holder can't serve all
-/// at once; packed to a tenth or less, smaller ones are handed out without waiting.
-const LARGE_COPY: usize = 64 * 1024;
+/// Uncompressed size in bytes from which a received replica is announced to further hosts, as its first
+/// holder can't serve all hosts at once.
+const LARGE_REPLICA_BYTES: usize = 64 * 1024;
 
-/// Hosts that are told by each host that has got a large copy: with 8 each, a site of 75 hosts knows of
-/// one within two or three steps, and each host gets some 8 messages.
-const TOLD_OF_LARGE_COPY: usize = 8;
+/// Number of hosts to which each host announces a large replica that it has received.
+const LARGE_REPLICA_FANOUT: usize = 8;
 
-/// Time that a message between hosts is taken to be on its way before its sender has answered a ping. An
-/// assumption: well above the 0.5 to 1.4 ms one way between halls, well below the seconds that ages are held
-/// against.
+/// Assumed transit time of a message from a host whose clock is not yet estimated.
 ///
-/// A copy's age is told as of when the message left. Without this time, hosts that confirm each other's copies
-/// would keep them young and nobody would read the store: a copy confirmed every 30 ms for 6 s had age 0.
-const MESSAGE_TIME: Duration = Duration::from_millis(50);
+/// A replica's age is stated as of when the message was sent. Without this allowance, hosts that confirm each
+/// other's replicas would keep them at age 0, and no host would read the store.
+const ASSUMED_TRANSIT_TIME: Duration = Duration::from_millis(50);
 
-/// Characters of a text from elsewhere that go into a line, at the most: what others write may be large.
-const MOST_QUOTED: usize = 160;
+/// Maximum number of characters of external text in a log line.
+const MAX_QUOTED_CHARS: usize = 160;
 
-/// Stands for the meaning of every entry that names no target: whoever writes one again and again, each time
-/// with other bytes, changes nothing.
-const UNUSABLE_PRINT: u64 = 0;
+/// Fingerprint of every entry that names no target, so that rewriting one with other bytes is no change.
+const UNUSABLE_FINGERPRINT: u64 = 0;
 
-/// Rows of a table that have changed, as this host learnt of them.
-pub(super) struct RowNews<'a> {
+/// Changed rows of a table and where they came from.
+pub(super) struct RowChanges<'a> {
     rows: &'a [Row],
-    /// Who told, for lines.
+    /// The store or the address of a host, for log lines.
     pub source: &'a str,
-    /// How well the copy without them was known to be right.
+    /// Freshness of the replica before these changes.
     pub before: TableFreshness,
 }
 
 impl HostControl {
-    /// Reads the tables whose copies have got too old.
-    pub(super) fn read_tables(
+    /// Starts reads of the tables whose replicas are too old.
+    pub(super) fn start_table_reads(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let place = self.hosts.place_by_link();
+        let link_rank = self.hosts.link_rank();
         let mut actions = Vec::new();
         for table in [TableName::Declared, TableName::Targets] {
-            let kept = self.kept(table);
-            let age = kept.copy.age(now);
-            if kept.schedule.start(age, place, now) {
-                actions.push(match kept.copy.is_known() {
+            let replicated = self.table_mut(table);
+            let staleness = replicated.replica.staleness(now);
+            if replicated.schedule.start_if_due(staleness, link_rank, now) {
+                actions.push(match replicated.replica.is_known() {
                     true => ControlAction::ReadChanges {
                         table,
-                        since: kept.copy.version(),
+                        since: replicated.replica.version(),
                     },
                     false => ControlAction::ReadTable { table },
                 });
@@ -77,7 +73,7 @@
     pub(super) fn on_changes_read(
         &mut self,
         table: TableName,
-        asked: Instant,
+        requested_at: Instant,
         reply: Option<RowsReply>,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -86,50 +82,55 @@
             if history_gone {
                 return vec![ControlAction::ReadTable { table }];
             }
-            self.note_read_end(table, false, now);
+            self.record_read_end(table, false, now);
             return Vec::new();
         };
-        let print = fingerprint(table, &self.formats);
-        let before = self.kept(table).confirmation();
-        self.note_read_end(table, true, now);
-        let rows = self.kept(table).copy.apply_changes(batch, asked, print);
-        let news = RowNews {
+        let fingerprint_of = fingerprint(table, &self.formats);
+        let before = self.table_mut(table).replica_freshness();
+        self.record_read_end(table, true, now);
+        let rows = self
+            .table_mut(table)
+            .replica
+            .apply_changes(batch, requested_at, fingerprint_of);
+        let row_changes = RowChanges {
             rows: &rows,
             source: "store",
             before,
         };
-        let mut actions = self.take_rows(table, &news, now);
-        actions.extend(self.tell_all(now));
+        let mut actions = self.apply_rows(table, &row_changes, now);
+        actions.extend(self.notify_all_hosts(now));
         actions
     }
 
     pub(super) fn on_table_read(
         &mut self,
         table: TableName,
-        asked: Instant,
+        requested_at: Instant,
         rows: Option<RowBatch>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let print = fingerprint(table, &self.formats);
-        let before = self.kept(table).confirmation();
-        self.note_read_end(table, rows.is_some(), now);
+        let fingerprint_of = fingerprint(table, &self.formats);
+        let before = self.table_mut(table).replica_freshness();
+        self.record_read_end(table, rows.is_some(), now);
         let Some(rows) = rows else {
             return Vec::new();
         };
-        let rows = self.kept(table).copy.apply_whole(rows, asked, print);
-        let news = RowNews {
+        let rows = self
+            .table_mut(table)
+            .replica
+            .apply_snapshot(rows, requested_at, fingerprint_of);
+        let row_changes = RowChanges {
             rows: &rows,
             source: "store",
             before,
         };
-        self.take_rows(table, &news, now)
+        self.apply_rows(table, &row_changes, now)
     }
 
-    /// Another host told how new its copies are, in a message that has arrived after `arrived_after`.
+    /// Handles the freshness of another host's replicas, from a message that arrived after `arrived_after`.
     ///
-    /// Taken as of when the message is read, what had lain here while the process stood still for 3 s made
-    /// copies seem 3 s younger than they were; taken as of when it arrived, what had waited for 0.6 s on full
-    /// links let hosts send to targets that had left more than the bound of 2 s before.
+    /// Ages count from when the message was sent: it may have waited on a full link, or here while the process
+    /// was suspended.
     pub(super) fn on_freshness(
         &mut self,
         sender: &HostRumor,
@@ -138,34 +139,38 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let from = sender.peer.into();
-        let told = Duration::from_micros(freshness.told_us);
-        let left = self.clocks.left_after(from, sender.process, told, now);
-        let assumed = arrived_after.checked_sub(MESSAGE_TIME);
-        let Some(told_at) = left.map(|left| left.min(arrived_after)).or(assumed) else {
+        let sender_uptime = Duration::from_micros(freshness.told_us);
+        let estimated = self
+            .clocks
+            .earliest_send_time(from, sender.process, sender_uptime, now);
+        let assumed = arrived_after.checked_sub(ASSUMED_TRANSIT_TIME);
+        let Some(sent_at) = estimated.map(|at| at.min(arrived_after)).or(assumed) else {
             return Vec::new();
         };
-        let told = [
+        let published = [
             (TableName::Declared, freshness.declared),
             (TableName::Targets, freshness.targets),
         ];
         let mut actions = Vec::new();
-        for (table, state) in told {
-            let age = state
+        for (table, state) in published {
+            let staleness = state
                 .age_ms
-                .map(|age| Duration::from_millis(u64::from(age)));
-            let Some(as_of) = age.and_then(|age| told_at.checked_sub(age)) else {
+                .map(|staleness| Duration::from_millis(u64::from(staleness)));
+            let Some(as_of) = staleness.and_then(|staleness| sent_at.checked_sub(staleness)) else {
                 continue;
             };
-            let kept = self.kept(table);
-            let comparison = kept.copy.compare(state.version, state.digest, as_of);
-            if comparison != Comparison::Newer || kept.pulling.is_some() {
+            let replicated = self.table_mut(table);
+            let comparison = replicated
+                .replica
+                .compare(state.version, state.digest, as_of);
+            if comparison != Comparison::Newer || replicated.pulling_from.is_some() {
                 continue;
             }
-            kept.pulling = Some(from);
+            replicated.pulling_from = Some(from);
             actions.push(ControlAction::PullChanges {
                 table,
                 from,
-                since: kept.copy.version(),
+                since: replicated.replica.version(),
             });
         }
         actions
@@ -178,84 +183,87 @@
         changes: Option<(TableChanges, Instant)>,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let print = fingerprint(table, &self.formats);
-        let kept = self.kept(table);
-        if kept.pulling == Some(from) {
-            kept.pulling = None;
+        let fingerprint_of = fingerprint(table, &self.formats);
+        let replicated = self.table_mut(table);
+        if replicated.pulling_from == Some(from) {
+            replicated.pulling_from = None;
         }
         let Some((changes, as_of)) = changes else {
             return Vec::new();
         };
-        let whole = changes.whole;
-        let large = changes.bytes() >= LARGE_COPY;
-        let before = kept.confirmation();
-        let (rows, same) = kept.copy.apply_from_host(changes, as_of, print);
+        let is_full = changes.is_full;
+        let is_large = changes.bytes() >= LARGE_REPLICA_BYTES;
+        let before = replicated.replica_freshness();
+        let (rows, is_equal) =
+            replicated
+                .replica
+                .apply_host_changes(changes, as_of, fingerprint_of);
         let mut actions = Vec::new();
-        if !same && !whole {
-            // A change that was taken back again was missed by one of the two.
-            kept.pulling = Some(from);
+        if !is_equal && !is_full {
+            // One side missed a change that was reverted later; pull the complete table.
+            replicated.pulling_from = Some(from);
             actions.push(ControlAction::PullChanges {
                 table,
                 from,
                 since: 0,
             });
         }
-        let news = RowNews {
+        let row_changes = RowChanges {
             rows: &rows,
             source: &from.to_string(),
             before,
         };
-        actions.extend(self.take_rows(table, &news, now));
-        if large && same {
-            // Whoever was turned away by a busy host gets it here.
-            let some = self.hosts.pick_up(TOLD_OF_LARGE_COPY);
-            actions.extend(self.tell(some, now));
+        actions.extend(self.apply_rows(table, &row_changes, now));
+        if is_large && is_equal {
+            // Hosts that a busy holder rejected can pull it from here.
+            let peers = self.hosts.pick_reachable(LARGE_REPLICA_FANOUT);
+            actions.extend(self.notify_hosts(peers, now));
         }
         actions
     }
 
-    /// What this host's copy of a table tells another host.
+    /// Returns the changes of a table since a version, and the age of this host's replica.
     pub fn changes_for_host(
         &self,
         table: TableName,
         since: u64,
         now: Instant,
     ) -> (TableChanges, Option<Duration>) {
-        let copy = match table {
-            TableName::Declared => &self.declared.copy,
-            TableName::Targets => &self.listed.copy,
+        let replica = match table {
+            TableName::Declared => &self.declared.replica,
+            TableName::Targets => &self.listed.replica,
         };
-        (copy.changes_since(since), copy.age(now))
+        (replica.changes_since(since), replica.staleness(now))
     }
 
-    /// A read of a table from the store ended.
-    fn note_read_end(
+    /// Records the end of a read from the store.
+    fn record_read_end(
         &mut self,
         table: TableName,
         succeeded: bool,
         now: Instant,
     ) {
-        let kept = self.kept(table);
-        let failures = kept.schedule.failures();
-        kept.schedule.on_end(succeeded, now);
-        let age_ms = kept
-            .copy
-            .age(now)
-            .map_or(-1.0, |age| age.as_secs_f64() * 1000.0);
+        let replicated = self.table_mut(table);
+        let failures = replicated.schedule.failures();
+        replicated.schedule.on_end(succeeded, now);
+        let age_ms = replicated
+            .replica
+            .staleness(now)
+            .map_or(-1.0, |staleness| staleness.as_secs_f64() * 1000.0);
         if !succeeded && failures == 0 {
             note!(
                 Event::TableUnreachable,
-                table = table.word(),
+                table = table.label(),
                 age_ms = age_ms
             );
         }
         if succeeded && failures > 0 {
-            note!(Event::TableBack, table = table.word(), failures = failures);
+            note!(Event::TableBack, table = table.label(), failures = failures);
         }
     }
 
-    /// Sends every host a message that needs no answer.
-    pub(super) fn tell_all(
+    /// Sends a one-way ping to every host that is up.
+    pub(super) fn notify_all_hosts(
         &mut self,
         now: Instant,
     ) -> Vec<ControlAction> {
@@ -265,11 +273,11 @@
             .filter(|host| host.state.is_up())
             .map(|host| host.identity.peer)
             .collect();
-        self.tell(peers, now)
+        self.notify_hosts(peers, now)
     }
 
-    /// Sends these hosts a message that needs no answer.
-    pub(super) fn tell(
+    /// Sends a one-way ping to these hosts.
+    pub(super) fn notify_hosts(
         &mut self,
         peers: Vec<SocketAddr>,
         now: Instant,
@@ -283,36 +291,40 @@
             .collect()
     }
 
-    fn take_rows(
+    fn apply_rows(
         &mut self,
         table: TableName,
-        news: &RowNews,
+        row_changes: &RowChanges,
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        for row in news.rows {
+        for row in row_changes.rows {
             match table {
-                TableName::Declared => self.take_declared(row, news, now),
-                TableName::Targets => actions.extend(self.take_target(row, news, now)),
+                TableName::Declared => self.apply_declared(row, row_changes, now),
+                TableName::Targets => actions.extend(self.apply_target_row(row, row_changes, now)),
             }
         }
         actions
     }
 
-    fn take_declared(
+    fn apply_declared(
         &mut self,
         row: &Row,
-        news: &RowNews,
+        row_changes: &RowChanges,
         now: Instant,
     ) {
         match self.formats.declared(row) {
-            Ok(Declared::Routing(routing)) => self.take_routing(routing, news.source, now),
-            Ok(Declared::AdapterVersion {
+            Ok(DeclaredRow::Routing(routing)) => {
+                self.apply_routing(routing, row_changes.source, now)
+            }
+            Ok(DeclaredRow::AdapterVersion {
                 model,
                 adapter,
                 version,
-            }) => self.take_version(format!("{model}/{adapter}"), version, news, now),
-            Ok(Declared::Other) => {}
+            }) => {
+                self.apply_adapter_version(format!("{model}/{adapter}"), version, row_changes, now)
+            }
+            Ok(DeclaredRow::Other) => {}
             Err(problem) => {
                 note!(
                     Event::ConfigUnreadable,
@@ -323,7 +335,7 @@
         }
     }
 
-    fn take_routing(
+    fn apply_routing(
         &mut self,
         routing: Arc<RoutingTable>,
         source: &str,
@@ -340,21 +352,21 @@
             routes = routing.routes().count(),
             customers = routing.customers.iter().count(),
             keys = routing.customers.key_count(),
-            shared_keys = routing.customers.shared_key_count(),
+            shared_keys = routing.customers.duplicate_key_count(),
         );
         self.routing = routing;
         self.engines = None;
         self.changed = true;
-        // Whoever learns that this host is ready may send at once: requests must know the routes by then.
+        // Others may send requests as soon as this host is ready, so the routes are published at once.
         self.next_publish = now;
         self.set_engine_specs(now);
     }
 
-    fn take_version(
+    fn apply_adapter_version(
         &mut self,
         adapter: String,
         version: u64,
-        news: &RowNews,
+        row_changes: &RowChanges,
         now: Instant,
     ) {
         let known = self.versions.get(&adapter);
@@ -362,8 +374,8 @@
         if version <= before {
             return;
         }
-        // How long ago the version before was known to be the newest, at the most.
-        let before_age = news
+        // Age of the last confirmation that the previous version was the newest.
+        let before_age = row_changes
             .before
             .confirmed_at
             .map(|at| now.saturating_duration_since(at));
@@ -372,28 +384,28 @@
             adapter = adapter,
             version = version,
             before = before,
-            before_age_ms = before_age.map_or(-1.0, |age| age.as_secs_f64() * 1000.0),
-            source = news.source
+            before_age_ms = before_age.map_or(-1.0, |staleness| staleness.as_secs_f64() * 1000.0),
+            source = row_changes.source
         );
-        for desk in self.desks.values_mut() {
-            desk.on_newest_version(&adapter, version);
+        for allocator in self.allocators.values_mut() {
+            allocator.on_newest_version(&adapter, version);
         }
         let versions = Arc::make_mut(&mut self.versions);
         let history = versions.entry(adapter).or_default();
-        history.on_published(version, news.before.confirmed_at);
+        history.on_published(version, row_changes.before.confirmed_at);
         self.changed = true;
     }
 }
 
-/// A text from elsewhere as one value of a line, which it must not make long.
+/// Formats external text as one quoted, truncated value of a log line.
 pub(super) fn quoted(text: &impl ToString) -> String {
     let text = text.to_string();
-    let start: String = text.chars().take(MOST_QUOTED).collect();
+    let start: String = text.chars().take(MAX_QUOTED_CHARS).collect();
     format!("{start:?}")
 }
 
-/// Equal for two values of a row that mean the same here; which adapters a target holds does not
-/// matter, since holders know better.
+/// Returns a function that maps equivalent values of a row to the same fingerprint. The adapters of a target
+/// are ignored, as the host that holds the engine knows them better.
 fn fingerprint(
     table: TableName,
     formats: &Arc<dyn Formats>,
@@ -411,7 +423,7 @@
                 }
                 xxh3_64(format!("{record:?}").as_bytes())
             }
-            Err(_) => UNUSABLE_PRINT,
+            Err(_) => UNUSABLE_FINGERPRINT,
         }
     }
 }
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -1,10 +1,10 @@
-//! The control thread's part for the entries that targets write of themselves.
+//! Handles the entries that targets write of themselves into the list of targets.
 
 use {
     super::{
         ControlAction, HostControl,
-        control_tables::{RowNews, quoted},
-        listed_target::{EntryNews, ListedTarget},
+        control_tables::{RowChanges, quoted},
+        listed_target::{EntryOrder, ListedTarget},
     },
     crate::{
         clock::Instant,
@@ -16,22 +16,22 @@
 };
 
 impl HostControl {
-    /// An entry in the list of targets has changed.
-    pub(super) fn take_target(
+    /// Handles a changed entry of the list of targets.
+    pub(super) fn apply_target_row(
         &mut self,
         row: &Row,
-        news: &RowNews,
+        row_changes: &RowChanges,
         now: Instant,
     ) -> Vec<ControlAction> {
         self.changed = true;
         if row.value.is_none() {
-            self.on_vanished(row, news, now);
+            self.on_vanished(row, row_changes, now);
             return Vec::new();
         }
         match self.formats.target_record(row) {
-            Ok(record) => self.on_record(record, news.source, now),
+            Ok(record) => self.apply_target_record(record, row_changes.source, now),
             Err(problem) => {
-                self.on_spoilt(&row.key, &problem.to_string());
+                self.on_invalid_entry(&row.key, &problem.to_string());
                 Vec::new()
             }
         }
@@ -40,23 +40,23 @@
     fn on_vanished(
         &mut self,
         row: &Row,
-        news: &RowNews,
+        row_changes: &RowChanges,
         now: Instant,
     ) {
-        let until = self.vanished_until(&news.before, now);
+        let until = self.usable_until(&row_changes.before, now);
         if let Some(target) = self.targets.get_mut(&*row.key) {
-            // One that was leaving has been taken out already.
-            target.vanished_until.get_or_insert(until);
+            // A leaving target is out of use already.
+            target.usable_until.get_or_insert(until);
             note!(
                 Event::TargetVanished,
                 target = row.key,
-                source = news.source
+                source = row_changes.source
             );
         }
     }
 
-    /// A target tells of itself.
-    fn on_record(
+    /// Handles a readable entry of a target.
+    fn apply_target_record(
         &mut self,
         record: TargetRecord,
         source: &str,
@@ -65,35 +65,35 @@
         let id = record.id.clone();
         let known = self.targets.get(&id);
         let known = known.or_else(|| self.ended_targets.get(&id));
-        let entry_news = known.map_or(EntryNews::Current, |known| known.compare(&record));
-        match entry_news {
-            EntryNews::Current => {}
-            EntryNews::Restarted { before } => {
+        let entry_order = known.map_or(EntryOrder::Current, |known| known.compare(&record));
+        match entry_order {
+            EntryOrder::Current => {}
+            EntryOrder::Restarted { before } => {
                 note!(
                     Event::TargetRestarted,
                     target = id,
                     before = before,
-                    started = started_word(record.started),
+                    started = incarnation_label(record.started),
                     source = source
                 );
             }
-            EntryNews::Late => {
+            EntryOrder::Stale => {
                 note!(
                     Event::TargetEntryLate,
                     target = id,
-                    started = started_word(record.started),
+                    started = incarnation_label(record.started),
                     source = source
                 );
                 return Vec::new();
             }
-            EntryNews::Foreign => {
-                self.on_spoilt(&id, "it does not tell the target's start");
+            EntryOrder::MissingIncarnation => {
+                self.on_invalid_entry(&id, "the entry lacks the target's incarnation");
                 return Vec::new();
             }
         }
         self.list(record, source);
         let started = self.targets[&id].record.started;
-        self.at_desk(&id, now, |desk| desk.on_incarnation(started, now))
+        self.with_allocator(&id, now, |allocator| allocator.on_incarnation(started, now))
     }
 
     fn list(
@@ -103,38 +103,38 @@
     ) {
         let event = match record.state {
             TargetState::Ready => Event::TargetListed,
-            TargetState::Leaving => Event::TargetLeaving,
+            TargetState::Draining => Event::TargetLeaving,
         };
         note!(
             event,
             target = record.id,
             service = record.service,
             address = record.address,
-            started = started_word(record.started),
+            started = incarnation_label(record.started),
             source = source
         );
-        if self.is_own_address(record.address) {
-            tell_unusable(&record.id, "a host is at its address");
+        if self.is_host_address(record.address) {
+            log_unusable(&record.id, "the address belongs to a host");
         }
         self.targets
             .insert(record.id.clone(), ListedTarget::new(record));
         self.engines = None;
     }
 
-    /// What stands under a target's key names no target to use; what was known of it stays, in case that the
-    /// target writes its entry again.
-    fn on_spoilt(
+    /// Marks a target unusable because its entry is not valid. Its last record is retained in case the target
+    /// writes its entry again.
+    fn on_invalid_entry(
         &mut self,
         key: &str,
         problem: &str,
     ) {
-        tell_unusable(key, problem);
+        log_unusable(key, problem);
         if let Some(target) = self.targets.get_mut(key) {
-            target.names_no_target = true;
+            target.is_entry_invalid = true;
         }
     }
 
-    /// True if a target takes new requests and orders.
+    /// Returns true if a target accepts new requests and orders.
     pub(super) fn is_usable(
         &self,
         target: &str,
@@ -143,13 +143,12 @@
             return false;
         };
         listed.is_usable()
-            && !self.notices.says_leaving(target, listed)
-            && !self.is_own_address(listed.record.address)
+            && !self.notices.has_announced_leaving(target, listed)
+            && !self.is_host_address(listed.record.address)
     }
 
-    /// Addresses at which hosts answer: a request that was sent there as to a target would come back as one of
-    /// a caller, again and again.
-    pub(super) fn own_addresses(&self) -> impl Iterator<Item = SocketAddr> {
+    /// Returns the addresses at which hosts listen. A target at one of these would cause a forwarding loop.
+    pub(super) fn host_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let hosts = self.hosts.hosts().map(|host| &host.identity);
         let identities = hosts.chain([self.hosts.me()]);
         let addresses = identities.flat_map(|host| [host.peer, host.front]);
@@ -157,15 +156,15 @@
         addresses.chain([listen.entry, listen.ready])
     }
 
-    fn is_own_address(
+    fn is_host_address(
         &self,
         address: SocketAddr,
     ) -> bool {
-        self.own_addresses().any(|own| own == address)
+        self.host_addresses().any(|own| own == address)
     }
 }
 
-fn tell_unusable(
+fn log_unusable(
     key: &str,
     problem: &str,
 ) {
@@ -176,7 +175,7 @@
     );
 }
 
-/// A start in lines.
-fn started_word(started: Option<TargetStart>) -> String {
+/// Formats a target's incarnation for log lines.
+fn incarnation_label(started: Option<TargetStart>) -> String {
     started.map_or("-".to_string(), |started| started.to_string())
 }
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -1,9 +1,9 @@
 use {
     super::{
-        ControlAction, ControlEvent, TableName, control_notices::KnownNotices,
-        control_places::GivenPlaces, control_poison::KnownPoison, control_quotas::HeldLedger,
-        drawn_takers::DrawnTakers, ended_targets::EndedTargets, listed_target::ListedTarget,
-        open_engines::OpenEngines,
+        ControlAction, ControlEvent, TableName, control_notices::NoticeState,
+        control_places::AllocatedSlots, control_poison::PoisonState, control_quotas::ShardLedger,
+        listed_target::ListedTarget, removed_targets::RemovedTargets,
+        taker_selection::TakerSelection, unclaimed_engines::UnclaimedEngines,
     },
     crate::{
         clock::Instant,
@@ -19,10 +19,10 @@
         process::{
             engines::{EngineAllocator, PublishedLoads, SharedAllocatorState, UnansweredOrders},
             holding::{EngineAssignment, HostRow, LeaseTimings},
-            hosts::{HostIdentity, HostState, HostTable, HostTimings, PeerClocks},
+            hosts::{FailureDetectionTimings, HostIdentity, HostState, HostTable, PeerClocks},
             ownership::SessionLease,
             settings::NodeSettings,
-            tables::{ReadSchedule, ReadTimings, TableCopy},
+            tables::{ReadSchedule, ReadTimings, TableReplica},
         },
         timeline::Event,
         version::routing::RoutingTable,
@@ -35,41 +35,38 @@
     },
 };
 
-/// Time between two looks at everything.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the periodic work other than that of the allocators.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks at the desks without news, at the least.
-const DESK_PAUSE: Duration = Duration::from_millis(4);
+/// Minimum time between two runs of the allocators that no event caused.
+const ALLOCATOR_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Time between reports of how busy engines are; those that have not changed are left out.
-const LOAD_PERIOD: Duration = Duration::from_millis(50);
+/// Interval at which the loads of engines are published; unchanged ones are left out.
+const LOAD_PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two views for requests, at the least.
-const PUBLISH_PAUSE: Duration = Duration::from_millis(20);
+/// Minimum time between two published views.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The same for each target besides: a view of 3,000 targets takes 3 ms to make and to take over, so that
-/// 50 a second would use up a small host's processor. At 800 targets it makes 60 ms, well below the
-/// bounds of seconds that views are held against.
-const PUBLISH_PAUSE_PER_TARGET: Duration = Duration::from_micros(50);
+/// Added to the minimum for each target, as the cost of a view grows with the number of targets.
+const PUBLISH_INTERVAL_PER_TARGET: Duration = Duration::from_micros(50);
 
-/// Requests are told of a younger copy once it is younger by this: a twentieth of the shortest bound
-/// (2 s) at the cost of ten wakes a second at the most.
-const CONFIRM_STEP: Duration = Duration::from_millis(100);
+/// Minimum advance of a replica's confirmation time that is published without a new view.
+const MIN_FRESHNESS_STEP: Duration = Duration::from_millis(100);
 
-/// A target whose entry has vanished from the list is used for so long, as a share of the bound.
-const VANISHED_SHARE: f64 = 0.55;
+/// Share of the drain bound for which a target is used after its entry has vanished.
+const VANISHED_USE_FRACTION: f64 = 0.55;
 
-/// A copy of a table, and when this host reads it.
-pub(super) struct KeptTable {
-    pub copy: TableCopy,
+/// A replica of a table and the schedule by which this host reads it.
+pub(super) struct ReplicatedTable {
+    pub replica: TableReplica,
     pub schedule: ReadSchedule,
-    /// Whom this host asks for changes at this moment.
-    pub pulling: Option<SocketAddr>,
+    /// The host from which changes are being pulled, if any.
+    pub pulling_from: Option<SocketAddr>,
 }
 
-impl KeptTable {
-    pub fn confirmation(&self) -> TableFreshness {
-        let confirmed_at = self.copy.right_at();
+impl ReplicatedTable {
+    pub fn replica_freshness(&self) -> TableFreshness {
+        let confirmed_at = self.replica.confirmed_at();
         let failed_at = self.schedule.failed_at();
         TableFreshness {
             confirmed_at,
@@ -78,64 +75,65 @@
     }
 }
 
-/// All control state of one host; events go in, actions come out.
+/// All control state of one host. It takes events, returns actions and does no I/O.
 pub struct HostControl {
     pub(super) settings: NodeSettings,
     pub(super) formats: Arc<dyn Formats>,
     pub(super) hosts: HostTable,
     pub(super) clocks: PeerClocks,
-    pub(super) declared: KeptTable,
-    pub(super) listed: KeptTable,
-    pub(super) holding: EngineAssignment,
-    pub(super) desks: BTreeMap<String, EngineAllocator>,
-    /// Orders of desks that were closed a moment ago, by engine: they may still reach it.
-    pub(super) late_orders: HashMap<String, UnansweredOrders>,
-    /// What the desks share.
+    pub(super) declared: ReplicatedTable,
+    pub(super) listed: ReplicatedTable,
+    pub(super) assignment: EngineAssignment,
+    pub(super) allocators: BTreeMap<String, EngineAllocator>,
+    /// Unanswered orders of removed allocators, by engine; they may still reach the engine.
+    pub(super) unanswered_orders: HashMap<String, UnansweredOrders>,
+    /// State that the allocators share.
     pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
-    /// Targets that are no longer used, since entries of theirs may come late.
-    pub(super) ended_targets: EndedTargets,
-    /// The engines among them; `None` once targets or the configuration have changed.
+    /// Targets that are no longer used, retained to recognize entries that arrive late.
+    pub(super) ended_targets: RemovedTargets,
+    /// The engines among the targets; `None` once targets or the configuration have changed.
     pub(super) engines: Option<Arc<BTreeMap<String, String>>>,
-    /// Those that no other host claims that answers.
-    pub(super) open_engines: OpenEngines,
-    pub(super) takers: DrawnTakers,
+    /// Engines that no responsive host holds.
+    pub(super) open_engines: UnclaimedEngines,
+    pub(super) takers: TakerSelection,
     pub(super) routing: Arc<RoutingTable>,
-    /// Of adapters that have more than one version, by `MODEL/ADAPTER`.
+    /// Versions of adapters that have more than one, by `MODEL/ADAPTER`.
     pub(super) versions: Arc<HashMap<String, VersionHistory>>,
-    /// Another view must be published.
+    /// A new view must be published.
     pub(super) changed: bool,
-    /// How well what requests see is known to be right, as they were last told.
-    told_confirmation: ReplicaFreshness,
-    /// No other view is published before; many hosts may become known at the same moment.
+    /// The replica freshness that was last published to requests.
+    published_freshness: ReplicaFreshness,
+    /// Earliest time of the next view; limits the views when many hosts become known at once.
     pub(super) next_publish: Instant,
-    /// What requests see.
+    /// The view that requests use.
     published: Arc<FleetView>,
-    /// Seeds that have nothing to hand over.
-    pub(super) empty_seeds: BTreeSet<SocketAddr>,
-    /// Engines held here, as all hosts were last told, and when they may be told again.
-    pub(super) told_holds: Vec<String>,
-    pub(super) next_holds: Instant,
-    next_loads: Instant,
-    pub(super) told_loads: PublishedLoads,
-    /// Desks are not looked at before, without news.
-    next_desks: Instant,
+    /// Seeds that know no ready host.
+    pub(super) seeds_without_ready_hosts: BTreeSet<SocketAddr>,
+    /// Engines held here, as last published to all hosts.
+    pub(super) published_holdings: Vec<String>,
+    /// Earliest time at which the held engines are published again.
+    pub(super) next_holdings_publish: Instant,
+    next_load_publish: Instant,
+    pub(super) published_loads: PublishedLoads,
+    /// Earliest time of the next run of the allocators that no event causes.
+    next_allocator_run: Instant,
     next_tick: Instant,
     pub(super) started: Instant,
-    /// Looks at the seeds that are over.
-    pub(super) joins: usize,
-    /// Hosts to ask for loans of the allowance of repeats, each once a round.
+    /// Completed rounds of queries to the seeds.
+    pub(super) completed_seed_queries: usize,
+    /// Hosts still to be asked in this round to lend retry quota.
     pub(super) lenders: Vec<SocketAddr>,
-    /// Hosts known over a long time, as requests were last told.
-    pub(super) told_known_hosts: usize,
-    /// Requests that end targets.
-    pub(super) poison: KnownPoison,
-    /// The parts of customers' use that are counted here, by slot.
-    pub(super) ledgers: BTreeMap<usize, HeldLedger>,
-    /// Places at targets of the plain services that are given out here.
-    pub(super) places: BTreeMap<String, GivenPlaces>,
-    /// What targets say of themselves.
-    pub(super) notices: KnownNotices,
+    /// Number of known hosts that was last published to requests.
+    pub(super) published_known_hosts: usize,
+    /// Requests that crash targets.
+    pub(super) poison: PoisonState,
+    /// Shards of the customers' quotas that are counted here, by hash slot.
+    pub(super) ledgers: BTreeMap<usize, ShardLedger>,
+    /// Concurrency slots at targets of plain services that are allocated here, by service.
+    pub(super) allocated_slots: BTreeMap<String, AllocatedSlots>,
+    /// Notices that targets publish of themselves.
+    pub(super) notices: NoticeState,
 }
 
 impl HostControl {
@@ -161,66 +159,66 @@
             front: identity.front,
             process,
         };
-        let mut hosts = HostTable::new(identity, HostTimings::default(), now);
+        let mut hosts = HostTable::new(identity, FailureDetectionTimings::default(), now);
         hosts.expect(settings.seed_peers());
         let lease = &settings.lease;
         let timings = LeaseTimings::new(lease.length, lease.renew, settings.bounds.lease_gap);
-        let table = |bound| KeptTable {
-            copy: TableCopy::default(),
+        let table = |bound| ReplicatedTable {
+            replica: TableReplica::default(),
             schedule: ReadSchedule::new(ReadTimings::within(bound), now),
-            pulling: None,
+            pulling_from: None,
         };
         Self {
             declared: table(settings.bounds.config.min(settings.bounds.version)),
             listed: table(settings.bounds.drain),
             hosts,
             clocks: PeerClocks::default(),
-            holding: EngineAssignment::new(row, timings, now),
+            assignment: EngineAssignment::new(row, timings, now),
             settings,
             formats,
-            desks: BTreeMap::new(),
-            late_orders: HashMap::new(),
+            allocators: BTreeMap::new(),
+            unanswered_orders: HashMap::new(),
             shared: SharedAllocatorState::new(policy),
             targets: BTreeMap::new(),
-            ended_targets: EndedTargets::default(),
+            ended_targets: RemovedTargets::default(),
             engines: None,
-            open_engines: OpenEngines::default(),
-            takers: DrawnTakers::default(),
+            open_engines: UnclaimedEngines::default(),
+            takers: TakerSelection::default(),
             routing: Arc::default(),
             versions: Arc::default(),
             changed: true,
-            told_confirmation: ReplicaFreshness::default(),
+            published_freshness: ReplicaFreshness::default(),
             next_publish: now,
             published: Arc::default(),
-            empty_seeds: BTreeSet::new(),
-            told_holds: Vec::new(),
-            next_holds: now,
-            next_loads: now,
-            told_loads: PublishedLoads::default(),
-            next_desks: now,
+            seeds_without_ready_hosts: BTreeSet::new(),
+            published_holdings: Vec::new(),
+            next_holdings_publish: now,
+            next_load_publish: now,
+            published_loads: PublishedLoads::default(),
+            next_allocator_run: now,
             next_tick: now,
             started: now,
-            joins: 0,
+            completed_seed_queries: 0,
             lenders: Vec::new(),
-            told_known_hosts: 0,
-            poison: KnownPoison::default(),
+            published_known_hosts: 0,
+            poison: PoisonState::default(),
             ledgers: BTreeMap::new(),
-            places: BTreeMap::new(),
-            notices: KnownNotices::default(),
+            allocated_slots: BTreeMap::new(),
+            notices: NoticeState::default(),
         }
     }
 
-    /// This host's lease, to be looked at right before each order.
+    /// Returns this host's lease, which is checked right before each order is sent.
     pub fn lease(&self) -> SessionLease {
-        self.holding.lease().clone()
+        self.assignment.lease().clone()
     }
 
-    /// True if this host takes requests.
+    /// Returns true if this host accepts requests.
     pub fn is_ready(&self) -> bool {
         self.routing.version > 0 && !self.hosts.is_leaving()
     }
 
-    /// Addresses for callers: the hosts that take requests.
+    /// Returns the front addresses of the hosts that accept requests, sorted.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = self
             .hosts
@@ -235,15 +233,15 @@
         addresses
     }
 
-    /// When something must be decided, if no event comes before; not before `now`.
+    /// Returns when the next tick is due, at the earliest `now`.
     pub fn next_wake(
         &self,
         now: Instant,
     ) -> Instant {
         let tick = self.next_tick;
-        // A desk that is due but may do nothing must not take the whole processor.
-        let due = self.next_desk_due().unwrap_or(tick);
-        let due = due.max(self.next_desks);
+        // An allocator that stays due without an order to give must not cause a busy loop.
+        let due = self.next_allocator_deadline().unwrap_or(tick);
+        let due = due.max(self.next_allocator_run);
         let publish = match self.changed {
             true => self.next_publish,
             false => tick,
@@ -251,7 +249,7 @@
         due.min(tick).min(publish).max(now)
     }
 
-    /// Takes one event in.
+    /// Handles one event and returns the actions that follow from it.
     pub fn on(
         &mut self,
         event: ControlEvent,
@@ -267,12 +265,14 @@
             ControlEvent::Request(request) => self.on_request(request, now),
             ControlEvent::ChangesRead {
                 table,
-                asked,
+                requested_at,
                 reply,
-            } => self.on_changes_read(table, asked, reply, now),
-            ControlEvent::TableRead { table, asked, rows } => {
-                self.on_table_read(table, asked, rows, now)
-            }
+            } => self.on_changes_read(table, requested_at, reply, now),
+            ControlEvent::TableRead {
+                table,
+                requested_at,
+                rows,
+            } => self.on_table_read(table, requested_at, rows, now),
             ControlEvent::ChangesPulled {
                 table,
                 from,
@@ -281,7 +281,7 @@
             ControlEvent::HostsPulled { from, hosts } => self.on_hosts_pulled(from, hosts, now),
             ControlEvent::Renewed { sent, commit } => self.on_renewed(sent, commit, now),
             ControlEvent::HoldersRead { term, rows } => self.on_holders_read(term, rows, now),
-            ControlEvent::Taken {
+            ControlEvent::EnginesTaken {
                 engines,
                 term,
                 commit,
@@ -290,14 +290,14 @@
                 Vec::new()
             }
             ControlEvent::OrderEnded { target, reply } => self.on_order_ended(&target, reply, now),
-            ControlEvent::OrderWithheld { target } => {
-                if let Some(desk) = self.desks.get_mut(&target) {
-                    desk.on_order_cancelled();
+            ControlEvent::OrderCancelled { target } => {
+                if let Some(allocator) = self.allocators.get_mut(&target) {
+                    allocator.on_order_cancelled();
                 }
                 Vec::new()
             }
-            ControlEvent::Reported { target, report } => {
-                self.at_desk(&target, now, |desk| desk.on_report(report, now))
+            ControlEvent::ReportReceived { target, report } => {
+                self.with_allocator(&target, now, |allocator| allocator.on_report(report, now))
             }
             ControlEvent::PoisonRead { rows } => self.on_poison_read(rows, now),
             ControlEvent::SettingsRead(_) => Vec::new(),
@@ -306,10 +306,10 @@
         if self.changed && now >= self.next_publish {
             self.changed = false;
             let targets = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
-            self.next_publish = now + PUBLISH_PAUSE + PUBLISH_PAUSE_PER_TARGET * targets;
-            self.told_confirmation = self.confirmation();
+            self.next_publish = now + PUBLISH_INTERVAL + PUBLISH_INTERVAL_PER_TARGET * targets;
+            self.published_freshness = self.replica_freshness();
             self.published = Arc::new(self.view(now));
-            actions.push(ControlAction::Publish(self.published.clone()));
+            actions.push(ControlAction::PublishView(self.published.clone()));
         }
         actions
     }
@@ -319,44 +319,44 @@
         now: Instant,
     ) -> Vec<ControlAction> {
         let mut actions = Vec::new();
-        self.next_desks = now + DESK_PAUSE;
+        self.next_allocator_run = now + ALLOCATOR_INTERVAL;
         if now < self.next_tick {
-            actions.extend(self.tick_desks(now));
+            actions.extend(self.tick_allocators(now));
             return actions;
         }
-        self.next_tick = now + TICK;
-        actions.extend(self.join(now));
+        self.next_tick = now + TICK_INTERVAL;
+        actions.extend(self.query_seeds(now));
         actions.extend(self.tick_hosts(now));
-        actions.extend(self.read_tables(now));
-        self.drop_vanished(now);
-        actions.extend(self.confirm());
+        actions.extend(self.start_table_reads(now));
+        self.remove_vanished(now);
+        actions.extend(self.take_freshness_update());
         actions.extend(self.tick_engines(now));
         actions.extend(self.tick_poison(now));
         actions.extend(self.tick_notices(now));
-        if now >= self.next_loads {
-            self.next_loads = now + LOAD_PERIOD;
-            actions.extend(self.tell_loads(now));
+        if now >= self.next_load_publish {
+            self.next_load_publish = now + LOAD_PUBLISH_INTERVAL;
+            actions.extend(self.publish_loads(now));
             self.set_gauges(now);
         }
         actions
     }
 
-    fn confirmation(&self) -> ReplicaFreshness {
+    fn replica_freshness(&self) -> ReplicaFreshness {
         ReplicaFreshness {
-            declared: self.declared.confirmation(),
-            targets: self.listed.confirmation(),
+            declared: self.declared.replica_freshness(),
+            targets: self.listed.replica_freshness(),
         }
     }
 
-    /// Tells requests how well what they see is known to be right; a view that is to be published tells
-    /// it, too, and a newer time must not come before its view.
-    fn confirm(&mut self) -> Option<ControlAction> {
-        let confirmation = self.confirmation();
-        if self.changed || !is_news(&self.told_confirmation, &confirmation) {
+    /// Returns the replica freshness to publish if it has advanced enough. While a view is pending it
+    /// returns `None`: the view holds the freshness, which must not be published before it.
+    fn take_freshness_update(&mut self) -> Option<ControlAction> {
+        let replica_freshness = self.replica_freshness();
+        if self.changed || !has_advanced(&self.published_freshness, &replica_freshness) {
             return None;
         }
-        self.told_confirmation = confirmation;
-        Some(ControlAction::Confirm(confirmation))
+        self.published_freshness = replica_freshness;
+        Some(ControlAction::PublishFreshness(replica_freshness))
     }
 
     fn on_stop(
@@ -365,43 +365,43 @@
     ) -> Vec<ControlAction> {
         self.hosts.leave();
         self.changed = true;
-        self.tell_all(now)
+        self.notify_all_hosts(now)
     }
 
-    /// This host, as it is told of to others.
-    pub(super) fn my_rumor(
+    /// Returns the rumor of this host that is sent to others.
+    pub(super) fn local_rumor(
         &self,
         now: Instant,
     ) -> HostRumor {
-        let holds = self.holding.held(now).map(|(target, _)| target.clone());
-        self.hosts.my_rumor(
+        let holds = self.assignment.held(now).map(|(target, _)| target.clone());
+        self.hosts.local_rumor(
             holds.collect(),
-            self.holding.lease_version(),
+            self.assignment.lease_version(),
             self.is_ready(),
         )
     }
 
-    /// How new this host's copies are.
+    /// Returns the versions and ages of this host's replicas.
     pub(super) fn freshness(
         &self,
         now: Instant,
     ) -> Freshness {
-        let state = |copy: &TableCopy| CopyState {
-            version: copy.version(),
-            digest: copy.digest(),
-            age_ms: copy
-                .age(now)
-                .map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX)),
+        let state = |replica: &TableReplica| CopyState {
+            version: replica.version(),
+            digest: replica.digest(),
+            age_ms: replica
+                .staleness(now)
+                .map(|staleness| u32::try_from(staleness.as_millis()).unwrap_or(u32::MAX)),
         };
         Freshness {
-            declared: state(&self.declared.copy),
-            targets: state(&self.listed.copy),
+            declared: state(&self.declared.replica),
+            targets: state(&self.listed.replica),
             told_us: self.uptime_us(now),
             poison: self.poison_digest(),
         }
     }
 
-    /// Time since the start of this process, as other hosts are told it.
+    /// Returns the time since the start of this process, in microseconds.
     fn uptime_us(
         &self,
         now: Instant,
@@ -410,43 +410,43 @@
         u64::try_from(uptime.as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// A ping from this host.
+    /// Builds a ping from this host.
     pub(super) fn ping_message(
         &mut self,
         one_way: bool,
         now: Instant,
     ) -> Ping {
         Ping {
-            sender: self.my_rumor(now),
+            sender: self.local_rumor(now),
             freshness: self.freshness(now),
             rumors: self.hosts.take_rumors(),
             one_way,
         }
     }
 
-    pub(super) fn kept(
+    pub(super) fn table_mut(
         &mut self,
         table: TableName,
-    ) -> &mut KeptTable {
+    ) -> &mut ReplicatedTable {
         match table {
             TableName::Declared => &mut self.declared,
             TableName::Targets => &mut self.listed,
         }
     }
 
-    /// A target's entry has vanished: how long it is still used; `before` is the copy that still had it.
+    /// Returns how long a target is still used after its entry has vanished. `before` is the freshness of
+    /// the replica that still had the entry.
     ///
-    /// It may have vanished right after that copy was right. Counted from the news alone, a target was used for
-    /// 2.3 s with a bound of 2 s. In an outage entries lapse since targets can't renew them, and are back
-    /// some time after the store's return: these count from the news. One read that failed is no outage: it
-    /// is one only when the copy, too, is older than the bound.
-    pub(super) fn vanished_until(
+    /// The entry may have vanished right after that replica was confirmed, so the drain bound counts from
+    /// there. During a store outage entries expire because targets can't renew them; after it, the time
+    /// counts from `now`. A failed read counts as an outage only if the replica is older than the bound.
+    pub(super) fn usable_until(
         &self,
         before: &TableFreshness,
         now: Instant,
     ) -> Instant {
         let bound = self.settings.bounds.drain;
-        let until = now + bound.mul_f64(VANISHED_SHARE);
+        let until = now + bound.mul_f64(VANISHED_USE_FRACTION);
         let latest = before
             .confirmed_at
             .map(|at| at + bound.saturating_sub(SEND_MARGIN));
@@ -457,14 +457,14 @@
         }
     }
 
-    fn drop_vanished(
+    fn remove_vanished(
         &mut self,
         now: Instant,
     ) {
         let gone: Vec<String> = self
             .targets
             .iter()
-            .filter(|(_, target)| target.vanished_until.is_some_and(|until| now >= until))
+            .filter(|(_, target)| target.usable_until.is_some_and(|until| now >= until))
             .map(|(id, _)| id.clone())
             .collect();
         for id in gone {
@@ -477,8 +477,7 @@
         }
     }
 
-    /// A target as requests are to see it. One that has not changed stays the same, so that they need not
-    /// look at it.
+    /// Returns a target as requests see it. An unchanged target keeps its `Arc`, so that requests can skip it.
     fn target_view(
         &self,
         id: &str,
@@ -486,12 +485,12 @@
         holder: Option<SocketAddr>,
     ) -> Arc<TargetView> {
         let seen = self.published.targets.get(id);
-        let unchanged = seen.filter(|seen| is_as_seen(seen, target, holder));
+        let unchanged = seen.filter(|seen| is_view_current(seen, target, holder));
         let changed = || {
             Arc::new(TargetView {
                 record: target.record.clone(),
                 holder,
-                usable_until: target.vanished_until,
+                usable_until: target.usable_until,
             })
         };
         unchanged.cloned().unwrap_or_else(changed)
@@ -502,12 +501,14 @@
         now: Instant,
     ) -> FleetView {
         let holders = self.holders(now);
-        let own: HashSet<SocketAddr> = self.own_addresses().collect();
+        let own: HashSet<SocketAddr> = self.host_addresses().collect();
         let targets = self
             .targets
             .iter()
             .filter(|(_, target)| !own.contains(&target.record.address))
-            .filter(|(id, target)| target.is_usable() && !self.notices.says_leaving(id, target))
+            .filter(|(id, target)| {
+                target.is_usable() && !self.notices.has_announced_leaving(id, target)
+            })
             .map(|(id, target)| {
                 let holder = holders.get(id.as_str()).copied();
                 (id.clone(), self.target_view(id, target, holder))
@@ -516,36 +517,36 @@
             routing: self.routing.clone(),
             targets: targets.collect(),
             versions: self.versions.clone(),
-            hash_slot_holders: self.slot_holders(&holders),
-            hosts: self.hosts.up_count(),
+            hash_slot_holders: self.shard_holders(&holders),
+            hosts: self.hosts.reachable_count(),
             known_hosts: self.hosts.known_count(),
-            freshness: self.told_confirmation,
+            freshness: self.published_freshness,
         }
     }
 }
 
-/// True if a view still says what is known of a target.
-fn is_as_seen(
+/// Returns true if a published view of a target is current.
+fn is_view_current(
     seen: &TargetView,
     target: &ListedTarget,
     holder: Option<SocketAddr>,
 ) -> bool {
     Arc::ptr_eq(&seen.record, &target.record)
         && seen.holder == holder
-        && seen.usable_until == target.vanished_until
+        && seen.usable_until == target.usable_until
 }
 
-fn is_news(
-    told: &ReplicaFreshness,
+fn has_advanced(
+    published: &ReplicaFreshness,
     current: &ReplicaFreshness,
 ) -> bool {
-    let differs = |told: &TableFreshness, current: &TableFreshness| {
-        let step = match (told.confirmed_at, current.confirmed_at) {
-            (Some(told), Some(current)) => current.saturating_duration_since(told),
-            (None, Some(_)) => CONFIRM_STEP,
+    let differs = |published: &TableFreshness, current: &TableFreshness| {
+        let step = match (published.confirmed_at, current.confirmed_at) {
+            (Some(published), Some(current)) => current.saturating_duration_since(published),
+            (None, Some(_)) => MIN_FRESHNESS_STEP,
             _ => Duration::ZERO,
         };
-        told.store_failed != current.store_failed || step >= CONFIRM_STEP
+        published.store_failed != current.store_failed || step >= MIN_FRESHNESS_STEP
     };
-    differs(&told.declared, &current.declared) || differs(&told.targets, &current.targets)
+    differs(&published.declared, &current.declared) || differs(&published.targets, &current.targets)
 }
--- a/src/process/host/listed_target.rs
+++ b/src/process/host/listed_target.rs
@@ -6,64 +6,66 @@
     std::sync::Arc,
 };
 
-/// A target as the list has it.
+/// A target of the list of targets.
 #[derive(Debug, Clone)]
 pub struct ListedTarget {
-    /// Its last entry that could be used.
+    /// The last valid entry.
     pub record: Arc<TargetRecord>,
-    /// Its entry has vanished without a word; it is used until then.
-    pub vanished_until: Option<Instant>,
-    /// What its key holds now names no target to use.
-    pub names_no_target: bool,
+    /// When use of the target ends, if its entry has vanished without notice.
+    pub usable_until: Option<Instant>,
+    /// Set if the current entry is not valid.
+    pub is_entry_invalid: bool,
 }
 
-/// What a target's entry means beside what is known of the target.
+/// How an entry relates to the known record of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EntryNews {
-    /// The target tells more of the same start, or is listed for the first time.
+pub enum EntryOrder {
+    /// The entry is of the same incarnation, or the target is new.
     Current,
-    /// It has started anew.
+    /// The entry is of a newer incarnation.
     Restarted { before: TargetStart },
-    /// The entry was written before what is known already.
-    Late,
-    /// The target has told of its starts before, and the entry does not.
-    Foreign,
+    /// The entry is older than the known record.
+    Stale,
+    /// The entry lacks an incarnation, although the known record has one.
+    MissingIncarnation,
 }
 
 impl ListedTarget {
     pub fn new(record: TargetRecord) -> Self {
         Self {
             record: Arc::new(record),
-            vanished_until: None,
-            names_no_target: false,
+            usable_until: None,
+            is_entry_invalid: false,
         }
     }
 
-    /// What an entry under this target's key means.
+    /// Compares an entry under this target's key with the known record.
     ///
-    /// Writes may reach the list late: an entry of an earlier start must not bring back what that start held
-    /// or that it left, and of one start that has said that it leaves no entry makes it ready again.
+    /// Writes may reach the list late: an entry of an earlier incarnation must not replace a newer record, and
+    /// an incarnation that is leaving does not become ready again.
     pub fn compare(
         &self,
         record: &TargetRecord,
-    ) -> EntryNews {
+    ) -> EntryOrder {
         match (self.record.started, record.started) {
-            (Some(_), None) => EntryNews::Foreign,
-            (Some(known), Some(told)) if told < known => EntryNews::Late,
-            (Some(known), Some(told)) if told > known => EntryNews::Restarted { before: known },
-            (Some(_), Some(_)) if self.has_left() && record.state == TargetState::Ready => {
-                EntryNews::Late
+            (Some(_), None) => EntryOrder::MissingIncarnation,
+            (Some(known), Some(reported)) if reported < known => EntryOrder::Stale,
+            (Some(known), Some(reported)) if reported > known => {
+                EntryOrder::Restarted { before: known }
             }
-            _ => EntryNews::Current,
+            (Some(_), Some(_)) if self.is_leaving() && record.state == TargetState::Ready => {
+                EntryOrder::Stale
+            }
+            _ => EntryOrder::Current,
         }
     }
 
-    /// True if the target takes new requests.
+    /// Returns true if the target accepts new requests.
     pub fn is_usable(&self) -> bool {
-        !self.names_no_target && !self.has_left()
+        !self.is_entry_invalid && !self.is_leaving()
     }
 
-    fn has_left(&self) -> bool {
-        self.record.state == TargetState::Leaving
+    fn is_leaving(&self) -> bool {
+        self.record.state == TargetState::Draining
     }
 }
--- a/src/process/host/mod.rs
+++ b/src/process/host/mod.rs
@@ -1,6 +1,6 @@
-//! One host that sends requests straight to their targets: its control thread, its traffic thread
-//! and its pages.
+//! The process of one host: its control thread, its traffic thread and its HTTP pages.
 
+mod call_pool;
 mod control_action;
 mod control_engines;
 mod control_event;
@@ -14,30 +14,29 @@
 mod control_runner;
 mod control_tables;
 mod control_targets;
-mod copy_reader;
-mod copy_server;
-mod copy_transfer;
-mod drawn_takers;
-mod ended_targets;
 mod host_control;
 mod host_process;
-mod kept_calls;
 mod listed_target;
-mod open_engines;
 mod peer_answer;
 mod peer_pages;
 mod poison_rows;
 mod public_pages;
-mod send_allowance;
+mod removed_targets;
+mod replica_server;
+mod send_rate_limiter;
+mod table_reader;
+mod table_transfer;
+mod taker_selection;
 mod traffic;
-mod wake_watch;
+mod unclaimed_engines;
+mod wake_monitor;
 
 pub use {
     control_action::ControlAction,
     control_event::{ControlEvent, TableName},
-    copy_transfer::{CopySource, CopyTransfer},
     host_control::HostControl,
     host_process::run_host_process,
-    send_allowance::SendAllowance,
-    wake_watch::{BusyPeriod, WakeCount, WakeWatch},
+    send_rate_limiter::SendRateLimiter,
+    table_transfer::{TableTransfer, TransferSource},
+    wake_monitor::{BusyWindow, WakeMonitor, WakeStats},
 };
--- a/src/process/host/poison_rows.rs
+++ b/src/process/host/poison_rows.rs
@@ -1,4 +1,4 @@
-//! Requests that end targets, as the store keeps them: what is known must outlive a loss of all hosts.
+//! Store rows of poison records, which must survive the loss of all hosts.
 
 use {
     crate::{
@@ -9,45 +9,47 @@
     std::time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// The table of these rows; a row's key is the request's fingerprint.
+/// Table of poison records, keyed by request fingerprint.
 pub(super) const POISON_TABLE: &str = "coveproxy-poison";
 
 /// The value of a row.
 #[derive(Debug, Serialize, Deserialize)]
 struct PoisonRow {
-    /// Its age is as of the time of writing.
-    told: PoisonUpdate,
-    /// Unix second of the last strike, by the writer's time of day: ages must outlive the writer, and are of hours.
-    struck_s: u64,
+    /// The record, with its age at the time of writing.
+    #[serde(rename = "told")]
+    update: PoisonUpdate,
+    /// Unix time of the last crash in seconds, by the writer's wall clock.
+    #[serde(rename = "struck_s")]
+    crashed_at_s: u64,
 }
 
-/// The write that keeps what is known of a request.
-pub(super) fn row_of(told: &PoisonUpdate) -> RowWrite {
+/// Returns the write that stores a record.
+pub(super) fn store_write(update: &PoisonUpdate) -> RowWrite {
     let row = PoisonRow {
-        told: told.clone(),
-        struck_s: unix_seconds().saturating_sub(told.age.as_secs()),
+        update: update.clone(),
+        crashed_at_s: unix_seconds().saturating_sub(update.age.as_secs()),
     };
     RowWrite {
-        row: RowKey::new(POISON_TABLE, &told.fingerprint.to_string()),
-        // Plain fields, all of which have a JSON form.
+        row: RowKey::new(POISON_TABLE, &update.fingerprint.to_string()),
+        // Serialization can't fail: all fields have a JSON form.
         value: serde_json::to_vec(&row).ok(),
     }
 }
 
-/// The write that removes what was known of a request.
-pub(super) fn removal_of(fingerprint: &Fingerprint) -> RowWrite {
+/// Returns the write that deletes a record.
+pub(super) fn delete_write(fingerprint: &Fingerprint) -> RowWrite {
     RowWrite {
         row: RowKey::new(POISON_TABLE, &fingerprint.to_string()),
         value: None,
     }
 }
 
-/// What a row tells, as old as it is by now.
-pub(super) fn poison_of(value: &[u8]) -> Result<PoisonUpdate, serde_json::Error> {
+/// Parses a row's value and computes the record's current age.
+pub(super) fn parse_row(value: &[u8]) -> Result<PoisonUpdate, serde_json::Error> {
     let row: PoisonRow = serde_json::from_slice(value)?;
     Ok(PoisonUpdate {
-        age: Duration::from_secs(unix_seconds().saturating_sub(row.struck_s)),
-        ..row.told
+        age: Duration::from_secs(unix_seconds().saturating_sub(row.crashed_at_s)),
+        ..row.update
     })
 }
 
--- a/src/process/host/copy_reader.rs
+++ b/src/process/host/table_reader.rs
@@ -1,9 +1,9 @@
 use {
     super::{
         ControlEvent, TableName,
-        copy_transfer::{CopySource, CopyTransfer},
-        kept_calls::KeptCalls,
-        peer_pages::{copy_call, hosts_call, parse_hosts},
+        call_pool::CallPool,
+        peer_pages::{changes_call, hosts_call, parse_hosts},
+        table_transfer::{TableTransfer, TransferSource},
     },
     crate::{
         clock::Instant,
@@ -19,34 +19,33 @@
     tokio::task::spawn_local,
 };
 
-/// Longest time for a whole table: 4 MB, the most that operators may declare, take 4.5 s on a link of
-/// 10 Mbit/s in the store's text form.
+/// Time limit for the transfer of a complete table.
 ///
-/// A shorter limit on the whole would cut each transfer that does not fit into it, and each try would
-/// begin anew: such a table never arrives, and its link is full of bytes that nobody uses.
-const TRANSFER_LIMIT: Duration = Duration::from_secs(10);
+/// It must suffice for the largest table that operators may declare, 4 MB, on a link of 10 Mbit/s: a
+/// transfer that is cut off starts over and would never complete.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls to the store, which answers within some milliseconds unless it is slow or out.
-pub const STORE_LIMIT: CallLimit = CallLimit {
-    whole: TRANSFER_LIMIT,
+/// Time limits for calls to the store.
+pub const STORE_CALL_LIMIT: CallLimit = CallLimit {
+    whole: TRANSFER_TIMEOUT,
     silence: Duration::from_millis(900),
 };
 
-/// Calls to other hosts, which answer within some milliseconds.
-const PULL_LIMIT: CallLimit = CallLimit {
-    whole: TRANSFER_LIMIT,
+/// Time limits for calls to other hosts.
+const PEER_CALL_LIMIT: CallLimit = CallLimit {
+    whole: TRANSFER_TIMEOUT,
     silence: Duration::from_millis(500),
 };
 
-/// Reads tables from the store and from other hosts; each read ends with an event.
-pub struct CopyReader {
+/// Reads tables from the store and from other hosts; each read sends an event when it ends.
+pub struct TableReader {
     pub formats: Arc<dyn Formats>,
     pub store: Rc<StoreClient>,
-    pub calls: Rc<KeptCalls>,
+    pub calls: Rc<CallPool>,
     pub events: flume::Sender<ControlEvent>,
 }
 
-impl CopyReader {
+impl TableReader {
     fn name_of(
         &self,
         table: TableName,
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Reads from the store what has changed in a table since a version.
+    /// Reads the changes of a table since a version from the store.
     pub fn read_changes(
         &self,
         table: TableName,
@@ -65,36 +64,36 @@
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = CopyTransfer::begin(table, CopySource::Store, since);
+            let transfer = TableTransfer::start(table, TransferSource::Store, since);
             let reply = store.read_changes(&name, since, Duration::ZERO).await;
-            tell_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
+            record_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
             let _ = events.send(ControlEvent::ChangesRead {
                 table,
-                asked: transfer.begun(),
+                requested_at: transfer.started(),
                 reply: reply.ok(),
             });
         });
     }
 
-    /// Reads a whole table from the store.
+    /// Reads a complete table from the store.
     pub fn read_table(
         &self,
         table: TableName,
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = CopyTransfer::begin(table, CopySource::Store, 0);
+            let transfer = TableTransfer::start(table, TransferSource::Store, 0);
             let rows = store.read_table(&name).await;
-            tell_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
+            record_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
             let _ = events.send(ControlEvent::TableRead {
                 table,
-                asked: transfer.begun(),
+                requested_at: transfer.started(),
                 rows: rows.ok(),
             });
         });
     }
 
-    /// Asks another host for what has changed in its copy since a version.
+    /// Requests the changes of a table since a version from another host.
     pub fn pull(
         &self,
         table: TableName,
@@ -103,10 +102,10 @@
     ) {
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
-            let call = copy_call(table, since);
-            let transfer = CopyTransfer::begin(table, CopySource::Host(from), since);
-            let reply = calls.call(from, &call, "", PULL_LIMIT).await;
-            let changes = understand_pull(&transfer, reply);
+            let call = changes_call(table, since);
+            let transfer = TableTransfer::start(table, TransferSource::Host(from), since);
+            let reply = calls.call(from, &call, "", PEER_CALL_LIMIT).await;
+            let changes = decode_pull(&transfer, reply);
             let _ = events.send(ControlEvent::ChangesPulled {
                 table,
                 from,
@@ -115,14 +114,14 @@
         });
     }
 
-    /// Asks another host for the hosts that it knows.
+    /// Requests the list of known hosts from another host.
     pub fn pull_hosts(
         &self,
         from: SocketAddr,
     ) {
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
-            let reply = calls.call(from, &hosts_call(), "", PULL_LIMIT).await;
+            let reply = calls.call(from, &hosts_call(), "", PEER_CALL_LIMIT).await;
             let hosts = reply
                 .ok()
                 .filter(|reply| reply.status == 200)
@@ -132,26 +131,28 @@
     }
 }
 
-/// Tells how a read of a table from the store ended.
-fn tell_store_read(
-    transfer: &CopyTransfer,
+/// Counts and logs the result of a read from the store.
+fn record_store_read(
+    transfer: &TableTransfer,
     bytes: Result<usize, &StoreFailure>,
 ) {
     match bytes {
-        Ok(bytes) => transfer.note_taken(bytes),
-        Err(failure) => transfer.note_failed(failure.received(), failure),
+        Ok(bytes) => transfer.record_completed(bytes),
+        Err(failure) => transfer.record_failure(failure.received(), failure),
     }
 }
 
-/// Understands another host's copy, with the time at which it was right, and tells how its transfer ended.
-fn understand_pull(
-    transfer: &CopyTransfer,
+/// Decodes the changes that another host sent, with the time as of which they were current.
+///
+/// Counts and logs the result of the transfer.
+fn decode_pull(
+    transfer: &TableTransfer,
     reply: Result<HttpReply, CallFailure>,
 ) -> Option<(TableChanges, Instant)> {
     let reply = match reply {
         Ok(reply) => reply,
         Err(failure) => {
-            transfer.note_failed(failure.received, &failure);
+            transfer.record_failure(failure.received, &failure);
             return None;
         }
     };
@@ -159,21 +160,21 @@
     match reply.status {
         200 => {}
         503 => {
-            transfer.note_deferred();
+            transfer.record_deferred();
             return None;
         }
         status => {
-            transfer.note_failed(bytes, &format!("status {status}"));
+            transfer.record_failure(bytes, &format!("status {status}"));
             return None;
         }
     }
     let (body, age) = match CopyPage::read(&reply.body) {
         Ok(page) => page,
         Err(problem) => {
-            transfer.note_failed(bytes, &problem);
+            transfer.record_failure(bytes, &problem);
             return None;
         }
     };
-    transfer.note_taken(bytes);
-    Some((body.into(), transfer.right_at(age)?))
+    transfer.record_completed(bytes);
+    Some((body.into(), transfer.current_as_of(age)?))
 }
