--- a/src/process/hosts/host_table.rs
+++ b/src/process/hosts/host_table.rs
@@ -8,56 +8,60 @@
     std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// Hosts asked to ping one that does not answer, before it is suspected.
-const HELPERS: usize = 2;
+/// Maximum number of hosts asked to ping an unresponsive host before it is suspected.
+const MAX_INDIRECT_PINGS: usize = 2;
 
-/// Rumors in one message, at the most.
-const RUMORS_PER_MESSAGE: usize = 4;
+const MAX_RUMORS_PER_MESSAGE: usize = 4;
 
-/// Tellings of a rumor, as a multiple of the logarithm of the number of hosts.
-const TELLINGS_FACTOR: u32 = 3;
+/// Transmissions of a rumor, as a multiple of the base-2 logarithm of the number of hosts.
+const RETRANSMIT_FACTOR: u32 = 3;
 
-/// Times between pings and until silence counts.
+/// Intervals and timeouts of failure detection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HostTimings {
-    /// Each host is pinged about once in this time, as long as `least_pause` allows.
-    pub round: Duration,
-    /// Shortest time between two pings.
-    pub least_pause: Duration,
-    /// Wait for the answer to a ping.
-    pub answer: Duration,
-    /// Wait for the helpers.
-    pub helpers: Duration,
-    /// Time that a suspect has to refute.
-    pub refute: Duration,
-    /// A host that was named and never heard is pinged again and again for so long.
-    pub first_answer: Duration,
-    /// A host that was dead for so long is forgotten.
-    pub forget: Duration,
+pub struct FailureDetectionTimings {
+    /// Interval in which each host is pinged about once, subject to `min_ping_interval`.
+    pub round_interval: Duration,
+    pub min_ping_interval: Duration,
+    /// Wait for a direct answer, before other hosts are asked to ping.
+    pub ping_timeout: Duration,
+    /// Further wait for the indirect pings, before the host is suspected.
+    pub indirect_ping_timeout: Duration,
+    /// Time after which a suspect that has not refuted is declared dead.
+    pub suspicion_timeout: Duration,
+    /// Time for which a host that was never heard is pinged again before it can be declared dead.
+    pub startup_timeout: Duration,
+    /// Time after which a dead host is removed.
+    pub dead_retention: Duration,
 }
 
-impl Default for HostTimings {
+impl Default for FailureDetectionTimings {
     fn default() -> Self {
         Self {
-            round: Duration::from_millis(900),
-            least_pause: Duration::from_millis(100),
-            answer: Duration::from_millis(150),
-            helpers: Duration::from_millis(200),
-            refute: Duration::from_millis(400),
-            first_answer: Duration::from_millis(1500),
-            forget: Duration::from_secs(60),
+            round_interval: Duration::from_millis(900),
+            min_ping_interval: Duration::from_millis(100),
+            ping_timeout: Duration::from_millis(150),
+            indirect_ping_timeout: Duration::from_millis(200),
+            suspicion_timeout: Duration::from_millis(400),
+            startup_timeout: Duration::from_millis(1500),
+            dead_retention: Duration::from_secs(60),
         }
     }
 }
 
-/// What the table wants sent.
+/// A message that the caller must send for the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HostAction {
-    Ping { peer: SocketAddr },
-    PingRequest { via: SocketAddr, peer: SocketAddr },
+    Ping {
+        peer: SocketAddr,
+    },
+    /// Ask `via` to ping `peer`.
+    PingRequest {
+        via: SocketAddr,
+        peer: SocketAddr,
+    },
 }
 
-/// A change of what is believed of a host.
+/// A change in the table's view of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HostEvent {
     StateChanged {
@@ -65,34 +69,34 @@
         name: String,
         state: HostState,
     },
-    /// Others believed this host gone.
+    /// This host refuted a rumor that it is suspect or dead.
     Refuted { incarnation: u32 },
 }
 
-/// A ping without an answer so far.
+/// A ping that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Unanswered {
+struct PendingPing {
     since: Instant,
-    helpers_asked: bool,
+    indirect_pings_sent: bool,
 }
 
-/// The hosts of the site as this one sees them, by pings and rumors in the manner of SWIM.
+/// Membership and state of the hosts of the site, maintained with SWIM-style pings and rumors.
 pub struct HostTable {
     me: HostIdentity,
     incarnation: u32,
     leaving: bool,
-    timings: HostTimings,
+    timings: FailureDetectionTimings,
     hosts: BTreeMap<SocketAddr, KnownHost>,
-    round: Vec<SocketAddr>,
+    ping_queue: Vec<SocketAddr>,
     next_ping: Option<Instant>,
-    unanswered: BTreeMap<SocketAddr, Unanswered>,
-    /// News to be told, by host, with how often it was told.
-    news: BTreeMap<SocketAddr, u32>,
+    pending_pings: BTreeMap<SocketAddr, PendingPing>,
+    /// Hosts whose rumors are to be sent, with the number of times each was sent.
+    pending_rumors: BTreeMap<SocketAddr, u32>,
     events: Vec<HostEvent>,
-    /// When a host last became known, or this one started.
-    last_new: Instant,
-    /// Grows when other engines may have a holder that answers.
-    holds_epoch: u64,
+    /// When a host was last added; initially the start of this host.
+    last_added: Instant,
+    /// Incremented when the set of reachable hosts or the engines they control may have changed.
+    holders_epoch: u64,
     rng: StdRng,
     size: SiteSize,
 }
@@ -100,7 +104,7 @@
 impl HostTable {
     pub fn new(
         me: HostIdentity,
-        timings: HostTimings,
+        timings: FailureDetectionTimings,
         now: Instant,
     ) -> Self {
         Self {
@@ -108,13 +112,13 @@
             leaving: false,
             timings,
             hosts: BTreeMap::new(),
-            round: Vec::new(),
+            ping_queue: Vec::new(),
             next_ping: None,
-            unanswered: BTreeMap::new(),
-            news: BTreeMap::new(),
+            pending_pings: BTreeMap::new(),
+            pending_rumors: BTreeMap::new(),
             events: Vec::new(),
-            last_new: now,
-            holds_epoch: 0,
+            last_added: now,
+            holders_epoch: 0,
             rng: StdRng::seed_from_u64(me.process),
             size: SiteSize::default(),
             me,
@@ -129,7 +133,7 @@
         self.leaving
     }
 
-    /// The other hosts.
+    /// Returns the other hosts.
     pub fn hosts(&self) -> impl Iterator<Item = &KnownHost> {
         self.hosts.values()
     }
@@ -141,17 +145,17 @@
         self.hosts.get(&peer)
     }
 
-    /// As long as this is the same, the same hosts answer and hold the same engines.
-    pub fn holds_epoch(&self) -> u64 {
-        self.holds_epoch
+    /// Returns a counter that stays the same while the same hosts are reachable and control the same engines.
+    pub fn holders_epoch(&self) -> u64 {
+        self.holders_epoch
     }
 
-    /// Hosts that answer, this one included.
-    pub fn up_count(&self) -> usize {
+    /// Returns the number of reachable hosts, including this one.
+    pub fn reachable_count(&self) -> usize {
         1 + self.hosts().filter(|host| host.state.is_up()).count()
     }
 
-    /// These hosts are thought to be there from the start.
+    /// Adds hosts to the long-term count before they are heard.
     pub fn expect(
         &mut self,
         peers: impl Iterator<Item = SocketAddr>,
@@ -160,24 +164,24 @@
         self.size.expect(peers.filter(|peer| *peer != me));
     }
 
-    /// The largest number of hosts that this one, or one that it hears, has counted over a long time; this
-    /// one included, and those that don't answer.
+    /// Returns the largest long-term host count of this host and the hosts that it hears, including this host
+    /// and unreachable ones.
     pub fn known_count(&self) -> usize {
-        let told = self.hosts().map(|host| host.counted).max();
-        let told = told.map_or(0, |count| count as usize);
-        self.size.counted().max(told)
+        let reported = self.hosts().map(|host| host.counted).max();
+        let reported = reported.map_or(0, |count| count as usize);
+        self.size.host_count().max(reported)
     }
 
-    /// True once no host has become known for so long.
+    /// Returns true if no host has been added for at least `time`.
     pub fn is_settled(
         &self,
         time: Duration,
         now: Instant,
     ) -> bool {
-        now.saturating_duration_since(self.last_new) >= time
+        now.saturating_duration_since(self.last_added) >= time
     }
 
-    /// Hosts that take new roles, this one included unless it leaves.
+    /// Returns the hosts that accept new roles, including this one unless it is leaving.
     pub fn eligible(&self) -> Vec<SocketAddr> {
         let mut peers: Vec<SocketAddr> = self
             .hosts()
@@ -191,9 +195,9 @@
         peers
     }
 
-    /// This host's place among those that take new roles, in an order that all agree on: fast links
-    /// first, since who comes first reads what is large for all others.
-    pub fn place_by_link(&self) -> usize {
+    /// Returns this host's rank among the hosts that accept new roles, by descending link bandwidth, then by
+    /// address. All hosts agree on the order; the first reads large tables on behalf of the others.
+    pub fn link_rank(&self) -> usize {
         let rank = |host: &HostIdentity| (Reverse(host.link_mbps), host.peer);
         let mine = rank(&self.me);
         self.hosts()
@@ -202,8 +206,8 @@
             .count()
     }
 
-    /// Some hosts that answer, drawn by chance.
-    pub fn pick_up(
+    /// Returns up to `count` reachable hosts, chosen at random.
+    pub fn pick_reachable(
         &mut self,
         count: usize,
     ) -> Vec<SocketAddr> {
@@ -214,8 +218,8 @@
         peers
     }
 
-    /// This host, as it is told of to others.
-    pub fn my_rumor(
+    /// Returns the rumor that this host sends about itself.
+    pub fn local_rumor(
         &self,
         holds: Vec<String>,
         lease_version: u64,
@@ -237,56 +241,56 @@
             lease_version,
             ready,
             link_mbps: self.me.link_mbps,
-            counted: u32::try_from(self.size.counted()).unwrap_or(u32::MAX),
+            counted: u32::try_from(self.size.host_count()).unwrap_or(u32::MAX),
         }
     }
 
-    /// Changes since the last call.
+    /// Returns the changes since the last call.
     pub fn take_events(&mut self) -> Vec<HostEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Rumors for one message.
+    /// Returns the rumors for one message, those sent least often first.
     pub fn take_rumors(&mut self) -> Vec<HostRumor> {
         let hosts = self.hosts.len() + 1;
-        let limit = TELLINGS_FACTOR * (usize::BITS - hosts.leading_zeros());
-        let mut least: Vec<(u32, SocketAddr)> = self
-            .news
+        let limit = RETRANSMIT_FACTOR * (usize::BITS - hosts.leading_zeros());
+        let mut least_sent: Vec<(u32, SocketAddr)> = self
+            .pending_rumors
             .iter()
-            .map(|(peer, told)| (*told, *peer))
+            .map(|(peer, sends)| (*sends, *peer))
             .collect();
-        least.sort_unstable();
-        least.truncate(RUMORS_PER_MESSAGE);
+        least_sent.sort_unstable();
+        least_sent.truncate(MAX_RUMORS_PER_MESSAGE);
         let mut rumors = Vec::new();
-        for (told, peer) in least {
+        for (sends, peer) in least_sent {
             if let Some(host) = self.hosts.get(&peer) {
                 rumors.push(host.to_rumor());
             }
-            match told + 1 >= limit {
-                true => self.news.remove(&peer),
-                false => self.news.insert(peer, told + 1),
+            match sends + 1 >= limit {
+                true => self.pending_rumors.remove(&peer),
+                false => self.pending_rumors.insert(peer, sends + 1),
             };
         }
         rumors
     }
 
-    /// This host begins its planned stop.
+    /// Marks this host as leaving, for a planned stop.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.incarnation += 1;
     }
 
-    /// Passes time: whom to ping now, and who has been silent for too long.
+    /// Updates the states of unresponsive hosts and returns the pings that are due.
     pub fn on_tick(
         &mut self,
         now: Instant,
     ) -> Vec<HostAction> {
-        let mut actions = self.follow_up(now);
-        self.bury(now);
-        self.size.count(self.hosts.keys(), now);
+        let mut actions = self.check_pending_pings(now);
+        self.expire_suspects(now);
+        self.size.update(self.hosts.keys(), now);
         if self.next_ping.is_none_or(|at| now >= at) {
-            let pause = self.timings.round / self.hosts.len().max(1) as u32;
-            self.next_ping = Some(now + pause.max(self.timings.least_pause));
+            let interval = self.timings.round_interval / self.hosts.len().max(1) as u32;
+            self.next_ping = Some(now + interval.max(self.timings.min_ping_interval));
             if let Some(peer) = self.next_in_round() {
                 actions.push(self.ping(peer, now));
             }
@@ -294,8 +298,8 @@
         actions
     }
 
-    /// A host was named by the store; it is pinged if it was not known.
-    pub fn on_named(
+    /// Adds a host that was learned of indirectly and returns a ping to it, unless it is known already.
+    pub fn on_discovered(
         &mut self,
         rumor: &HostRumor,
         now: Instant,
@@ -305,12 +309,12 @@
             return Vec::new();
         }
         self.hosts.insert(peer, KnownHost::from_rumor(rumor, now));
-        self.last_new = now;
-        self.holds_epoch += 1;
+        self.last_added = now;
+        self.holders_epoch += 1;
         vec![self.ping(peer, now)]
     }
 
-    /// A host told of itself.
+    /// Records a message received directly from a host.
     pub fn on_heard(
         &mut self,
         rumor: &HostRumor,
@@ -320,10 +324,10 @@
         if peer == self.me.peer {
             return;
         }
-        self.unanswered.remove(&peer);
+        self.pending_pings.remove(&peer);
         if !self.hosts.contains_key(&peer) {
-            self.last_new = now;
-            self.holds_epoch += 1;
+            self.last_added = now;
+            self.holders_epoch += 1;
         }
         let known = self
             .hosts
@@ -353,25 +357,25 @@
             known.lease_known_since = now;
         }
         let holds_changed = held != rumor.holds;
-        self.holds_epoch += u64::from(holds_changed);
+        self.holders_epoch += u64::from(holds_changed);
         let changed = restarted || known.ready != rumor.ready || holds_changed;
         known.ready = rumor.ready;
         let state = HostState::from_wire(rumor.state());
         if changed {
-            self.news.insert(peer, 0);
+            self.pending_rumors.insert(peer, 0);
         }
-        self.set(peer, state, now);
+        self.set_state(peer, state, now);
     }
 
-    /// A third host has heard from a host that did not answer this one.
-    pub fn on_vouched(
+    /// Records that a host answered an indirect ping.
+    pub fn on_indirect_answer(
         &mut self,
         peer: SocketAddr,
     ) {
-        self.unanswered.remove(&peer);
+        self.pending_pings.remove(&peer);
     }
 
-    /// News of a host from another one.
+    /// Applies a rumor that another host sent, and returns the pings that it calls for.
     pub fn on_rumor(
         &mut self,
         rumor: &HostRumor,
@@ -387,12 +391,12 @@
             if state == HostState::Dead {
                 return Vec::new();
             }
-            return self.on_named(rumor, now);
+            return self.on_discovered(rumor, now);
         };
         if known.identity.process != rumor.process {
-            // Either news of a process that has ended, or of one not heard of yet: ask it.
-            let asks = state.is_up() && known.state != HostState::Alive;
-            return match asks {
+            // The process has either ended or is not known yet; a ping finds out which.
+            let should_ping = state.is_up() && known.state != HostState::Alive;
+            return match should_ping {
                 true => vec![self.ping(peer, now)],
                 false => Vec::new(),
             };
@@ -404,7 +408,7 @@
         }
         known.incarnation = rumor.incarnation;
         if newer {
-            self.holds_epoch += u64::from(known.holds != rumor.holds);
+            self.holders_epoch += u64::from(known.holds != rumor.holds);
             known.holds.clone_from(&rumor.holds);
             known.ready = rumor.ready;
         }
@@ -412,7 +416,7 @@
             known.lease_version = rumor.lease_version;
             known.lease_known_since = now;
         }
-        self.set(peer, state, now);
+        self.set_state(peer, state, now);
         Vec::new()
     }
 
@@ -421,10 +425,10 @@
         rumor: &HostRumor,
         state: HostState,
     ) {
-        let wrong = state >= HostState::Suspect
+        let is_refutable = state >= HostState::Suspect
             && rumor.process == self.me.process
             && rumor.incarnation >= self.incarnation;
-        if wrong {
+        if is_refutable {
             self.incarnation = rumor.incarnation + 1;
             self.events.push(HostEvent::Refuted {
                 incarnation: self.incarnation,
@@ -437,41 +441,43 @@
         peer: SocketAddr,
         now: Instant,
     ) -> HostAction {
-        self.unanswered.entry(peer).or_insert(Unanswered {
+        self.pending_pings.entry(peer).or_insert(PendingPing {
             since: now,
-            helpers_asked: false,
+            indirect_pings_sent: false,
         });
         HostAction::Ping { peer }
     }
 
-    /// Asks helpers about hosts that did not answer, and suspects those that still do not.
-    fn follow_up(
+    /// Requests indirect pings of hosts that missed a ping, and suspects those that missed these too.
+    fn check_pending_pings(
         &mut self,
         now: Instant,
     ) -> Vec<HostAction> {
         let mut actions = Vec::new();
-        let waits: Vec<(SocketAddr, Unanswered)> = self
-            .unanswered
+        let pending: Vec<(SocketAddr, PendingPing)> = self
+            .pending_pings
             .iter()
-            .map(|(peer, wait)| (*peer, *wait))
+            .map(|(peer, ping)| (*peer, *ping))
             .collect();
-        for (peer, wait) in waits {
-            let silent = now.saturating_duration_since(wait.since);
-            if wait.helpers_asked && silent >= self.timings.answer + self.timings.helpers {
-                self.unanswered.remove(&peer);
-                match self.is_awaited(peer, now) {
+        for (peer, ping) in pending {
+            let silent = now.saturating_duration_since(ping.since);
+            if ping.indirect_pings_sent
+                && silent >= self.timings.ping_timeout + self.timings.indirect_ping_timeout
+            {
+                self.pending_pings.remove(&peer);
+                match self.is_starting(peer, now) {
                     true => actions.push(self.ping(peer, now)),
                     false => self.suspect(peer, now),
                 }
-            } else if !wait.helpers_asked && silent >= self.timings.answer {
-                let asked = Unanswered {
-                    helpers_asked: true,
-                    ..wait
+            } else if !ping.indirect_pings_sent && silent >= self.timings.ping_timeout {
+                let sent = PendingPing {
+                    indirect_pings_sent: true,
+                    ..ping
                 };
-                self.unanswered.insert(peer, asked);
+                self.pending_pings.insert(peer, sent);
                 let helpers = self.pick_helpers(peer);
-                let ask = |via| HostAction::PingRequest { via, peer };
-                actions.extend(helpers.into_iter().map(ask));
+                let request = |via| HostAction::PingRequest { via, peer };
+                actions.extend(helpers.into_iter().map(request));
                 // The first ping may have been lost.
                 actions.push(HostAction::Ping { peer });
             }
@@ -479,17 +485,17 @@
         actions
     }
 
-    /// True for a host that has not been heard since it was named, and may still be starting.
-    fn is_awaited(
+    /// Returns true for a host that was never heard and may still be starting.
+    fn is_starting(
         &self,
         peer: SocketAddr,
         now: Instant,
     ) -> bool {
-        let awaited = |host: &KnownHost| {
-            let named = now.saturating_duration_since(host.since);
-            host.heard.is_none() && named < self.timings.first_answer
+        let starting = |host: &KnownHost| {
+            let known_for = now.saturating_duration_since(host.since);
+            host.heard.is_none() && known_for < self.timings.startup_timeout
         };
-        self.hosts.get(&peer).is_some_and(awaited)
+        self.hosts.get(&peer).is_some_and(starting)
     }
 
     fn suspect(
@@ -499,40 +505,41 @@
     ) {
         let known = self.hosts.get(&peer);
         if known.is_some_and(|known| known.state.is_up()) {
-            self.set(peer, HostState::Suspect, now);
+            self.set_state(peer, HostState::Suspect, now);
         }
     }
 
-    fn bury(
+    /// Declares overdue suspects dead and removes hosts that have been dead long enough.
+    fn expire_suspects(
         &mut self,
         now: Instant,
     ) {
-        let silent = |host: &KnownHost| now.saturating_duration_since(host.since);
+        let time_in_state = |host: &KnownHost| now.saturating_duration_since(host.since);
         let overdue: Vec<SocketAddr> = self
             .hosts()
             .filter(|host| host.state == HostState::Suspect)
             .filter(|host| match host.heard {
-                Some(_) => silent(host) >= self.timings.refute,
-                None => silent(host) >= self.timings.first_answer,
+                Some(_) => time_in_state(host) >= self.timings.suspicion_timeout,
+                None => time_in_state(host) >= self.timings.startup_timeout,
             })
             .map(|host| host.identity.peer)
             .collect();
         for peer in overdue {
-            self.set(peer, HostState::Dead, now);
+            self.set_state(peer, HostState::Dead, now);
         }
-        let forget = self.timings.forget;
+        let retention = self.timings.dead_retention;
         self.hosts
-            .retain(|_, host| host.state != HostState::Dead || silent(host) < forget);
+            .retain(|_, host| host.state != HostState::Dead || time_in_state(host) < retention);
     }
 
-    /// Each host comes once a round, in an order that changes.
+    /// Returns the next host to ping; each host is pinged once per round, in random order.
     fn next_in_round(&mut self) -> Option<SocketAddr> {
         loop {
-            if self.round.is_empty() {
-                self.round = self.hosts.keys().copied().collect();
-                self.round.shuffle(&mut self.rng);
+            if self.ping_queue.is_empty() {
+                self.ping_queue = self.hosts.keys().copied().collect();
+                self.ping_queue.shuffle(&mut self.rng);
             }
-            let peer = self.round.pop()?;
+            let peer = self.ping_queue.pop()?;
             if self.hosts.contains_key(&peer) {
                 return Some(peer);
             }
@@ -543,13 +550,13 @@
         &mut self,
         peer: SocketAddr,
     ) -> Vec<SocketAddr> {
-        let mut helpers = self.pick_up(HELPERS + 1);
+        let mut helpers = self.pick_reachable(MAX_INDIRECT_PINGS + 1);
         helpers.retain(|helper| *helper != peer);
-        helpers.truncate(HELPERS);
+        helpers.truncate(MAX_INDIRECT_PINGS);
         helpers
     }
 
-    fn set(
+    fn set_state(
         &mut self,
         peer: SocketAddr,
         state: HostState,
@@ -563,12 +570,12 @@
         }
         known.state = state;
         known.since = now;
-        self.holds_epoch += 1;
+        self.holders_epoch += 1;
         if state == HostState::Leaving {
             self.size.on_leaving(peer, now);
         }
         if known.heard.is_some() {
-            self.news.insert(peer, 0);
+            self.pending_rumors.insert(peer, 0);
         }
         self.events.push(HostEvent::StateChanged {
             peer,
--- a/src/process/hosts/mod.rs
+++ b/src/process/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! The other hosts: who is there, who answers callers, and who gives orders to which engine.
+//! SWIM-style tracking of the other hosts: liveness, readiness, held engines, site size and clock bounds.
 
 mod host_table;
 mod known_host;
@@ -6,7 +6,7 @@
 mod site_size;
 
 pub use {
-    host_table::{HostAction, HostEvent, HostTable, HostTimings},
+    host_table::{FailureDetectionTimings, HostAction, HostEvent, HostTable},
     known_host::{HostIdentity, HostState, KnownHost},
     peer_clocks::{PeerClocks, PingExchange},
     site_size::SiteSize,
--- a/src/process/membership/membership.rs
+++ b/src/process/membership/membership.rs
@@ -9,55 +9,55 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Hosts asked to probe on this one's behalf before a host is suspected.
-const HELPERS: usize = 3;
+/// Maximum number of hosts asked to probe an unresponsive host before it is suspected.
+const MAX_INDIRECT_PROBES: usize = 3;
 
-/// What membership wants done.
+/// A step that the caller must carry out for `Membership`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Send a heartbeat and report the answer or its lack.
+    /// Send a heartbeat and report the answer or the failure.
     Probe { host: String },
     /// Ask `via` to probe `host`.
     ProbeVia { via: String, host: String },
 }
 
-/// A change of what is believed of a host.
+/// A change of a host's liveness.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MembershipNews {
+pub struct LivenessChange {
     pub host: String,
     pub liveness: Liveness,
 }
 
-/// What a host says of itself.
+/// State of a host, as sent by the host itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     pub host: String,
     pub incarnation: u64,
-    /// Names the process that runs on the host.
+    /// Id of the process that runs on the host.
     pub session: u64,
     pub leaving: bool,
     pub table_reachable: bool,
     pub config_revision: u64,
 }
 
-/// The hosts of the site as this one sees them, by probes and rumors in the manner of SWIM.
+/// Membership and liveness of the hosts of the site, maintained with SWIM-style probes and rumors.
 ///
-/// Each period one other host is probed, so that the cost does not grow with the site.
+/// One other host is probed in each period, so that the cost does not grow with the site.
 pub struct Membership {
     me: String,
     incarnation: u64,
     leaving: bool,
     settings: MembershipSettings,
     members: BTreeMap<String, Member>,
-    round: Vec<String>,
-    /// Hosts that were listed since the last tick, to be probed at once.
-    fresh: Vec<String>,
+    probe_queue: Vec<String>,
+    /// Hosts that were listed since the last tick, probed at the next one.
+    newly_listed: Vec<String>,
     next_probe: Option<Instant>,
-    /// Helpers whose answers about a host are still out.
-    asked: BTreeMap<String, usize>,
+    /// Number of outstanding indirect probes, by probed host.
+    pending_probes: BTreeMap<String, usize>,
     rumors: RumorQueue,
     rng: StdRng,
-    news: Vec<MembershipNews>,
+    changes: Vec<LivenessChange>,
 }
 
 impl Membership {
@@ -72,13 +72,13 @@
             leaving: false,
             settings,
             members: BTreeMap::new(),
-            round: Vec::new(),
-            fresh: Vec::new(),
+            probe_queue: Vec::new(),
+            newly_listed: Vec::new(),
             next_probe: None,
-            asked: BTreeMap::new(),
+            pending_probes: BTreeMap::new(),
             rumors: RumorQueue::default(),
             rng: StdRng::seed_from_u64(incarnation),
-            news: Vec::new(),
+            changes: Vec::new(),
         }
     }
 
@@ -90,17 +90,17 @@
         self.leaving
     }
 
-    /// The other hosts.
+    /// Returns the other hosts by name.
     pub fn members(&self) -> &BTreeMap<String, Member> {
         &self.members
     }
 
-    /// Hosts that take new roles, this one included unless it leaves.
+    /// Returns the hosts that accept new roles, including this one unless it is leaving.
     pub fn eligible(&self) -> Vec<&str> {
         let mut hosts: Vec<&str> = self
             .members
             .iter()
-            .filter(|(_, member)| takes_roles(member))
+            .filter(|(_, member)| is_eligible(member))
             .map(|(name, _)| name.as_str())
             .collect();
         if !self.leaving {
@@ -110,7 +110,7 @@
         hosts
     }
 
-    /// True when a host is believed dead or is not on the list.
+    /// Returns true if a host is dead or no longer listed.
     pub fn is_gone(
         &self,
         host: &str,
@@ -122,10 +122,10 @@
                 .is_none_or(|member| member.liveness == Liveness::Dead)
     }
 
-    /// True when a host on the list is believed dead by this one and most hosts answer it.
+    /// Returns true if a listed host is dead and this host reaches a majority of the listed hosts.
     ///
-    /// Of two parted sides at most one can say so; the other must see leases lapse.
-    pub fn is_surely_dead(
+    /// In a network partition this holds on at most one side; the other side must wait for leases to expire.
+    pub fn is_confirmed_dead(
         &self,
         host: &str,
     ) -> bool {
@@ -138,30 +138,30 @@
         majority && self.members.contains_key(host) && self.is_gone(host)
     }
 
-    /// True when some other host that answers can reach the table.
-    pub fn another_reaches_table(&self) -> bool {
+    /// Returns true if another reachable host can reach the shared table.
+    pub fn any_peer_reaches_table(&self) -> bool {
         self.members
             .values()
             .any(|member| member.liveness < Liveness::Suspect && member.table_reachable)
     }
 
-    /// True when other hosts are listed and none of them answers.
-    pub fn is_alone(&self) -> bool {
+    /// Returns true if other hosts are listed and none of them is reachable.
+    pub fn is_isolated(&self) -> bool {
         let mut members = self.members.values();
         !self.members.is_empty() && members.all(|member| member.liveness >= Liveness::Suspect)
     }
 
-    /// Changes of belief since the last call.
-    pub fn take_news(&mut self) -> Vec<MembershipNews> {
-        std::mem::take(&mut self.news)
+    /// Returns the liveness changes since the last call.
+    pub fn take_changes(&mut self) -> Vec<LivenessChange> {
+        std::mem::take(&mut self.changes)
     }
 
-    /// Rumors for one outgoing heartbeat.
+    /// Returns the rumors for one outgoing heartbeat.
     pub fn take_rumors(&mut self) -> Vec<Rumor> {
         self.rumors.take(self.members.len() + 1)
     }
 
-    /// The platform's list: hosts it no longer names are forgotten.
+    /// Applies the platform's host list: adds new hosts and removes those no longer listed.
     pub fn on_host_list(
         &mut self,
         hosts: Vec<ListedHost>,
@@ -180,13 +180,13 @@
         }
     }
 
-    /// Passes time: starts the next probe and buries suspects that did not refute.
+    /// Declares overdue suspects dead and returns the probes that are due.
     pub fn on_tick(
         &mut self,
         now: Instant,
     ) -> Vec<MembershipAction> {
-        self.bury(now);
-        let mut hosts = std::mem::take(&mut self.fresh);
+        self.expire_suspects(now);
+        let mut hosts = std::mem::take(&mut self.newly_listed);
         if self.next_probe.is_none_or(|at| now >= at) {
             self.next_probe = Some(now + self.settings.probe);
             hosts.extend(self.next_in_round());
@@ -195,7 +195,7 @@
         hosts.into_iter().map(probe).collect()
     }
 
-    /// A heartbeat arrived, as a probe or as the answer to one.
+    /// Records a heartbeat, received as a probe or as the answer to one.
     pub fn on_heartbeat(
         &mut self,
         heard: &Heartbeat,
@@ -211,65 +211,65 @@
         member.session = heard.session;
         member.table_reachable = heard.table_reachable;
         member.config_revision = heard.config_revision;
-        self.asked.remove(&heard.host);
+        self.pending_probes.remove(&heard.host);
         let liveness = match heard.leaving {
             true => Liveness::Leaving,
             false => Liveness::Alive,
         };
-        self.set(&heard.host, liveness, now);
+        self.set_liveness(&heard.host, liveness, now);
     }
 
-    /// Nothing was heard from `host` in time; others are asked before it is suspected.
+    /// Handles a failed probe: returns indirect probes to send, or suspects `host` if there is no helper.
     pub fn on_probe_failed(
         &mut self,
         host: &str,
         now: Instant,
     ) -> Vec<MembershipAction> {
-        let known = self
+        let is_reachable = self
             .members
             .get(host)
             .is_some_and(|member| member.liveness < Liveness::Suspect);
-        if !known || self.asked.contains_key(host) {
+        if !is_reachable || self.pending_probes.contains_key(host) {
             return Vec::new();
         }
         let helpers = self.pick_helpers(host);
         if helpers.is_empty() {
-            self.set(host, Liveness::Suspect, now);
+            self.set_liveness(host, Liveness::Suspect, now);
             return Vec::new();
         }
-        self.asked.insert(host.to_string(), helpers.len());
-        let ask = |via| MembershipAction::ProbeVia {
+        self.pending_probes.insert(host.to_string(), helpers.len());
+        let request = |via| MembershipAction::ProbeVia {
             via,
             host: host.to_string(),
         };
-        helpers.into_iter().map(ask).collect()
+        helpers.into_iter().map(request).collect()
     }
 
-    /// A helper could not reach `host` either; its success arrives as a heartbeat.
-    pub fn on_helper_failed(
+    /// Handles a failed indirect probe; `host` is suspected once all of them have failed.
+    pub fn on_indirect_probe_failed(
         &mut self,
         host: &str,
         now: Instant,
     ) {
-        let Some(left) = self.asked.get_mut(host) else {
+        let Some(remaining) = self.pending_probes.get_mut(host) else {
             return;
         };
-        *left -= 1;
-        if *left == 0 {
-            self.asked.remove(host);
-            self.set(host, Liveness::Suspect, now);
+        *remaining -= 1;
+        if *remaining == 0 {
+            self.pending_probes.remove(host);
+            self.set_liveness(host, Liveness::Suspect, now);
         }
     }
 
-    /// A helper reached `host`.
-    pub fn on_helper_reached(
+    /// Handles a successful indirect probe of `host`.
+    pub fn on_indirect_probe_succeeded(
         &mut self,
         host: &str,
     ) {
-        self.asked.remove(host);
+        self.pending_probes.remove(host);
     }
 
-    /// News from another host; true when this host itself had to be defended.
+    /// Applies a rumor from another host; returns true if this host refuted it.
     pub fn on_rumor(
         &mut self,
         rumor: &Rumor,
@@ -285,12 +285,12 @@
         let worse = rumor.incarnation == member.incarnation && rumor.liveness > member.liveness;
         if newer || worse {
             member.incarnation = rumor.incarnation;
-            self.set(&rumor.host, rumor.liveness, now);
+            self.set_liveness(&rumor.host, rumor.liveness, now);
         }
         false
     }
 
-    /// This host begins its planned stop.
+    /// Marks this host as leaving, for a planned stop.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.incarnation += 1;
@@ -305,8 +305,9 @@
         &mut self,
         rumor: &Rumor,
     ) -> bool {
-        let wrong = rumor.liveness >= Liveness::Suspect && rumor.incarnation >= self.incarnation;
-        if wrong {
+        let is_refutable =
+            rumor.liveness >= Liveness::Suspect && rumor.incarnation >= self.incarnation;
+        if is_refutable {
             self.incarnation = rumor.incarnation + 1;
             let liveness = match self.leaving {
                 true => Liveness::Leaving,
@@ -318,7 +319,7 @@
                 liveness,
             });
         }
-        wrong
+        is_refutable
     }
 
     fn add(
@@ -329,7 +330,7 @@
         let name = host.name.clone();
         let member = Member {
             listed: host,
-            // Not believed alive before it was heard of, so that nothing is routed to it yet.
+            // Not considered alive until it is heard, so that nothing is routed to it yet.
             liveness: Liveness::Suspect,
             incarnation: 0,
             session: 0,
@@ -338,34 +339,34 @@
             config_revision: 0,
         };
         self.members.insert(name.clone(), member);
-        self.fresh.push(name);
+        self.newly_listed.push(name);
     }
 
-    fn bury(
+    fn expire_suspects(
         &mut self,
         now: Instant,
     ) {
-        let grace = self.settings.suspect;
+        let timeout = self.settings.suspect;
         let overdue: Vec<String> = self
             .members
             .iter()
             .filter(|(_, member)| member.liveness == Liveness::Suspect)
-            .filter(|(_, member)| now.saturating_duration_since(member.since) >= grace)
+            .filter(|(_, member)| now.saturating_duration_since(member.since) >= timeout)
             .map(|(name, _)| name.clone())
             .collect();
         for host in overdue {
-            self.set(&host, Liveness::Dead, now);
+            self.set_liveness(&host, Liveness::Dead, now);
         }
     }
 
-    /// Each host comes once a round, in an order that changes.
+    /// Returns the next host to probe; each host is probed once per round, in random order.
     fn next_in_round(&mut self) -> Option<String> {
         loop {
-            if self.round.is_empty() {
-                self.round = self.members.keys().cloned().collect();
-                self.round.shuffle(&mut self.rng);
+            if self.probe_queue.is_empty() {
+                self.probe_queue = self.members.keys().cloned().collect();
+                self.probe_queue.shuffle(&mut self.rng);
             }
-            let host = self.round.pop()?;
+            let host = self.probe_queue.pop()?;
             if self.members.contains_key(&host) {
                 return Some(host);
             }
@@ -383,11 +384,11 @@
             .map(|(name, _)| name.clone())
             .collect();
         helpers.shuffle(&mut self.rng);
-        helpers.truncate(HELPERS);
+        helpers.truncate(MAX_INDIRECT_PROBES);
         helpers
     }
 
-    fn set(
+    fn set_liveness(
         &mut self,
         host: &str,
         liveness: Liveness,
@@ -406,16 +407,16 @@
             incarnation: member.incarnation,
             liveness,
         });
-        self.news.push(MembershipNews {
+        self.changes.push(LivenessChange {
             host: host.to_string(),
             liveness,
         });
     }
 }
 
-fn takes_roles(member: &Member) -> bool {
-    let answers = matches!(member.liveness, Liveness::Alive | Liveness::Suspect);
-    // A host never heard of holds no role yet, whatever the list says.
-    let heard = member.incarnation > 0;
-    answers && heard && member.listed.state == HostState::Live
+fn is_eligible(member: &Member) -> bool {
+    let is_active = matches!(member.liveness, Liveness::Alive | Liveness::Suspect);
+    // A host that was never heard gets no role, whatever the list says.
+    let was_heard = member.incarnation > 0;
+    is_active && was_heard && member.listed.state == HostState::Live
 }
--- a/src/process/membership/mod.rs
+++ b/src/process/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which hosts are there: probes, rumors, suspicion, and the platform's host list.
+//! SWIM-style membership of the site's hosts, from probes, rumors and the platform's host list.
 
 mod member;
 mod membership;
@@ -6,6 +6,6 @@
 
 pub use {
     member::{Liveness, Member},
-    membership::{Heartbeat, Membership, MembershipAction, MembershipNews},
+    membership::{Heartbeat, LivenessChange, Membership, MembershipAction},
     rumor_queue::{Rumor, RumorQueue},
 };
--- a/src/process/node/action_runner.rs
+++ b/src/process/node/action_runner.rs
@@ -133,21 +133,24 @@
     ) {
         let runner = self.clone();
         self.jobs.run(move || match action {
-            OwnershipAction::Take { target, seen } => {
+            OwnershipAction::Take {
+                target,
+                expected_version,
+            } => {
                 let row = OwnerRow {
                     host: runner.me.clone(),
                     session: runner.session,
                 };
-                runner.commit_owner(&target, seen, row);
+                runner.commit_owner(&target, expected_version, row);
             }
             OwnershipAction::HandOver {
                 target,
-                seen,
+                expected_version,
                 to,
                 session,
             } => {
                 let row = OwnerRow { host: to, session };
-                runner.commit_owner(&target, seen, row);
+                runner.commit_owner(&target, expected_version, row);
             }
             OwnershipAction::WatchSession { host } => runner.read_session(host),
         });
@@ -156,17 +159,17 @@
     fn commit_owner(
         &self,
         target: &str,
-        seen: u64,
+        expected_version: u64,
         row: OwnerRow,
     ) {
         let term = self.lease.term();
-        if !self.lease.holds(Instant::now()) {
+        if !self.lease.is_valid(Instant::now()) {
             return self.owner_failed(target);
         }
         let key = owner_key(target);
         let value = serde_json::to_string(&row).expect("owners serialize");
         let committed = self.table.transact(&Transaction {
-            conditions: vec![Condition::new(&key, seen)],
+            conditions: vec![Condition::new(&key, expected_version)],
             writes: vec![Write::put(&key, value)],
         });
         match committed {
@@ -367,7 +370,7 @@
             order: order.clone(),
         };
         // Looked at last: a process that was paused may have a successor by now.
-        if !spec.checks_fences && !self.lease.holds_in(term, Instant::now()) {
+        if !spec.checks_fences && !self.lease.is_valid_in(term, Instant::now()) {
             return Err(TargetError::NotReached("the lease has lapsed".into()));
         }
         self.client.order(spec.address, &request, limit).await
--- a/src/process/ownership/mod.rs
+++ b/src/process/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Who owns which target: session leases, ownership rows, and who should own what.
+//! Ownership of targets by hosts: session leases, ownership rows and the assignment of targets.
 
 mod assignment;
 mod owner_row;
@@ -9,7 +9,7 @@
 pub use {
     assignment::{assign, rank},
     owner_row::{OWNER_PREFIX, OwnerRow, SESSION_PREFIX, SessionRow, owner_key, session_key},
-    ownership::{HeldTarget, OwnerChange, Ownership, OwnershipAction},
+    ownership::{OwnedTarget, OwnerChange, Ownership, OwnershipAction},
     session_lease::SessionLease,
     session_watch::SessionWatch,
 };
--- a/src/process/tables/mod.rs
+++ b/src/process/tables/mod.rs
@@ -1,11 +1,11 @@
-//! Copies of the store's tables: how new they are, and whose turn it is to read.
+//! In-memory replicas of the store's tables, and the schedule of reads from the store.
 
 mod read_schedule;
 mod table_changes;
-mod table_copy;
+mod table_replica;
 
 pub use {
     read_schedule::{ReadSchedule, ReadTimings},
     table_changes::TableChanges,
-    table_copy::{Comparison, TableCopy},
+    table_replica::{Comparison, TableReplica},
 };
--- a/src/process/tables/read_schedule.rs
+++ b/src/process/tables/read_schedule.rs
@@ -1,65 +1,63 @@
 use {crate::clock::Instant, std::time::Duration};
 
-/// A host that starts leaves others this time to hand it their copies, before it reads itself.
-const FIRST_WAIT: Duration = Duration::from_millis(150);
+/// After its start, a host waits this long for a replica from another host before it reads the store.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(150);
 
-/// Hosts that start at once read for the first time one after the other, so far apart.
-const FIRST_STEP: Duration = Duration::from_millis(25);
+/// Added to the delay of the first read for each rank, to spread hosts that start together.
+const FIRST_READ_STAGGER: Duration = Duration::from_millis(25);
 
-/// Steps that a host waits at the most before its first read.
-const MOST_FIRST_STEPS: u32 = 12;
+/// Ranks above this one delay the first read no further.
+const MAX_STAGGERED_RANK: u32 = 12;
 
-/// While reads fail, the first reader's pause is as given; the pause of each further host is longer by
-/// this share of it. When the store is out for all, somebody looks for it every half bound, and tells
-/// the others when it is back. In an outage of 8 s 195 hosts make 268 calls for each table; with equal
-/// pauses they made 975 (a test plays it).
-const RETRY_STEP: f64 = 0.25;
+/// Share of the backoff that is added for each rank, to limit the calls of a large site while the
+/// store is unavailable.
+const BACKOFF_SHARE_PER_RANK: f64 = 0.25;
 
-/// How often tables are read, and how long others wait before they read themselves.
+/// Staleness limits and retry backoffs of the reads of one table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadTimings {
-    /// The first reader lets its copy get so old before it reads again.
-    pub period: Duration,
-    /// Each further host waits so much longer.
-    pub step: Duration,
-    /// No host waits longer than this.
-    pub most: Duration,
-    /// First pause after a failed read; it doubles with each further one.
-    pub retry: Duration,
-    /// The first reader pauses for no longer than this.
-    pub most_retry: Duration,
-    /// No host pauses longer than this.
-    pub longest_retry: Duration,
+    /// Staleness at which the host of rank 0 reads.
+    pub base_limit: Duration,
+    /// Added to that staleness for each further rank.
+    pub limit_per_rank: Duration,
+    /// Staleness at which every host reads.
+    pub max_limit: Duration,
+    /// Backoff after the first failed read; doubles with each further failure.
+    pub initial_backoff: Duration,
+    /// Upper limit of the backoff at rank 0.
+    pub max_leader_backoff: Duration,
+    /// Upper limit of the backoff at any rank.
+    pub max_backoff: Duration,
 }
 
 impl ReadTimings {
-    /// Timings that keep every copy younger than `bound`, with room for one read that fails.
+    /// Returns timings that keep staleness below `bound` even if one read fails.
     pub fn within(bound: Duration) -> Self {
         Self {
-            period: bound.mul_f64(0.30),
-            step: bound.mul_f64(0.12),
-            most: bound.mul_f64(0.60),
-            retry: bound.mul_f64(0.10),
-            most_retry: bound.mul_f64(0.50),
-            longest_retry: bound * 2,
+            base_limit: bound.mul_f64(0.30),
+            limit_per_rank: bound.mul_f64(0.12),
+            max_limit: bound.mul_f64(0.60),
+            initial_backoff: bound.mul_f64(0.10),
+            max_leader_backoff: bound.mul_f64(0.50),
+            max_backoff: bound * 2,
         }
     }
 }
 
 /// Decides when this host reads a table from the store.
 ///
-/// The hosts that answer are in an order that all agree on. The first reads each period and tells
-/// the others; a further one reads when what it was told has got too old for its place in the order.
+/// All hosts agree on a ranking of the live hosts. The host of rank 0 reads at a fixed interval and
+/// forwards the changes; each other host reads only when its replica is staler than its rank allows.
 #[derive(Debug)]
 pub struct ReadSchedule {
     timings: ReadTimings,
     started: Instant,
     reading: bool,
     failures: u32,
-    /// When the last read failed, if none has succeeded since.
+    /// When the last read failed; `None` if it succeeded.
     failed_at: Option<Instant>,
-    /// The first read, if no other host can hand a copy over.
-    no_copy_read: Option<Instant>,
+    /// Earliest time of the first read once it is known that no other host has a replica.
+    expedited_read: Option<Instant>,
 }
 
 impl ReadSchedule {
@@ -73,39 +71,39 @@
             reading: false,
             failures: 0,
             failed_at: None,
-            no_copy_read: None,
+            expedited_read: None,
         }
     }
 
-    /// No other host has a copy to hand over: the first read is at `at`, if not before.
-    pub fn on_no_copy(
+    /// Moves the first read forward to `at`, as no other host has a replica. Later calls have no effect.
+    pub fn on_no_replica(
         &mut self,
         at: Instant,
     ) {
-        self.no_copy_read.get_or_insert(at);
+        self.expedited_read.get_or_insert(at);
     }
 
-    /// True if this host should read now; it must say later how that ended.
-    pub fn start(
+    /// Returns true if a read is due and marks it as running until `on_end` is called.
+    pub fn start_if_due(
         &mut self,
-        age: Option<Duration>,
-        place: usize,
+        staleness: Option<Duration>,
+        rank: usize,
         now: Instant,
     ) -> bool {
-        let place = u32::try_from(place).unwrap_or(u32::MAX);
-        let pauses = |at: Instant| now.saturating_duration_since(at) < self.pause(place);
-        if self.reading || self.failed_at.is_some_and(pauses) {
+        let rank = u32::try_from(rank).unwrap_or(u32::MAX);
+        let backs_off = |at: Instant| now.saturating_duration_since(at) < self.backoff(rank);
+        if self.reading || self.failed_at.is_some_and(backs_off) {
             return false;
         }
-        let due = match age {
-            Some(age) => age >= self.limit(place),
-            None => now >= self.first_read(place),
+        let due = match staleness {
+            Some(staleness) => staleness >= self.staleness_limit(rank),
+            None => now >= self.first_read(rank),
         };
         self.reading = due;
         due
     }
 
-    /// The read ended.
+    /// Records the outcome of the running read.
     pub fn on_end(
         &mut self,
         succeeded: bool,
@@ -121,41 +119,45 @@
         self.failed_at = Some(now);
     }
 
-    /// Reads that failed since the last one that succeeded.
+    /// Returns the number of failed reads since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// When the last read failed, if none has succeeded since.
+    /// Returns when the last read failed, or `None` if it succeeded.
     pub fn failed_at(&self) -> Option<Instant> {
         self.failed_at
     }
 
-    /// Pause after the last read that failed.
-    fn pause(
+    /// Returns the exponential backoff after the last failed read.
+    fn backoff(
         &self,
-        place: u32,
+        rank: u32,
     ) -> Duration {
-        let doubled = self.failures.saturating_sub(1).min(8);
-        let pause = self.timings.retry * 2u32.pow(doubled);
-        let pause = pause.min(self.timings.most_retry);
-        let in_turn = pause.mul_f64(1.0 + RETRY_STEP * f64::from(place));
-        in_turn.min(self.timings.longest_retry)
+        let doublings = self.failures.saturating_sub(1).min(8);
+        let backoff = self.timings.initial_backoff * 2u32.pow(doublings);
+        let backoff = backoff.min(self.timings.max_leader_backoff);
+        let ranked = backoff.mul_f64(1.0 + BACKOFF_SHARE_PER_RANK * f64::from(rank));
+        ranked.min(self.timings.max_backoff)
     }
 
+    /// Returns when the first read is due.
     fn first_read(
         &self,
-        place: u32,
+        rank: u32,
     ) -> Instant {
-        let in_turn = self.started + FIRST_WAIT + FIRST_STEP * place.min(MOST_FIRST_STEPS);
-        self.no_copy_read.map_or(in_turn, |at| at.min(in_turn))
+        let ranked =
+            self.started + FIRST_READ_DELAY + FIRST_READ_STAGGER * rank.min(MAX_STAGGERED_RANK);
+        self.expedited_read.map_or(ranked, |at| at.min(ranked))
     }
 
-    fn limit(
+    /// Returns the staleness at which a host of this rank reads.
+    fn staleness_limit(
         &self,
-        place: u32,
+        rank: u32,
     ) -> Duration {
-        let limit = self.timings.period + self.timings.step.saturating_mul(place);
-        limit.min(self.timings.most.max(self.timings.period))
+        let staleness_limit =
+            self.timings.base_limit + self.timings.limit_per_rank.saturating_mul(rank);
+        staleness_limit.min(self.timings.max_limit.max(self.timings.base_limit))
     }
 }
--- a/src/process/tables/table_changes.rs
+++ b/src/process/tables/table_changes.rs
@@ -1,24 +1,24 @@
 use crate::{
     connection::pull::{ChangesBody, RowBody},
-    formats::{Row, bytes_of},
+    formats::{Row, total_value_bytes},
 };
 
-/// Rows that changed, or all rows, to be passed on to another host.
+/// Changed rows or a full snapshot of a table, for transfer to another host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableChanges {
     pub rows: Vec<Row>,
-    /// The copy is as of this version.
+    /// Store version of the sender's replica.
     pub version: u64,
-    /// Stands for the meaning of all its rows.
+    /// Digest of the sender's replica.
     pub digest: u64,
-    /// `rows` is the whole table; what it does not name is gone.
-    pub whole: bool,
+    /// `rows` is the full table; rows missing from it are deleted.
+    pub is_full: bool,
 }
 
 impl TableChanges {
-    /// Bytes of all values in it.
+    /// Returns the size of all values in bytes.
     pub fn bytes(&self) -> usize {
-        bytes_of(&self.rows)
+        total_value_bytes(&self.rows)
     }
 }
 
@@ -28,7 +28,7 @@
             rows: changes.rows.iter().map(RowBody::from).collect(),
             version: changes.version,
             digest: changes.digest,
-            whole: changes.whole,
+            whole: changes.is_full,
         }
     }
 }
@@ -39,7 +39,7 @@
             rows: body.rows.into_iter().map(Row::from).collect(),
             version: body.version,
             digest: body.digest,
-            whole: body.whole,
+            is_full: body.whole,
         }
     }
 }
--- a/src/request/retry_budget.rs
+++ b/src/request/retry_budget.rs
@@ -10,7 +10,7 @@
 }
 
 impl RetryBudget {
-    /// Adds `share` of a retry to the credit of a service, for a first attempt.
+    /// Adds `max_targets` of a retry to the credit of a service, for a first attempt.
     pub fn deposit(
         &self,
         service: &str,
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -5,7 +5,7 @@
     coveproxy::{
         clock::Instant,
         connection::datagram::{HostRumor, RumorState},
-        process::hosts::{HostIdentity, HostTable, HostTimings},
+        process::hosts::{FailureDetectionTimings, HostIdentity, HostTable},
         request::repeats::{
             BORROWED_TTL, MAX_ARRIVAL_DELAY, RepeatBudget, RepeatCharge, RepeatPolicy,
         },
@@ -588,7 +588,7 @@
         process: 1,
         link_mbps: 10,
     };
-    HostTable::new(identity, HostTimings::default(), now)
+    HostTable::new(identity, FailureDetectionTimings::default(), now)
 }
 
 fn rumor(
@@ -644,7 +644,7 @@
     table.on_heard(&rumor(3, RumorState::Alive, 5), start);
     table.on_tick(start);
     assert_eq!(table.known_count(), 7);
-    assert_eq!(table.my_rumor(Vec::new(), 0, true).counted, 4);
+    assert_eq!(table.local_rumor(Vec::new(), 0, true).counted, 4);
     table.on_heard(&rumor(1, RumorState::Alive, 4), start + ms(50));
     assert_eq!(table.known_count(), 5);
 }
--- a/tests/table_copy.rs
+++ b/tests/table_copy.rs
@@ -1,10 +1,10 @@
-//! Copies of the store's tables: how they follow the store and one another.
+//! Replicas of the store's tables: updates from the store and from other hosts, and the read schedule.
 
 use {
     coveproxy::{
         clock::Instant,
         formats::{Row, RowBatch},
-        process::tables::{Comparison, ReadSchedule, ReadTimings, TableCopy},
+        process::tables::{Comparison, ReadSchedule, ReadTimings, TableReplica},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// Only what stands before a comma matters.
+/// Values are equivalent if they are equal up to the first comma.
 fn fingerprint(row: &Row) -> u64 {
     let value = row.value.as_deref().unwrap_or_default();
     let end = value.iter().position(|byte| *byte == b',');
@@ -47,8 +47,9 @@
     }
 }
 
-fn values(copy: &TableCopy) -> BTreeMap<String, String> {
-    copy.rows()
+fn values(replica: &TableReplica) -> BTreeMap<String, String> {
+    replica
+        .rows()
         .map(|row| {
             let value = row.value.as_deref().unwrap();
             let text = String::from_utf8_lossy(value);
@@ -61,45 +62,46 @@
 #[test]
 fn a_copy_never_goes_back() {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
-    copy.apply_whole(batch(10, vec![row("a", 10, Some("x"))]), now, fingerprint);
+    let mut replica = TableReplica::default();
+    replica.apply_snapshot(batch(10, vec![row("a", 10, Some("x"))]), now, fingerprint);
     let later = now + ms(500);
     let stale = batch(9, vec![row("a", 9, Some("old"))]);
     assert!(
-        copy.apply_changes(stale.clone(), later, fingerprint)
+        replica
+            .apply_changes(stale.clone(), later, fingerprint)
             .is_empty()
     );
-    assert!(copy.apply_whole(stale, later, fingerprint).is_empty());
-    assert_eq!(values(&copy)["a"], "x");
-    // A stale answer confirms nothing either.
-    assert_eq!(copy.age(later), Some(ms(500)));
+    assert!(replica.apply_snapshot(stale, later, fingerprint).is_empty());
+    assert_eq!(values(&replica)["a"], "x");
+    // A stale reply does not count as a confirmation.
+    assert_eq!(replica.staleness(later), Some(ms(500)));
 }
 
 #[test]
 fn what_does_not_matter_is_no_change() {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
-    copy.apply_whole(batch(1, vec![row("a", 1, Some("x,1"))]), now, fingerprint);
-    let digest = copy.digest();
-    let changed = copy.apply_changes(batch(2, vec![row("a", 2, Some("x,2"))]), now, fingerprint);
+    let mut replica = TableReplica::default();
+    replica.apply_snapshot(batch(1, vec![row("a", 1, Some("x,1"))]), now, fingerprint);
+    let digest = replica.digest();
+    let changed = replica.apply_changes(batch(2, vec![row("a", 2, Some("x,2"))]), now, fingerprint);
     assert!(changed.is_empty());
-    assert_eq!(copy.digest(), digest);
-    let changed = copy.apply_changes(batch(3, vec![row("a", 3, Some("y,2"))]), now, fingerprint);
+    assert_eq!(replica.digest(), digest);
+    let changed = replica.apply_changes(batch(3, vec![row("a", 3, Some("y,2"))]), now, fingerprint);
     assert_eq!(changed.len(), 1);
-    assert_ne!(copy.digest(), digest);
+    assert_ne!(replica.digest(), digest);
 }
 
 #[test]
 fn rows_that_a_whole_read_lacks_are_gone() {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
+    let mut replica = TableReplica::default();
     let both = vec![row("a", 1, Some("x")), row("b", 2, Some("y"))];
-    copy.apply_whole(batch(2, both), now, fingerprint);
-    let changed = copy.apply_whole(batch(5, vec![row("b", 2, Some("y"))]), now, fingerprint);
+    replica.apply_snapshot(batch(2, both), now, fingerprint);
+    let changed = replica.apply_snapshot(batch(5, vec![row("b", 2, Some("y"))]), now, fingerprint);
     assert_eq!(changed, [row("a", 5, None)]);
-    assert_eq!(values(&copy).len(), 1);
-    let told = copy.changes_since(4);
-    assert!(told.whole || told.rows.contains(&row("a", 5, None)));
+    assert_eq!(values(&replica).len(), 1);
+    let changes = replica.changes_since(4);
+    assert!(changes.is_full || changes.rows.contains(&row("a", 5, None)));
 }
 
 #[rstest]
@@ -113,23 +115,23 @@
     #[case] expected: Comparison,
 ) {
     let now = Instant::now();
-    let mut copy = TableCopy::default();
-    copy.apply_whole(batch(5, vec![row("a", 1, Some("x"))]), now, fingerprint);
+    let mut replica = TableReplica::default();
+    replica.apply_snapshot(batch(5, vec![row("a", 1, Some("x"))]), now, fingerprint);
     let digest = match same {
-        true => copy.digest(),
-        false => copy.digest() + 1,
+        true => replica.digest(),
+        false => replica.digest() + 1,
     };
     let later = now + ms(300);
-    assert_eq!(copy.compare(version, digest, later), expected);
-    let age = match expected {
+    assert_eq!(replica.compare(version, digest, later), expected);
+    let staleness = match expected {
         Comparison::Same => Duration::ZERO,
         _ => ms(300),
     };
-    assert_eq!(copy.age(later), Some(age));
+    assert_eq!(replica.staleness(later), Some(staleness));
 }
 
-/// Hosts read the store at times, and one another; values change to and fro. After a last exchange
-/// all copies mean what the store says.
+/// Replicas must converge to the store after random writes, reads and pulls, also when a value changes
+/// back.
 #[test]
 fn copies_that_talk_come_to_mean_the_same() {
     for seed in 0..400 {
@@ -137,7 +139,7 @@
         let begin = Instant::now();
         let mut store: BTreeMap<String, (u64, Option<String>)> = BTreeMap::new();
         let mut version = 0;
-        let mut copies: Vec<TableCopy> = (0..4).map(|_| TableCopy::default()).collect();
+        let mut replicas: Vec<TableReplica> = (0..4).map(|_| TableReplica::default()).collect();
         for step in 0..120 {
             let now = begin + ms(step * 100);
             for _ in 0..rng.random_range(0..3) {
@@ -151,17 +153,17 @@
             }
             let reader = rng.random_range(0..4);
             match rng.random_range(0..6) {
-                0 | 1 => read_store(&store, version, &mut copies[reader], now, &mut rng),
+                0 | 1 => read_store(&store, version, &mut replicas[reader], now, &mut rng),
                 _ => {
                     let other = rng.random_range(0..4);
-                    pull(&mut copies, reader, other, now);
+                    pull(&mut replicas, reader, other, now);
                 }
             }
         }
         let now = begin + ms(60_000);
-        read_store(&store, version, &mut copies[0], now, &mut rng);
+        read_store(&store, version, &mut replicas[0], now, &mut rng);
         for host in 1..4 {
-            pull(&mut copies, host, 0, now);
+            pull(&mut replicas, host, 0, now);
         }
         let expected: BTreeMap<String, String> = store
             .iter()
@@ -170,9 +172,9 @@
                 Some((key.clone(), value))
             })
             .collect();
-        for copy in &copies {
-            assert_eq!(values(copy), expected, "seed {seed}");
-            assert_eq!(copy.age(now), Some(Duration::ZERO), "seed {seed}");
+        for replica in &replicas {
+            assert_eq!(values(replica), expected, "seed {seed}");
+            assert_eq!(replica.staleness(now), Some(Duration::ZERO), "seed {seed}");
         }
     }
 }
@@ -180,7 +182,7 @@
 fn read_store(
     store: &BTreeMap<String, (u64, Option<String>)>,
     version: u64,
-    copy: &mut TableCopy,
+    replica: &mut TableReplica,
     now: Instant,
     rng: &mut StdRng,
 ) {
@@ -193,40 +195,40 @@
         rows.sort_by_key(|row| row.version);
         rows
     };
-    if copy.is_known() && rng.random_bool(0.8) {
-        copy.apply_changes(batch(version, rows(copy.version())), now, fingerprint);
+    if replica.is_known() && rng.random_bool(0.8) {
+        replica.apply_changes(batch(version, rows(replica.version())), now, fingerprint);
         return;
     }
-    let there = rows(0).into_iter().filter(|row| row.value.is_some());
-    copy.apply_whole(batch(version, there.collect()), now, fingerprint);
+    let live = rows(0).into_iter().filter(|row| row.value.is_some());
+    replica.apply_snapshot(batch(version, live.collect()), now, fingerprint);
 }
 
-/// One host hears of another's copy and asks for what it lacks, as the control thread does.
+/// Pulls the changes that `host` lacks, as the control thread does.
 fn pull(
-    copies: &mut [TableCopy],
+    replicas: &mut [TableReplica],
     host: usize,
     from: usize,
     now: Instant,
 ) {
-    if host == from || !copies[from].is_known() {
+    if host == from || !replicas[from].is_known() {
         return;
     }
-    let as_of = now - copies[from].age(now).unwrap();
-    let (version, digest) = (copies[from].version(), copies[from].digest());
-    if copies[host].compare(version, digest, as_of) != Comparison::Newer {
+    let confirmed_at = now - replicas[from].staleness(now).unwrap();
+    let (version, digest) = (replicas[from].version(), replicas[from].digest());
+    if replicas[host].compare(version, digest, confirmed_at) != Comparison::Newer {
         return;
     }
-    let since = match copies[host].is_known() {
-        true => copies[host].version(),
+    let since = match replicas[host].is_known() {
+        true => replicas[host].version(),
         false => 0,
     };
-    let changes = copies[from].changes_since(since);
-    let whole = changes.whole;
-    let (_, same) = copies[host].apply_from_host(changes, as_of, fingerprint);
-    if !same && !whole {
-        let changes = copies[from].changes_since(0);
-        let (_, same) = copies[host].apply_from_host(changes, as_of, fingerprint);
-        assert!(same, "a whole copy brings both together");
+    let changes = replicas[from].changes_since(since);
+    let is_full = changes.is_full;
+    let (_, same) = replicas[host].apply_host_changes(changes, confirmed_at, fingerprint);
+    if !same && !is_full {
+        let changes = replicas[from].changes_since(0);
+        let (_, same) = replicas[host].apply_host_changes(changes, confirmed_at, fingerprint);
+        assert!(same, "digests differ after a full snapshot");
     }
 }
 
@@ -234,8 +236,9 @@
 fn the_first_host_reads_and_the_others_wait_their_turn() {
     let timings = ReadTimings::within(ms(2_000));
     let now = Instant::now();
-    let reads =
-        |age: u64, place: usize| ReadSchedule::new(timings, now).start(Some(ms(age)), place, now);
+    let reads = |staleness: u64, rank: usize| {
+        ReadSchedule::new(timings, now).start_if_due(Some(ms(staleness)), rank, now)
+    };
     assert!(!reads(500, 0) && reads(600, 0));
     assert!(!reads(800, 1) && reads(840, 1));
     assert!(!reads(1_190, 90) && reads(1_200, 90));
@@ -249,33 +252,36 @@
     let mut now = begin;
     let mut reads = 0;
     while now < begin + ms(20_000) {
-        if schedule.start(Some(ms(5_000)), 0, now) {
+        if schedule.start_if_due(Some(ms(5_000)), 0, now) {
             reads += 1;
             assert!(
-                !schedule.start(Some(ms(5_000)), 0, now),
+                !schedule.start_if_due(Some(ms(5_000)), 0, now),
                 "one read at a time"
             );
             schedule.on_end(false, now);
         }
         now += ms(50);
     }
-    // At most a second between two tries, and no flood.
+    // At most one second between two reads, and no burst.
     assert!((19..30).contains(&reads), "{reads}");
     assert!(schedule.failures() >= 19);
     now += ms(1_000);
-    assert!(schedule.start(None, 0, now));
+    assert!(schedule.start_if_due(None, 0, now));
     schedule.on_end(true, now);
-    assert!(schedule.start(None, 0, now));
+    assert!(schedule.start_if_due(None, 0, now));
 }
 
 #[test]
 fn hosts_that_start_at_once_read_one_after_the_other() {
     let now = Instant::now();
-    let reads_after = |place: usize, passed: Duration| {
+    let reads_after = |rank: usize, passed: Duration| {
         let timings = ReadTimings::within(ms(2_000));
-        ReadSchedule::new(timings, now).start(None, place, now + passed)
+        ReadSchedule::new(timings, now).start_if_due(None, rank, now + passed)
     };
-    assert!(!reads_after(0, ms(100)), "others may hand it their copies");
+    assert!(
+        !reads_after(0, ms(100)),
+        "another host may still send its replica"
+    );
     assert!(reads_after(0, ms(150)));
     assert!(!reads_after(3, ms(150)));
     assert!(reads_after(3, ms(225)));
@@ -287,17 +293,20 @@
     let now = Instant::now();
     let timings = ReadTimings::within(ms(2_000));
     let mut schedule = ReadSchedule::new(timings, now);
-    assert!(!schedule.start(None, 9, now + ms(30)));
-    schedule.on_no_copy(now + ms(40));
-    // Whoever says so later does not put it off.
-    schedule.on_no_copy(now + ms(5_000));
-    assert!(!schedule.start(None, 9, now + ms(30)));
-    assert!(schedule.start(None, 9, now + ms(40)));
-    assert!(!schedule.start(None, 9, now + ms(50)), "one read at a time");
+    assert!(!schedule.start_if_due(None, 9, now + ms(30)));
+    schedule.on_no_replica(now + ms(40));
+    // A later call does not delay the read.
+    schedule.on_no_replica(now + ms(5_000));
+    assert!(!schedule.start_if_due(None, 9, now + ms(30)));
+    assert!(schedule.start_if_due(None, 9, now + ms(40)));
+    assert!(
+        !schedule.start_if_due(None, 9, now + ms(50)),
+        "one read at a time"
+    );
 }
 
-/// The store is out for 8 s, for 195 hosts whose copies must be younger than 4 s. Each host's read fails
-/// after 4 ms. Before, when all paused alike, they made 975 calls for each table.
+/// 195 hosts with a staleness bound of 4 s must not flood a store that is unavailable for 8 s; each read
+/// fails after 4 ms.
 #[test]
 fn many_hosts_make_few_calls_while_the_store_is_out() {
     let step = ms(10);
@@ -314,8 +323,8 @@
     while passed < outage {
         passed += step;
         let now = begin + passed;
-        for (place, schedule) in hosts.iter_mut().enumerate() {
-            if schedule.start(Some(passed), place, now) {
+        for (rank, schedule) in hosts.iter_mut().enumerate() {
+            if schedule.start_if_due(Some(passed), rank, now) {
                 schedule.on_end(false, now + ms(4));
                 calls += 1;
                 longest_gap = longest_gap.max(now - last_call);
@@ -326,6 +335,6 @@
     assert!(calls < 600, "{calls} calls");
     assert!(
         longest_gap <= bound / 2,
-        "{longest_gap:?}: nobody sees that it is back"
+        "{longest_gap:?} without a read: the recovery is detected too late"
     );
 }
--- a/tests/table_transfer.rs
+++ b/tests/table_transfer.rs
@@ -1,4 +1,4 @@
-//! How copies of the store's tables are packed, and how much of them a host hands to others.
+//! Encoding of table changes for transfer between hosts, and the bandwidth allowance of the sender.
 
 use {
     coveproxy::{
@@ -6,7 +6,7 @@
         connection::pull::{ChangesBody, CopyPage, PageProblem},
         formats::Row,
         process::{
-            host::{CopySource, CopyTransfer, SendAllowance, TableName},
+            host::{SendRateLimiter, TableName, TableTransfer, TransferSource},
             tables::TableChanges,
         },
     },
@@ -22,7 +22,7 @@
         rows,
         version: 9,
         digest: 7,
-        whole: false,
+        is_full: false,
     }
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Text as operators declare it: much of it stands again and again.
+/// Returns a repetitive configuration, as operators declare it.
 fn routes(count: usize) -> Vec<u8> {
     let route =
         |at: usize| format!("{{\"name\":\"r-{at}\",\"host\":\"h.example\",\"timeoutMs\":600}},");
@@ -52,28 +52,28 @@
 #[rstest]
 #[case::small(10)]
 #[case::large(5_000)]
-fn a_page_brings_back_what_was_put_in(#[case] routes_there: usize) {
-    let told = changes(vec![
-        row("config", Some(routes(routes_there))),
+fn a_page_brings_back_what_was_put_in(#[case] route_count: usize) {
+    let sent = changes(vec![
+        row("config", Some(routes(route_count))),
         row("gone", None),
     ]);
-    let page = CopyPage::new(&ChangesBody::from(&told));
-    assert_eq!(read(&page.to_bytes(AGE)), (told, AGE));
+    let page = CopyPage::new(&ChangesBody::from(&sent));
+    assert_eq!(read(&page.to_bytes(AGE)), (sent, AGE));
 }
 
 #[test]
 fn a_large_table_shrinks_to_a_tenth() {
-    let told = changes(vec![row("config", Some(routes(5_000)))]);
-    let page = CopyPage::new(&ChangesBody::from(&told)).to_bytes(AGE);
+    let sent = changes(vec![row("config", Some(routes(5_000)))]);
+    let page = CopyPage::new(&ChangesBody::from(&sent)).to_bytes(AGE);
     assert!(
-        page.len() * 10 < told.bytes(),
+        page.len() * 10 < sent.bytes(),
         "{} of {}",
         page.len(),
-        told.bytes()
+        sent.bytes()
     );
 }
 
-/// A page that claims to unpack to more than any table may hold takes no memory.
+/// A forged uncompressed size must not cause a large allocation.
 #[test]
 fn a_page_that_claims_too_much_is_not_unpacked() {
     // Field 1: a body of one byte; field 2: 2^31 bytes.
@@ -84,20 +84,20 @@
 
 #[test]
 fn a_page_that_is_cut_short_is_not_taken() {
-    let told = changes(vec![row("config", Some(routes(5_000)))]);
-    let page = CopyPage::new(&ChangesBody::from(&told)).to_bytes(AGE);
+    let sent = changes(vec![row("config", Some(routes(5_000)))]);
+    let page = CopyPage::new(&ChangesBody::from(&sent)).to_bytes(AGE);
     for end in [1, page.len() / 2, page.len() - 3] {
         assert!(CopyPage::read(&page[..end]).is_err(), "{end} bytes");
     }
 }
 
-/// However long a copy was on its way, it was right when it was asked for, less the age that was told.
+/// The duration of a transfer must not make a replica appear newer than it is.
 #[test]
 fn the_time_on_its_way_makes_no_copy_newer() {
-    let transfer = CopyTransfer::begin(TableName::Targets, CopySource::Store, 0);
-    let begun = Instant::now();
+    let transfer = TableTransfer::start(TableName::Targets, TransferSource::Store, 0);
+    let started = Instant::now();
     std::thread::sleep(Duration::from_millis(20));
-    assert!(transfer.right_at(AGE).unwrap() <= begun - AGE);
+    assert!(transfer.current_as_of(AGE).unwrap() <= started - AGE);
 }
 
 proptest! {
@@ -106,36 +106,36 @@
         let _ = CopyPage::read(&bytes);
     }
 
-    /// Over any time, a host sends no more than its share of the link, one backlog and one page.
+    /// Over any period, a host sends at most its share of the link, one backlog and one page.
     #[test]
     fn no_more_is_admitted_than_the_link_carries(
         link_mbps in 1.0f64..1_000.0,
-        asks in vec((0u64..50, 16_000usize..200_000), 1..200),
+        requests in vec((0u64..50, 16_000usize..200_000), 1..200),
     ) {
         let start = Instant::now();
-        let mut allowance = SendAllowance::new(Some(link_mbps));
+        let mut allowance = SendRateLimiter::new(Some(link_mbps));
         let (mut now, mut sent) = (start, 0);
-        for (pause_ms, bytes) in asks {
+        for (pause_ms, bytes) in requests {
             now += Duration::from_millis(pause_ms);
             if allowance.admit(bytes, now) {
                 sent += bytes;
             }
             let time = now.duration_since(start) + Duration::from_millis(150);
-            let most = link_mbps * 125_000.0 * 0.5 * time.as_secs_f64() + 200_000.0;
-            prop_assert!(sent as f64 <= most, "{sent} of {most}");
+            let max_bytes = link_mbps * 125_000.0 * 0.5 * time.as_secs_f64() + 200_000.0;
+            prop_assert!(sent as f64 <= max_bytes, "{sent} of {max_bytes}");
         }
-        prop_assert!(sent > 0, "whoever asks first is served");
+        prop_assert!(sent > 0, "the first request is always admitted");
     }
 }
 
-/// A link that is free again serves again, and one that is not known sets no limit.
+/// Transfers are admitted again once the link is free; an unknown bandwidth sets no limit.
 #[test]
 fn an_allowance_is_full_for_as_long_as_its_link_is() {
     let now = Instant::now();
-    let mut allowance = SendAllowance::new(Some(10.0));
+    let mut allowance = SendRateLimiter::new(Some(10.0));
     assert!(allowance.admit(100_000, now));
-    assert!(!allowance.admit(100_000, now), "160 ms are still to go");
+    assert!(!allowance.admit(100_000, now), "160 ms of backlog remain");
     assert!(allowance.admit(100_000, now + Duration::from_millis(20)));
-    let mut unlimited = SendAllowance::new(None);
+    let mut unlimited = SendRateLimiter::new(None);
     assert!((0..100).all(|_| unlimited.admit(1_000_000, now)));
 }
