--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -294,9 +294,9 @@
             version: Duration::from_secs(5),
         },
     };
-    let mut board = TargetTable::new(settings, control);
-    board.set_view(Arc::new(view.clone()));
-    let same = timed(20, || board.set_view(Arc::new(view.clone())));
+    let mut table = TargetTable::new(settings, control);
+    table.set_view(Arc::new(view.clone()));
+    let same = timed(20, || table.set_view(Arc::new(view.clone())));
     let mut next = 0;
     let moved = timed(20, || {
         let mut view = view.clone();
@@ -304,10 +304,10 @@
         if let Some(target) = view.targets.values_mut().next() {
             Arc::make_mut(target).holder = Some(address(next));
         }
-        board.set_view(Arc::new(view));
+        table.set_view(Arc::new(view));
     });
     let settling = timed(20, || {
-        black_box(board.placement_order("models", "m0/a1", 8, Instant::now()));
+        black_box(table.placement_order("models", "m0/a1", 8, Instant::now()));
     });
     (same, moved, settling)
 }
--- a/src/connection/front/adapter_availability.rs
+++ b/src/connection/front/adapter_availability.rs
@@ -21,13 +21,13 @@
 
 impl<'a> AdapterAvailability<'a> {
     pub fn of(
-        board: &TargetTable,
+        table: &TargetTable,
         adapter: &'a str,
         now: Instant,
     ) -> Self {
         Self {
             adapter,
-            newest: board.newest_version(adapter),
+            newest: table.newest_version(adapter),
             now,
         }
     }
@@ -35,18 +35,18 @@
     /// Returns the state of the copy at an engine, for a request that is expected to start there after `wait`.
     pub fn copy_at(
         &self,
-        board: &TargetTable,
+        table: &TargetTable,
         target: &str,
         wait: Duration,
     ) -> AdapterCopyState {
-        if self.version_at(board, target, wait).is_some() {
+        if self.version_at(table, target, wait).is_some() {
             return AdapterCopyState::Ready;
         }
-        let copy = board.adapters.get(self.adapter, target);
+        let copy = table.adapters.get(self.adapter, target);
         let copy = copy.map_or(AdapterCopyState::Unknown, |copy| {
-            self.unavailable_state(board, copy, wait)
+            self.unavailable_state(table, copy, wait)
         });
-        match board.links[target].view.holder {
+        match table.links[target].view.holder {
             // Without a holder no host would report that the copy is ready.
             None if is_pending(copy) => AdapterCopyState::Unknown,
             _ => copy,
@@ -57,23 +57,23 @@
     /// `wait`.
     pub fn version_at(
         &self,
-        board: &TargetTable,
+        table: &TargetTable,
         target: &str,
         wait: Duration,
     ) -> Option<u64> {
-        let held = board.adapters.get(self.adapter, target)?.held()?;
-        let serves = board.version_deadline(self.adapter, held);
+        let held = table.adapters.get(self.adapter, target)?.held()?;
+        let serves = table.version_deadline(self.adapter, held);
         serves.can_begin(wait, self.now).then_some(held)
     }
 
     /// Returns the state of a copy that can't serve now.
     fn unavailable_state(
         &self,
-        board: &TargetTable,
+        table: &TargetTable,
         copy: &AdapterCopy,
         wait: Duration,
     ) -> AdapterCopyState {
-        let serves = board.version_deadline(self.adapter, copy.version);
+        let serves = table.version_deadline(self.adapter, copy.version);
         let is_old = copy.version < self.newest;
         match copy.state {
             // The request would wait longer than a version may serve if it were replaced meanwhile.
@@ -95,10 +95,10 @@
     /// Returns true if the report of an engine's holder on the adapter is overdue.
     pub fn is_overdue_at(
         &self,
-        board: &TargetTable,
+        table: &TargetTable,
         target: &str,
     ) -> bool {
-        let copy = board.adapters.get(self.adapter, target);
+        let copy = table.adapters.get(self.adapter, target);
         copy.is_some_and(|copy| is_overdue(copy.state, self.now))
     }
 }
--- a/src/connection/front/adapter_waiter.rs
+++ b/src/connection/front/adapter_waiter.rs
@@ -6,20 +6,20 @@
 
 /// Counts a request as waiting for an adapter until dropped.
 pub struct AdapterWaiter {
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     adapter: String,
     update: Rc<Notify>,
 }
 
 impl AdapterWaiter {
     pub fn start(
-        board: &Rc<RefCell<TargetTable>>,
+        table: &Rc<RefCell<TargetTable>>,
         adapter: &str,
         priority: u8,
     ) -> Self {
         Self {
-            update: board.borrow_mut().start_waiting(adapter, priority),
-            board: board.clone(),
+            update: table.borrow_mut().start_waiting(adapter, priority),
+            table: table.clone(),
             adapter: adapter.to_string(),
         }
     }
@@ -32,6 +32,6 @@
 
 impl Drop for AdapterWaiter {
     fn drop(&mut self) {
-        self.board.borrow_mut().stop_waiting(&self.adapter);
+        self.table.borrow_mut().stop_waiting(&self.adapter);
     }
 }
--- a/src/connection/front/admission/freshness_gate.rs
+++ b/src/connection/front/admission/freshness_gate.rs
@@ -42,14 +42,14 @@
 
     pub fn is_fresh(
         self,
-        board: &TargetTable,
+        table: &TargetTable,
         now: Instant,
     ) -> bool {
         match self {
-            Self::Declared => board.can_route(now),
-            Self::Keys => board.can_accept_keys(now),
-            Self::Targets => board.can_send(now),
-            Self::Versions => board.can_use_versions(now),
+            Self::Declared => table.can_route(now),
+            Self::Keys => table.can_accept_keys(now),
+            Self::Targets => table.can_send(now),
+            Self::Versions => table.can_use_versions(now),
         }
     }
 }
@@ -59,16 +59,16 @@
 /// Guards against a host whose control thread is starved or whose updates are delayed: it must not send requests to
 /// targets that announced longer ago than the staleness bound that they drain.
 pub async fn wait_until_fresh(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     check: FreshnessCheck,
     request: &str,
 ) -> bool {
     let started = Instant::now();
-    if pending_update(board, check).is_none() {
+    if pending_update(table, check).is_none() {
         return true;
     }
     let fresh = async {
-        while let Some(update) = pending_update(board, check) {
+        while let Some(update) = pending_update(table, check) {
             update.notified().await;
         }
     };
@@ -84,10 +84,10 @@
 }
 
 fn pending_update(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     check: FreshnessCheck,
 ) -> Option<Rc<Notify>> {
-    let board = board.borrow();
-    let fresh = check.is_fresh(&board, Instant::now());
-    (!fresh).then(|| board.freshness_updates())
+    let table = table.borrow();
+    let fresh = check.is_fresh(&table, Instant::now());
+    (!fresh).then(|| table.freshness_updates())
 }
--- a/src/connection/front/admission/permit_gate.rs
+++ b/src/connection/front/admission/permit_gate.rs
@@ -19,20 +19,20 @@
 ///
 /// If not, the target is closed on this host until the next permit may be requested.
 pub async fn acquire_permit(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     target: &Arc<str>,
 ) -> bool {
     let started = Instant::now();
     let id = rand::random();
     let mut pending = {
-        let board = board.borrow();
-        match board.availability(target, started) {
+        let table = table.borrow();
+        match table.availability(target, started) {
             Availability::Open => return true,
             Availability::Closed => return false,
             Availability::Limited => {}
         }
-        let pending = board.pending_permits.register(id);
-        board.request_permit(id, target, started);
+        let pending = table.pending_permits.register(id);
+        table.request_permit(id, target, started);
         pending
     };
     let answer = timeout_at(started + PERMIT_TIMEOUT, pending.answer()).await;
@@ -50,6 +50,6 @@
         return true;
     };
     let until = Instant::now() + backoff;
-    board.borrow_mut().mark_unavailable(target, until);
+    table.borrow_mut().mark_unavailable(target, until);
     false
 }
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -34,7 +34,7 @@
 
 /// Quota charged for a request; refunded when dropped, unless the request may have run.
 pub struct QuotaCharge {
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     /// Refund of the grant; `None` if the charge was covered by quota granted in advance.
     grant: Option<ChargeRefund>,
 }
@@ -49,7 +49,7 @@
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
         if let Some(refund) = self.grant.take() {
-            self.board.borrow().refund(refund);
+            self.table.borrow().refund(refund);
         }
     }
 }
@@ -57,7 +57,7 @@
 /// Charges the cost of a request, waiting for quota for a while; returns `None` if its customer has no limit, and the
 /// answer to the caller if the request is rejected.
 pub async fn charge(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
 ) -> Result<Option<QuotaCharge>, LocalAnswer> {
     let Some(credential) = &request.credential else {
@@ -67,7 +67,7 @@
         return Ok(None);
     };
     let gate = QuotaGate {
-        board,
+        table,
         customer: &credential.customer.name,
         cost: limit.cost(request.declared_tokens),
     };
@@ -84,7 +84,7 @@
                 sleep_until(Instant::now() + retry_after).await;
             }
             Err(ChargeError::Uncounted) if Instant::now() < counter_deadline => {
-                let update = board.borrow().freshness_updates();
+                let update = table.borrow().freshness_updates();
                 let _ = timeout_at(counter_deadline, update.notified()).await;
             }
             Err(error) => return Err(error.answer()),
@@ -116,15 +116,15 @@
 
 /// Charges one request, part by part of its customer's quota.
 struct QuotaGate<'a> {
-    board: &'a Rc<RefCell<TargetTable>>,
+    table: &'a Rc<RefCell<TargetTable>>,
     customer: &'a str,
     cost: f64,
 }
 
 impl QuotaGate<'_> {
     fn record_request(&self) {
-        let mut board = self.board.borrow_mut();
-        let usage = board.quotas.of(self.customer);
+        let mut table = self.table.borrow_mut();
+        let usage = table.quotas.of(self.customer);
         usage.on_request(self.cost, Instant::now());
     }
 
@@ -151,8 +151,8 @@
         &self,
         asked: &TriedParts,
     ) -> QuotaStep {
-        let mut board = self.board.borrow_mut();
-        let usage = board.quotas.of(self.customer);
+        let mut table = self.table.borrow_mut();
+        let usage = table.quotas.of(self.customer);
         usage.next_step(self.cost, asked, Instant::now())
     }
 
@@ -191,13 +191,13 @@
             ahead: charge.prefetch.floor() as u32,
         };
         let mut pending = {
-            let board = self.board.borrow();
-            if !board.request_charge(charge_request) {
+            let table = self.table.borrow();
+            if !table.request_charge(charge_request) {
                 count_charge_request("nobody");
                 return None;
             }
             count_charge_request("asked");
-            board.quotas.pending_charges.register(charge.id)
+            table.quotas.pending_charges.register(charge.id)
         };
         timeout_at(deadline, pending.answer()).await.ok().flatten()
     }
@@ -211,8 +211,8 @@
         sent_at: Instant,
     ) -> bool {
         let now = Instant::now();
-        let mut board = self.board.borrow_mut();
-        let usage = board.quotas.of(self.customer);
+        let mut table = self.table.borrow_mut();
+        let usage = table.quotas.of(self.customer);
         let Some(answer) = answer.filter(|answer| !answer.not_counted) else {
             usage.on_unresponsive(part, now);
             return false;
@@ -232,7 +232,7 @@
         grant: Option<ChargeRefund>,
     ) -> QuotaCharge {
         QuotaCharge {
-            board: self.board.clone(),
+            table: self.table.clone(),
             grant,
         }
     }
--- a/src/connection/front/admission/slot_gate.rs
+++ b/src/connection/front/admission/slot_gate.rs
@@ -28,7 +28,7 @@
 
 /// A concurrency slot at a target; released when dropped.
 pub struct HeldSlot {
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     service: String,
     id: u64,
     pub target: Arc<str>,
@@ -38,13 +38,13 @@
 impl Drop for HeldSlot {
     fn drop(&mut self) {
         let ended = PlaceEnded::new(&self.service, &self.target, self.id, self.end);
-        self.board.borrow().release_slot(ended);
+        self.table.borrow().release_slot(ended);
     }
 }
 
 /// Requests a slot at any target of the service but those in `tried`.
 pub async fn acquire_slot(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
     tried: &[String],
 ) -> SlotAcquisition {
@@ -54,24 +54,24 @@
     let slot_request = PlaceWanted {
         service: service.clone(),
         id,
-        passed_over: excluded_targets(&board.borrow(), service, tried, now),
+        passed_over: excluded_targets(&table.borrow(), service, tried, now),
         aim_ms: request.route.latency_goal.as_millis() as u32,
         left_ms: request.time_left(now).as_millis() as u32,
     };
     let mut pending = {
-        let board = board.borrow();
-        let pending = board.pending_slots.register(id);
-        if !board.request_slot(slot_request) {
+        let table = table.borrow();
+        let pending = table.pending_slots.register(id);
+        if !table.request_slot(slot_request) {
             return SlotAcquisition::Unavailable;
         }
         pending
     };
     let answer = timeout_at(now + SLOT_TIMEOUT, pending.answer()).await;
-    outcome_of(board, service, answer.ok().flatten())
+    outcome_of(table, service, answer.ok().flatten())
 }
 
 fn outcome_of(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     service: &str,
     answer: Option<PlaceGiven>,
 ) -> SlotAcquisition {
@@ -83,14 +83,14 @@
         return SlotAcquisition::Full { retry_after };
     }
     let slot = HeldSlot {
-        board: board.clone(),
+        table: table.clone(),
         service: service.to_string(),
         id: answer.id,
         target: answer.target.as_str().into(),
         end: SlotOutcome::Other,
     };
     // The allocator may know a target before this host does.
-    let known = board.borrow().links.contains_key(&slot.target);
+    let known = table.borrow().links.contains_key(&slot.target);
     match known {
         true => SlotAcquisition::Acquired(slot),
         false => SlotAcquisition::Unavailable,
@@ -100,21 +100,21 @@
 /// Returns the targets to exclude: those already tried, those that are closed, and those that this host avoids after
 /// failures, unless it avoids all of them.
 fn excluded_targets(
-    board: &TargetTable,
+    table: &TargetTable,
     service: &str,
     tried: &[String],
     now: Instant,
 ) -> Vec<String> {
-    let targets = board.targets_of(service).iter();
+    let targets = table.targets_of(service).iter();
     let avoided =
-        targets.filter(|target| !board.links[&target.id].remaining_backoff(now).is_zero());
+        targets.filter(|target| !table.links[&target.id].remaining_backoff(now).is_zero());
     let mut excluded: Vec<String> = avoided.map(|target| target.id.to_string()).collect();
-    if excluded.len() == board.targets_of(service).len() {
+    if excluded.len() == table.targets_of(service).len() {
         excluded.clear();
     }
-    let targets = board.targets_of(service).iter();
+    let targets = table.targets_of(service).iter();
     let closed =
-        targets.filter(|target| board.availability(&target.id, now) == Availability::Closed);
+        targets.filter(|target| table.availability(&target.id, now) == Availability::Closed);
     excluded.extend(closed.map(|target| target.id.to_string()));
     excluded.extend(tried.iter().cloned());
     excluded
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -53,17 +53,17 @@
 
 /// Chooses the target of each send.
 pub struct Chooser {
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     hall: String,
 }
 
 impl Chooser {
     pub fn new(
-        board: Rc<RefCell<TargetTable>>,
+        table: Rc<RefCell<TargetTable>>,
         hall: &str,
     ) -> Self {
         Self {
-            board,
+            table,
             hall: hall.to_string(),
         }
     }
@@ -75,15 +75,15 @@
         attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
-        let mut board = self.board.borrow_mut();
+        let mut table = self.table.borrow_mut();
         match &request.generation {
             Some(generation) => match generation.adapter() {
                 Some(adapter) => {
-                    self.choose_for_adapter(&mut board, request, attempts, adapter, now)
+                    self.choose_for_adapter(&mut table, request, attempts, adapter, now)
                 }
-                None => self.choose_base(&mut board, request, attempts, now),
+                None => self.choose_base(&mut table, request, attempts, now),
             },
-            None => self.choose_plain(&board, request, attempts, now),
+            None => self.choose_plain(&table, request, attempts, now),
         }
     }
 
@@ -94,38 +94,38 @@
         target: &Arc<str>,
         now: Instant,
     ) -> Choice {
-        send_to(&self.board.borrow(), attempts, target, None, (1, 1), now)
+        send_to(&self.table.borrow(), attempts, target, None, (1, 1), now)
     }
 
     fn choose_plain(
         &self,
-        board: &TargetTable,
+        table: &TargetTable,
         request: &CallRequest,
         attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
-        let targets = board.targets_of(&request.service.name);
+        let targets = table.targets_of(&request.service.name);
         let candidates: Vec<PlainCandidate> = targets
             .iter()
             .map(|target| {
-                let link = &board.links[&target.id];
+                let link = &table.links[&target.id];
                 PlainCandidate {
                     in_flight: link.in_flight,
                     slots: link.view.record.slots,
                     same_hall: link.view.record.hall == self.hall,
                     avoided_for: link.remaining_backoff(now),
                     tried: attempts.has_tried(&target.id),
-                    availability: board.availability(&target.id, now),
+                    availability: table.availability(&target.id, now),
                 }
             })
             .collect();
         let draw = rand::rng().random::<f64>();
         let Some(at) = choose_plain(&candidates, draw) else {
             let ids: Vec<Arc<str>> = targets.iter().map(|target| target.id.clone()).collect();
-            return wait_for_opening(board, request, &ids, now).unwrap_or(Choice::NoTarget);
+            return wait_for_opening(table, request, &ids, now).unwrap_or(Choice::NoTarget);
         };
         send_to(
-            board,
+            table,
             attempts,
             &targets[at].id,
             None,
@@ -137,71 +137,71 @@
     /// Chooses an engine for a request without an adapter: any engine that holds the base model.
     fn choose_base(
         &self,
-        board: &mut TargetTable,
+        table: &mut TargetTable,
         request: &CallRequest,
         attempts: &mut Attempts,
         now: Instant,
     ) -> Choice {
-        let draw = |board: &TargetTable| sample_of_service(board, request, now);
-        let targets = match query_before_send(board, request, attempts, draw, now) {
+        let draw = |table: &TargetTable| sample_of_service(table, request, now);
+        let targets = match query_before_send(table, request, attempts, draw, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::AwaitReports { until },
         };
-        let estimator = EngineEstimator::of(board, request, &targets, &self.hall, now);
+        let estimator = EngineEstimator::of(table, request, &targets, &self.hall, now);
         let candidates: Vec<EngineCandidate> = targets
             .iter()
             .map(|target| {
-                estimator.candidate(board, request, target, AdapterCopyState::Ready, attempts)
+                estimator.candidate(table, request, target, AdapterCopyState::Ready, attempts)
             })
             .collect();
         let terms = ChoiceContext {
             copy_price: Duration::ZERO,
             time_to_aim: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
-            policy: board.policy(),
+            policy: table.policy(),
             now,
         };
         match choose_engine(&candidates, &terms) {
             EngineChoice::Send { to, .. } => send_to(
-                board,
+                table,
                 attempts,
                 &targets[to],
                 None,
                 (targets.len(), targets.len()),
                 now,
             ),
-            _ => wait_or_give_up(board, request, &targets, now),
+            _ => wait_or_give_up(table, request, &targets, now),
         }
     }
 
     fn choose_for_adapter(
         &self,
-        board: &mut TargetTable,
+        table: &mut TargetTable,
         request: &CallRequest,
         attempts: &mut Attempts,
         adapter: &str,
         now: Instant,
     ) -> Choice {
-        let availability = AdapterAvailability::of(board, adapter, now);
-        let draw = |board: &TargetTable| sample_for_adapter(board, request, adapter, now);
-        let targets = match query_before_send(board, request, attempts, draw, now) {
+        let availability = AdapterAvailability::of(table, adapter, now);
+        let draw = |table: &TargetTable| sample_for_adapter(table, request, adapter, now);
+        let targets = match query_before_send(table, request, attempts, draw, now) {
             Ok(targets) => targets,
             Err(until) => return Choice::AwaitReports { until },
         };
-        let estimator = EngineEstimator::of(board, request, &targets, &self.hall, now);
+        let estimator = EngineEstimator::of(table, request, &targets, &self.hall, now);
         let mut candidates = Vec::with_capacity(targets.len());
         for target in &targets {
             let mut candidate =
-                estimator.candidate(board, request, target, AdapterCopyState::Unknown, attempts);
+                estimator.candidate(table, request, target, AdapterCopyState::Unknown, attempts);
             candidate.copy_state =
-                availability.copy_at(board, target, candidate.time_to_first_event);
+                availability.copy_at(table, target, candidate.time_to_first_event);
             candidates.push(candidate);
         }
         let terms = ChoiceContext {
-            copy_price: copy_cost(board, adapter, now),
+            copy_price: copy_cost(table, adapter, now),
             time_to_aim: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
-            policy: board.policy(),
+            policy: table.policy(),
             now,
         };
         let load_request = |at: usize, spare: bool| AdapterRequest {
@@ -218,24 +218,24 @@
                 if candidates[to].batch_share > 1.0 && attempts.discard_sample() =>
             {
                 // Every engine of the sample is busy: others may have room.
-                self.choose_for_adapter(board, request, attempts, adapter, now)
+                self.choose_for_adapter(table, request, attempts, adapter, now)
             }
             EngineChoice::Send { to, also_load } => {
                 if let Some(at) = also_load {
-                    request_adapter(board, attempts, &load_request(at, true), now);
+                    request_adapter(table, attempts, &load_request(at, true), now);
                 }
                 let is_ready =
                     |candidate: &&EngineCandidate| candidate.copy_state == AdapterCopyState::Ready;
                 let ready = candidates.iter().filter(is_ready).count();
                 let wait = candidates[to].time_to_first_event;
-                let version = availability.version_at(board, &targets[to], wait);
+                let version = availability.version_at(table, &targets[to], wait);
                 let version = version.map(|version| ExpectedVersion {
                     version,
                     newest: availability.newest,
                     wait,
                 });
                 send_to(
-                    board,
+                    table,
                     attempts,
                     &targets[to],
                     version,
@@ -244,7 +244,7 @@
                 )
             }
             EngineChoice::RequestLoad(at) => {
-                request_adapter(board, attempts, &load_request(at, false), now);
+                request_adapter(table, attempts, &load_request(at, false), now);
                 Choice::Wait {
                     until: now + HOLDER_TIMEOUT,
                     expected: None,
@@ -253,8 +253,8 @@
             EngineChoice::Wait { until, expected } => {
                 // Overdue holders are asked again; the board limits the rate of these requests.
                 for (at, target) in targets.iter().enumerate() {
-                    if availability.is_overdue_at(board, target) {
-                        request_adapter(board, attempts, &load_request(at, false), now);
+                    if availability.is_overdue_at(table, target) {
+                        request_adapter(table, attempts, &load_request(at, false), now);
                     }
                 }
                 let rejectable = expected.filter(|_| terms.policy.refuses_early);
@@ -274,7 +274,7 @@
             EngineChoice::NoEngine => {
                 let exclusions = EngineExclusions::of(&candidates, now);
                 attempts.trace.add(TraceStep::Unplaced(exclusions), now);
-                wait_or_give_up(board, request, &targets, now)
+                wait_or_give_up(table, request, &targets, now)
             }
         }
     }
@@ -282,14 +282,14 @@
 
 /// Records a choice in the trace and returns it; `counts` is the number of candidates and of the ready ones among them.
 fn send_to(
-    board: &TargetTable,
+    table: &TargetTable,
     attempts: &mut Attempts,
     target: &Arc<str>,
     version: Option<ExpectedVersion>,
     counts: (usize, usize),
     now: Instant,
 ) -> Choice {
-    let link = &board.links[target];
+    let link = &table.links[target];
     let step = TraceStep::Chosen {
         target: target.clone(),
         candidates: counts.0,
@@ -300,7 +300,7 @@
             .others_reported_at
             .map(|reported| now.saturating_duration_since(reported)),
         version,
-        declared_age: board.freshness().declared.age(now),
+        declared_age: table.freshness().declared.age(now),
     };
     attempts.trace.add(step, now);
     Choice::Send(Destination {
@@ -311,12 +311,12 @@
 }
 
 fn request_adapter(
-    board: &mut TargetTable,
+    table: &mut TargetTable,
     attempts: &mut Attempts,
     load_request: &AdapterRequest,
     now: Instant,
 ) {
-    if board.request_adapter(load_request, now) {
+    if table.request_adapter(load_request, now) {
         let step = TraceStep::AdapterRequested {
             target: load_request.target.into(),
             spare: load_request.spare,
@@ -327,12 +327,12 @@
 
 /// No engine can take a request: retries the choice while there is time for a prompt rejection.
 fn wait_or_give_up(
-    board: &TargetTable,
+    table: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
     now: Instant,
 ) -> Choice {
-    if let Some(choice) = wait_for_opening(board, request, targets, now) {
+    if let Some(choice) = wait_for_opening(table, request, targets, now) {
         return choice;
     }
     let retry_at = now + CHOICE_RETRY_INTERVAL;
@@ -350,12 +350,12 @@
 /// Waits if a target opens while there is time for a prompt rejection; otherwise rejects at once, and the caller
 /// retries when the first target opens.
 fn wait_for_opening(
-    board: &TargetTable,
+    table: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
     now: Instant,
 ) -> Option<Choice> {
-    let opens = board.earliest_availability(targets.iter(), now)?;
+    let opens = table.earliest_availability(targets.iter(), now)?;
     if is_prompt(request, opens) {
         return Some(Choice::Wait {
             until: opens,
@@ -390,15 +390,15 @@
 
 /// Returns the cost of a new copy of an adapter for one request; requests that share the copy share its cost.
 fn copy_cost(
-    board: &TargetTable,
+    table: &TargetTable,
     adapter: &str,
     now: Instant,
 ) -> Duration {
     // Several requests on this host suggest as many on the others; a single one does not.
-    let local = (board.demand.recent_requests(adapter, now) - 1.0).max(0.0);
-    let reported = f64::from(board.adapters.uses(adapter));
-    if !board.policy().shares_copy_price {
+    let local = (table.demand.recent_requests(adapter, now) - 1.0).max(0.0);
+    let reported = f64::from(table.adapters.uses(adapter));
+    if !table.policy().shares_copy_price {
         return COPY_COST;
     }
-    COPY_COST.div_f64(1.0 + reported.max(local * board.view.hosts as f64))
+    COPY_COST.div_f64(1.0 + reported.max(local * table.view.hosts as f64))
 }
--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -75,14 +75,14 @@
 ///
 /// Called before a suspect request is sent, so that a crash that follows can be attributed to it.
 pub async fn answers_health_check(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     target: &str,
 ) -> bool {
     let address = {
-        let board = board.borrow();
-        let link = board.links.get(target);
+        let table = table.borrow();
+        let link = table.links.get(target);
         link.map(|link| link.view.record.address)
     };
     match address {
@@ -96,7 +96,7 @@
 /// Records a request as a suspect after its connection was lost, and probes in the background whether its target
 /// crashed; reports a crash to all hosts.
 pub fn probe_after_loss(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     incarnation: TargetIncarnation,
@@ -109,21 +109,21 @@
         id: request.id_text().to_string(),
     };
     let address = {
-        let mut board = board.borrow_mut();
-        board.crashes.on_loss(&incarnation.0, lost_at);
-        let link = board.links.get(&incarnation.0);
+        let mut table = table.borrow_mut();
+        table.crashes.on_loss(&incarnation.0, lost_at);
+        let link = table.links.get(&incarnation.0);
         // A target that drains stops by plan, whatever it runs.
         let link = link.filter(|link| link.view.usable_until.is_none());
         let Some(address) = link.map(|link| link.view.record.address) else {
             return;
         };
-        if !board.crashes.add_suspect(&incarnation, accused) {
+        if !table.crashes.add_suspect(&incarnation, accused) {
             return;
         }
         address
     };
     let probe = CrashProbe {
-        board: board.clone(),
+        table: table.clone(),
         check: HealthCheck::new(names, request, &incarnation.0),
         incarnation,
         lost_at,
@@ -133,22 +133,22 @@
 
 /// Clears a request that a target has answered completely: earlier crashes were not its fault.
 pub fn clear_suspect(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
 ) {
-    let board = board.borrow();
-    if board.crashes.is_empty() {
+    let table = table.borrow();
+    if table.crashes.is_empty() {
         return;
     }
     let fingerprint = request.fingerprint();
-    if board.crashes.status(&fingerprint).is_some() {
-        board.report_poison(PoisonReport::Cleared { fingerprint });
+    if table.crashes.status(&fingerprint).is_some() {
+        table.report_poison(PoisonReport::Cleared { fingerprint });
     }
 }
 
 /// Probes one incarnation of a target.
 struct CrashProbe {
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     check: HealthCheck,
     incarnation: TargetIncarnation,
     lost_at: Instant,
@@ -160,8 +160,8 @@
         address: SocketAddr,
     ) {
         let crashed = self.has_crashed(address).await;
-        let mut board = self.board.borrow_mut();
-        let accused = board.crashes.take_suspects(&self.incarnation);
+        let mut table = self.table.borrow_mut();
+        let accused = table.crashes.take_suspects(&self.incarnation);
         if !crashed {
             note!(
                 Event::AccusationDropped,
@@ -170,7 +170,7 @@
             );
             return;
         }
-        let alone = board
+        let alone = table
             .crashes
             .is_isolated_loss(&self.incarnation.0, self.lost_at);
         let end = CrashId::of(&self.incarnation.0, self.incarnation.1);
@@ -191,7 +191,7 @@
             (accused.fingerprint, CrashEvidence { end, begun, alone })
         };
         let evidence = accused.iter().map(to_strike).collect();
-        board.report_poison(PoisonReport::Crashed { evidence });
+        table.report_poison(PoisonReport::Crashed { evidence });
     }
 
     /// Returns true if the target was down in both checks and this incarnation has sent nothing meanwhile, or if it was
@@ -212,15 +212,15 @@
 
     /// Returns true if the target is gone or has a new incarnation.
     fn was_replaced(&self) -> bool {
-        let board = self.board.borrow();
-        let link = board.links.get(&self.incarnation.0);
+        let table = self.table.borrow();
+        let link = table.links.get(&self.incarnation.0);
         link.is_none_or(|link| link.view.record.started != self.incarnation.1)
     }
 
     /// Returns true if this incarnation of the target has sent anything since the loss.
     fn has_sent_since_loss(&self) -> bool {
-        let board = self.board.borrow();
-        let link = board.links.get(&self.incarnation.0);
+        let table = self.table.borrow();
+        let link = table.links.get(&self.incarnation.0);
         link.and_then(|link| link.last_received)
             .is_some_and(|at| at > self.lost_at)
     }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -61,20 +61,20 @@
 
 /// Sends each request to a target, with resends where the route allows them, and returns the final answer.
 pub struct Dispatcher {
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     chooser: Chooser,
     formats: Arc<dyn Formats>,
 }
 
 impl Dispatcher {
     pub fn new(
-        board: Rc<RefCell<TargetTable>>,
+        table: Rc<RefCell<TargetTable>>,
         formats: Arc<dyn Formats>,
         hall: &str,
     ) -> Self {
         Self {
-            chooser: Chooser::new(board.clone(), hall),
-            board,
+            chooser: Chooser::new(table.clone(), hall),
+            table,
             formats,
         }
     }
@@ -90,7 +90,7 @@
             log_served(&request, &Attempts::default(), status, Some(cause));
             return self.reject_poison(&request);
         }
-        let charged = match charge(&self.board, &request).await {
+        let charged = match charge(&self.table, &request).await {
             Ok(charged) => charged,
             Err(answer) => return self.reject_uncharged(&request, answer),
         };
@@ -125,7 +125,7 @@
         let now = Instant::now();
         let destination = Destination::of(broken);
         attempts.record_end(&destination, AttemptEnd::Lost, now);
-        if let Some(link) = self.board.borrow_mut().links.get_mut(broken) {
+        if let Some(link) = self.table.borrow_mut().links.get_mut(broken) {
             link.health.on_failure(now);
         }
         if self
@@ -186,10 +186,10 @@
         &self,
         request: &CallRequest,
     ) -> Option<PoisonStatus> {
-        let board = self.board.borrow();
-        match board.crashes.is_empty() {
+        let table = self.table.borrow();
+        match table.crashes.is_empty() {
             true => None,
-            false => board.crashes.status(&request.fingerprint()),
+            false => table.crashes.status(&request.fingerprint()),
         }
     }
 
@@ -215,26 +215,26 @@
         &self,
         request: &CallRequest,
     ) -> bool {
-        let board = self.board.borrow();
-        !board.crashes.is_empty() && board.crashes.is_suspected(&request.fingerprint())
+        let table = self.table.borrow();
+        !table.crashes.is_empty() && table.crashes.is_suspected(&request.fingerprint())
     }
 
     fn record_demand(
         &self,
         request: &CallRequest,
     ) {
-        let mut board = self.board.borrow_mut();
-        board
+        let mut table = self.table.borrow_mut();
+        table
             .budget(&request.service.name)
             .on_request(request.arrived);
         let Some(generation) = &request.generation else {
             return;
         };
-        board
+        table
             .prefill_throughput(&request.service.name)
             .on_prompt(generation.tokens_in);
         if let Some(adapter) = generation.adapter() {
-            board.demand.on_request(adapter, request.arrived);
+            table.demand.on_request(adapter, request.arrived);
         }
     }
 
@@ -277,7 +277,7 @@
                 }
                 Choice::Reject(_) | Choice::NoTarget => return self.no_target(request, attempts),
             };
-            if !acquire_permit(&self.board, &destination.target).await {
+            if !acquire_permit(&self.table, &destination.target).await {
                 let target = destination.target.clone();
                 let step = TraceStep::NoPermit { target };
                 attempts.trace.add(step, Instant::now());
@@ -302,7 +302,7 @@
             }
             let verified = self.is_suspected(request);
             if verified
-                && !answers_health_check(&self.board, names, request, &destination.target).await
+                && !answers_health_check(&self.table, names, request, &destination.target).await
             {
                 attempts.record_end(&destination, AttemptEnd::NotSent, Instant::now());
                 attempts.tried.push(destination.target.to_string());
@@ -316,26 +316,26 @@
             let sent_at = Instant::now();
             // A send counts as run until its end is known.
             attempts.history.runs += 1;
-            let sent = send(&self.board, names, request, &destination, streams).await;
+            let sent = send(&self.table, names, request, &destination, streams).await;
             attempts.history.runs -= 1;
             if let Some(slot) = &mut slot {
                 slot.end = slot_end(&sent, sent_at.elapsed());
             }
             drop(slot);
             if let Some(repeat_charge) = repeat_charge.filter(|_| sent.never_arrived()) {
-                let mut board = self.board.borrow_mut();
-                board.budget(&request.service.name).refund(&repeat_charge);
+                let mut table = self.table.borrow_mut();
+                table.budget(&request.service.name).refund(&repeat_charge);
             }
             let end = match sent {
                 SendOutcome::Complete(answer) => {
-                    clear_suspect(&self.board, request);
+                    clear_suspect(&self.table, request);
                     return Outcome::Final(relay(answer));
                 }
                 SendOutcome::Open(answer) => return Outcome::Open(answer),
                 SendOutcome::Failed(answer) => {
                     let status = answer.status.as_u16();
                     attempts.failure = Some(answer);
-                    clear_suspect(&self.board, request);
+                    clear_suspect(&self.table, request);
                     AttemptEnd::Failed { status }
                 }
                 SendOutcome::Misdirected => {
@@ -345,7 +345,7 @@
                 SendOutcome::Withheld => continue,
                 SendOutcome::Ended(AttemptEnd::Lost) => {
                     let started = verified || sent_at.elapsed() >= MIN_RUN_TIME;
-                    probe_after_loss(&self.board, names, request, incarnation, started);
+                    probe_after_loss(&self.table, names, request, incarnation, started);
                     AttemptEnd::Lost
                 }
                 SendOutcome::Ended(end) => end,
@@ -369,7 +369,7 @@
         if request.generation.is_some() {
             return (self.chooser.choose(request, attempts, Instant::now()), None);
         }
-        let outcome = acquire_slot(&self.board, request, &attempts.tried).await;
+        let outcome = acquire_slot(&self.table, request, &attempts.tried).await;
         let now = Instant::now();
         match outcome {
             SlotAcquisition::Acquired(slot) => {
@@ -386,7 +386,7 @@
         &self,
         target: &Arc<str>,
     ) -> TargetIncarnation {
-        (target.clone(), self.board.borrow().incarnation(target))
+        (target.clone(), self.table.borrow().incarnation(target))
     }
 
     /// Handles a broken stream; its request becomes a suspect if the stream had just begun.
@@ -399,13 +399,13 @@
         let now = Instant::now();
         match now.saturating_duration_since(first_event) < STREAM_START_WINDOW {
             true => probe_after_loss(
-                &self.board,
+                &self.table,
                 self.formats.headers(),
                 request,
                 incarnation,
                 true,
             ),
-            false => self.board.borrow_mut().crashes.on_loss(&incarnation.0, now),
+            false => self.table.borrow_mut().crashes.on_loss(&incarnation.0, now),
         }
     }
 
@@ -414,7 +414,7 @@
         &self,
         request: &CallRequest,
     ) {
-        clear_suspect(&self.board, request);
+        clear_suspect(&self.table, request);
     }
 
     /// Waits until all tables that a send depends on are fresh; returns false on timeout.
@@ -430,14 +430,14 @@
             .is_some();
         // The tables that the request was routed by may have become stale while it waited for its adapter.
         if request.credential.is_some()
-            && !wait_until_fresh(&self.board, FreshnessCheck::Keys, id).await
+            && !wait_until_fresh(&self.table, FreshnessCheck::Keys, id).await
         {
             return false;
         }
-        if has_adapter && !wait_until_fresh(&self.board, FreshnessCheck::Versions, id).await {
+        if has_adapter && !wait_until_fresh(&self.table, FreshnessCheck::Versions, id).await {
             return false;
         }
-        wait_until_fresh(&self.board, FreshnessCheck::Targets, id).await
+        wait_until_fresh(&self.table, FreshnessCheck::Targets, id).await
     }
 
     /// Returns why a request must not be sent with its key any more: the key may have been revoked while the request
@@ -447,7 +447,7 @@
         request: &CallRequest,
     ) -> Option<ErrorCause> {
         let credential = request.credential.as_ref()?;
-        let key_standing = self.board.borrow().key_status(credential, Instant::now());
+        let key_standing = self.table.borrow().key_status(credential, Instant::now());
         match key_standing {
             KeyStatus::Valid => None,
             KeyStatus::Revoked => Some(ErrorCause::UnknownKey),
@@ -471,7 +471,7 @@
         }
         let repeats = step == NextStep::Resend { repeats: true };
         if repeats && !self.wait_for_budget(request).await {
-            self.board.borrow_mut().budget(service).on_rejected(now);
+            self.table.borrow_mut().budget(service).on_rejected(now);
             step = next_step(&request.route, &attempts.history, end, false);
         }
         match step {
@@ -509,15 +509,15 @@
         loop {
             let now = Instant::now();
             {
-                let mut board = self.board.borrow_mut();
-                if board.budget(service).can_repeat(now) {
+                let mut table = self.table.borrow_mut();
+                if table.budget(service).can_repeat(now) {
                     return true;
                 }
                 if now == started {
-                    board.budget(service).on_waiting(now);
+                    table.budget(service).on_waiting(now);
                 }
-                board.request_loans(service, now);
-                if now >= until || !board.budget(service).is_borrowing(now) {
+                table.request_loans(service, now);
+                if now >= until || !table.budget(service).is_borrowing(now) {
                     return false;
                 }
             }
@@ -530,8 +530,8 @@
         request: &CallRequest,
     ) -> Option<RepeatCharge> {
         let now = Instant::now();
-        let mut board = self.board.borrow_mut();
-        let budget = board.budget(&request.service.name);
+        let mut table = self.table.borrow_mut();
+        let budget = table.budget(&request.service.name);
         let repeat_charge = budget.charge(now);
         if repeat_charge.is_none() {
             budget.on_rejected(now);
@@ -553,8 +553,8 @@
         if !matches!(end, AttemptEnd::NotRun { .. }) {
             return false;
         }
-        let board = self.board.borrow();
-        let copy = board.adapters.get(adapter, &destination.target);
+        let table = self.table.borrow();
+        let copy = table.adapters.get(adapter, &destination.target);
         copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Loading { .. }))
     }
 
@@ -566,12 +566,12 @@
         let Some(adapter) = request.generation.as_ref().and_then(|g| g.adapter()) else {
             return;
         };
-        let mut board = self.board.borrow_mut();
-        let copy = board.adapters.get(adapter, &destination.target);
+        let mut table = self.table.borrow_mut();
+        let copy = table.adapters.get(adapter, &destination.target);
         let loading =
             copy.is_some_and(|copy| matches!(copy.state, AdapterCopyState::Loading { .. }));
         if !loading {
-            board.on_adapter_missing(adapter, &destination.target);
+            table.on_adapter_missing(adapter, &destination.target);
         }
     }
 
@@ -580,7 +580,7 @@
         &self,
         until: Instant,
     ) {
-        let update = self.board.borrow().engine_status_updates();
+        let update = self.table.borrow().engine_status_updates();
         tokio::select! {
             _ = update.notified() => {}
             _ = sleep_until(until) => {}
@@ -597,7 +597,7 @@
             sleep_until(until).await;
             return;
         };
-        let waiter = AdapterWaiter::start(&self.board, adapter, request.urgency);
+        let waiter = AdapterWaiter::start(&self.table, adapter, request.urgency);
         tokio::select! {
             _ = waiter.updated() => {}
             _ = sleep_until(until) => {}
--- a/src/connection/front/engine_estimator.rs
+++ b/src/connection/front/engine_estimator.rs
@@ -28,21 +28,21 @@
 
 impl<'a> EngineEstimator<'a> {
     pub fn of(
-        board: &mut TargetTable,
+        table: &mut TargetTable,
         request: &CallRequest,
         targets: &[Arc<str>],
         hall: &'a str,
         now: Instant,
     ) -> Self {
         let service = &request.service.name;
-        let mean_tokens = match board.is_large_site() {
+        let mean_tokens = match table.is_large_site() {
             // The load of other engines is too stale.
-            true => board.mean_running_tokens(targets.iter()),
-            false => board.mean_running_tokens(board.engines_of(service).iter()),
+            true => table.mean_running_tokens(targets.iter()),
+            false => table.mean_running_tokens(table.engines_of(service).iter()),
         };
         Self {
-            speed: *board.prefill_throughput(service),
-            policy: board.policy(),
+            speed: *table.prefill_throughput(service),
+            policy: table.policy(),
             mean_tokens,
             hall,
             now,
@@ -52,13 +52,13 @@
     /// Returns an engine as a candidate for a request.
     pub fn candidate(
         &self,
-        board: &TargetTable,
+        table: &TargetTable,
         request: &CallRequest,
         target: &str,
         copy_state: AdapterCopyState,
         attempts: &Attempts,
     ) -> EngineCandidate {
-        let link = &board.links[target];
+        let link = &table.links[target];
         let generation = request.generation.as_ref();
         let prompt = generation.map_or(0, |generation| u64::from(generation.tokens_in));
         let answer = generation.map_or(0, |generation| u64::from(generation.tokens_out));
@@ -75,22 +75,22 @@
             batch_share: f64::from(link.running() + 1) / f64::from(link.view.record.slots.max(1)),
             relative_load: tokens as f64 / (self.mean_tokens + (prompt + answer) as f64).max(1.0),
             same_hall: link.view.record.hall == self.hall,
-            load_unknown: self.is_load_unknown(board, link),
+            load_unknown: self.is_load_unknown(table, link),
             avoided: !link.remaining_backoff(self.now).is_zero(),
             has_holder: link.view.holder.is_some(),
             tried: attempts.has_tried(target),
-            availability: board.availability(target, self.now),
+            availability: table.availability(target, self.now),
         }
     }
 
     /// Returns true if the report of other hosts' load at an engine is stale.
     fn is_load_unknown(
         &self,
-        board: &TargetTable,
+        table: &TargetTable,
         link: &TargetLink,
     ) -> bool {
         let since = self.now.checked_sub(MAX_LOAD_AGE);
-        board.is_large_site() && since.is_some_and(|since| !link.has_report_since(since))
+        table.is_large_site() && since.is_some_and(|since| !link.has_report_since(since))
     }
 
     /// Returns the prompt tokens that an engine reads before the prompt of a request.
--- a/src/connection/front/engine_sample.rs
+++ b/src/connection/front/engine_sample.rs
@@ -30,15 +30,15 @@
 
 /// Returns the engines that a request without an adapter may go to; a sample of them on a large site.
 pub(super) fn sample_of_service(
-    board: &TargetTable,
+    table: &TargetTable,
     request: &CallRequest,
     now: Instant,
 ) -> Vec<Arc<str>> {
-    let engines = board.engines_of(&request.service.name);
-    if !board.is_large_site() {
+    let engines = table.engines_of(&request.service.name);
+    if !table.is_large_site() {
         return engines;
     }
-    let is_closed = |engine: &Arc<str>| board.availability(engine, now) == Availability::Closed;
+    let is_closed = |engine: &Arc<str>| table.availability(engine, now) == Availability::Closed;
     let engines = without_closed(engines, is_closed);
     engines
         .sample(&mut rand::rng(), MAX_READY)
@@ -50,18 +50,18 @@
 ///
 /// On a large site these are a sample of the engines that hold it, those that load it, and a few that may load it next.
 pub(super) fn sample_for_adapter(
-    board: &TargetTable,
+    table: &TargetTable,
     request: &CallRequest,
     adapter: &str,
     now: Instant,
 ) -> Vec<Arc<str>> {
     let service = &request.service.name;
-    if !board.is_large_site() {
-        return board.placement_order(service, adapter, PLACEMENT_CANDIDATES, now);
+    if !table.is_large_site() {
+        return table.placement_order(service, adapter, PLACEMENT_CANDIDATES, now);
     }
-    let count = PLACEMENT_CANDIDATES + board.adapters.known_engines(adapter);
-    let order = board.placement_order(service, adapter, count, now);
-    let copy = |at: &usize| board.adapters.get(adapter, &order[*at]);
+    let count = PLACEMENT_CANDIDATES + table.adapters.known_engines(adapter);
+    let order = table.placement_order(service, adapter, count, now);
+    let copy = |at: &usize| table.adapters.get(adapter, &order[*at]);
     let state = |at: &usize| copy(at).map(|copy| copy.state);
     let is_held = |at: &usize| copy(at).is_some_and(|copy| copy.held().is_some());
     let (ready, others): (Vec<usize>, Vec<usize>) = (0..order.len()).partition(is_held);
@@ -72,7 +72,7 @@
     // An engine that held the adapter lately loads it much faster.
     unloaded.sort_by_key(|at| state(at) != Some(AdapterCopyState::Cached));
     unloaded.truncate(MAX_OTHERS);
-    let is_closed = |engine: &Arc<str>| board.availability(engine, now) == Availability::Closed;
+    let is_closed = |engine: &Arc<str>| table.availability(engine, now) == Availability::Closed;
     let ready = without_closed(ready, |at| is_closed(&order[*at]));
     let ready = ready.sample(&mut rand::rng(), MAX_READY).copied();
     let mut chosen: Vec<usize> = ready.chain(pending).chain(unloaded).collect();
@@ -85,29 +85,29 @@
 /// On a large site their holders are queried first, since earlier reports are too stale; `Err` holds the time until
 /// which to wait for their reports.
 pub(super) fn query_before_send(
-    board: &TargetTable,
+    table: &TargetTable,
     request: &CallRequest,
     attempts: &mut Attempts,
     draw: impl Fn(&TargetTable) -> Vec<Arc<str>>,
     now: Instant,
 ) -> Result<Vec<Arc<str>>, Instant> {
-    if !board.is_large_site() {
-        return Ok(draw(board));
+    if !table.is_large_site() {
+        return Ok(draw(table));
     }
     if let Some(round) = &attempts.query
         && now.saturating_duration_since(round.since) < QUERY_TTL
     {
-        let present = |target: &&Arc<str>| board.links.contains_key(*target);
+        let present = |target: &&Arc<str>| table.links.contains_key(*target);
         let targets: Vec<Arc<str>> = round.targets.iter().filter(present).cloned().collect();
-        let has_reported = |target: &Arc<str>| board.links[target].has_report_since(round.since);
+        let has_reported = |target: &Arc<str>| table.links[target].has_report_since(round.since);
         let until = round.since + QUERY_TIMEOUT;
         return match now >= until || targets.iter().all(has_reported) {
             true => Ok(targets),
             false => Err(until),
         };
     }
-    let targets = draw(board);
-    if !query_all(board, request, &targets) {
+    let targets = draw(table);
+    if !query_all(table, request, &targets) {
         return Ok(targets);
     }
     attempts.query = Some(QueryRound {
@@ -119,7 +119,7 @@
 
 /// Queries the holders of engines for their status; returns false if none of the engines has a holder.
 fn query_all(
-    board: &TargetTable,
+    table: &TargetTable,
     request: &CallRequest,
     targets: &[Arc<str>],
 ) -> bool {
@@ -127,7 +127,7 @@
     let adapter = generation.and_then(|generation| generation.adapter());
     let is_ready = |target: &Arc<str>| match adapter {
         Some(adapter) => {
-            let copy = board.adapters.get(adapter, target);
+            let copy = table.adapters.get(adapter, target);
             copy.is_some_and(|copy| copy.held().is_some())
         }
         None => true,
@@ -142,7 +142,7 @@
             true => 100 / ready.max(1) as u32,
             false => 0,
         };
-        queried += u32::from(board.query(EngineQuery {
+        queried += u32::from(table.query(EngineQuery {
             target: target.to_string(),
             adapter: adapter.unwrap_or_default().to_string(),
             chance,
--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -63,7 +63,7 @@
 
 /// A request that may run at a target; counted there until dropped.
 pub struct InFlightRequest {
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     target: Arc<str>,
     /// Incarnation of the target that it runs at.
     started: Option<TargetStart>,
@@ -75,7 +75,7 @@
 
 impl InFlightRequest {
     fn start(
-        board: &Rc<RefCell<TargetTable>>,
+        table: &Rc<RefCell<TargetTable>>,
         request: &CallRequest,
         target: &Arc<str>,
     ) -> Self {
@@ -85,10 +85,10 @@
             all: u64::from(generation.tokens_in) + u64::from(generation.tokens_out),
             prompt: u64::from(generation.tokens_in),
         });
-        let started = board.borrow().incarnation(target);
-        board.borrow_mut().start_request(target, adapter, tokens);
+        let started = table.borrow().incarnation(target);
+        table.borrow_mut().start_request(target, adapter, tokens);
         Self {
-            board: board.clone(),
+            table: table.clone(),
             target: target.clone(),
             started,
             adapter: adapter.map(str::to_string),
@@ -102,8 +102,8 @@
         &self,
         change: impl FnOnce(&mut TargetLink),
     ) {
-        let mut board = self.board.borrow_mut();
-        let link = board.links.get_mut(&self.target);
+        let mut table = self.table.borrow_mut();
+        let link = table.links.get_mut(&self.target);
         if let Some(link) = link.filter(|link| link.view.record.started == self.started) {
             change(link);
         }
@@ -111,8 +111,8 @@
 
     /// Returns true if the target still has the incarnation that the request was sent to.
     fn has_same_incarnation(&self) -> bool {
-        let board = self.board.borrow();
-        let link = board.links.get(&self.target);
+        let table = self.table.borrow();
+        let link = table.links.get(&self.target);
         link.is_some_and(|link| link.view.record.started == self.started)
     }
 
@@ -133,9 +133,9 @@
             status: head.status,
             headers: &head.headers,
         };
-        let mut board = self.board.borrow_mut();
+        let mut table = self.table.borrow_mut();
         let (target, start) = (&self.target, self.started);
-        board
+        table
             .notices
             .on_answer(target, start, &notice, sent, Instant::now());
     }
@@ -206,8 +206,8 @@
         &self,
         time: Duration,
     ) -> bool {
-        let board = self.in_flight.board.borrow();
-        let link = board.links.get(&self.in_flight.target);
+        let table = self.in_flight.table.borrow();
+        let link = table.links.get(&self.in_flight.target);
         let link = link.filter(|link| link.view.record.started == self.in_flight.started);
         link.is_none_or(|link| link.is_silent(time, Instant::now()))
     }
@@ -254,28 +254,28 @@
 /// Sends a request to a target and reads its answer: up to the first piece for streams, otherwise completely if it is
 /// not too large.
 pub async fn send(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     names: &HeaderNames,
     request: &CallRequest,
     destination: &Destination,
     streams: bool,
 ) -> SendOutcome {
     let started_at = Instant::now();
-    let no_backlog = backlog(board, &destination.target) == 0;
-    let in_flight = InFlightRequest::start(board, request, &destination.target);
+    let no_backlog = backlog(table, &destination.target) == 0;
+    let in_flight = InFlightRequest::start(table, request, &destination.target);
     let Some(mut connection) = connect(&in_flight).await else {
         return SendOutcome::Ended(AttemptEnd::NotSent);
     };
     let now = Instant::now();
     // Connecting may have taken long, and the connection may lead to an earlier incarnation.
-    if !board.borrow().is_usable(&destination.target, now) || !in_flight.has_same_incarnation() {
+    if !table.borrow().is_usable(&destination.target, now) || !in_flight.has_same_incarnation() {
         return SendOutcome::Ended(AttemptEnd::NotSent);
     }
-    if !may_send(board, request, destination, now) {
+    if !may_send(table, request, destination, now) {
         in_flight.release(connection, None);
         return SendOutcome::Withheld;
     }
-    board.borrow_mut().record_send_staleness(now);
+    table.borrow_mut().record_send_staleness(now);
     let bytes = request_bytes(names, request, destination, now);
     let is_own_answer =
         |head: &ResponseHead| head.headers.get(&names.request_id) == request.id.as_ref();
@@ -321,8 +321,8 @@
     if no_backlog {
         let time = started_at.elapsed();
         let tokens = source.in_flight.tokens.prompt;
-        let mut board = board.borrow_mut();
-        board
+        let mut table = table.borrow_mut();
+        table
             .prefill_throughput(&request.service.name)
             .on_first_event(tokens, time);
     }
@@ -337,18 +337,18 @@
 /// Returns true if the list of targets and the adapter's version are fresh enough, the key is valid, and the target has
 /// not announced that it accepts no requests.
 fn may_send(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     request: &CallRequest,
     destination: &Destination,
     now: Instant,
 ) -> bool {
-    let board = board.borrow();
+    let table = table.borrow();
     let generation = request.generation.as_ref();
     let adapter = generation.and_then(|generation| generation.adapter());
     let version_serves = adapter
         .zip(destination.version)
         .is_none_or(|(adapter, sent)| {
-            let until = board.version_deadline(adapter, sent.version);
+            let until = table.version_deadline(adapter, sent.version);
             until.can_begin(sent.wait, now)
         });
     // A resumed stream was started while its key was valid.
@@ -357,17 +357,17 @@
         || request
             .credential
             .as_ref()
-            .is_none_or(|credential| board.key_status(credential, now) == KeyStatus::Valid);
-    let is_closed = board.is_rejecting_requests(&destination.target, now);
-    version_serves && key_is_valid && !is_closed && board.can_send(now)
+            .is_none_or(|credential| table.key_status(credential, now) == KeyStatus::Valid);
+    let is_closed = table.is_rejecting_requests(&destination.target, now);
+    version_serves && key_is_valid && !is_closed && table.can_send(now)
 }
 
 fn backlog(
-    board: &Rc<RefCell<TargetTable>>,
+    table: &Rc<RefCell<TargetTable>>,
     target: &str,
 ) -> u64 {
-    let board = board.borrow();
-    board
+    let table = table.borrow();
+    table
         .links
         .get(target)
         .map_or(0, |link| link.backlog_tokens())
@@ -375,8 +375,8 @@
 
 async fn connect(in_flight: &InFlightRequest) -> Option<HttpConnection> {
     let address = {
-        let mut board = in_flight.board.borrow_mut();
-        let link = board.links.get_mut(&in_flight.target)?;
+        let mut table = in_flight.table.borrow_mut();
+        let link = table.links.get_mut(&in_flight.target)?;
         if let Some(connection) = link.take_idle(Instant::now()) {
             return Some(connection);
         }
--- a/src/connection/front/front_listener.rs
+++ b/src/connection/front/front_listener.rs
@@ -59,7 +59,7 @@
 pub struct FrontListener {
     dispatcher: Rc<Dispatcher>,
     reader: RequestReader,
-    board: Rc<RefCell<TargetTable>>,
+    table: Rc<RefCell<TargetTable>>,
     formats: Arc<dyn Formats>,
     stop: watch::Receiver<StopStage>,
     open_connections: Arc<AtomicUsize>,
@@ -67,16 +67,16 @@
 
 impl FrontListener {
     pub fn new(
-        board: Rc<RefCell<TargetTable>>,
+        table: Rc<RefCell<TargetTable>>,
         formats: Arc<dyn Formats>,
         hall: &str,
         stop: watch::Receiver<StopStage>,
         open_connections: Arc<AtomicUsize>,
     ) -> Self {
         Self {
-            dispatcher: Rc::new(Dispatcher::new(board.clone(), formats.clone(), hall)),
+            dispatcher: Rc::new(Dispatcher::new(table.clone(), formats.clone(), hall)),
             reader: RequestReader::new(formats.clone()),
-            board,
+            table,
             formats,
             stop,
             open_connections,
@@ -104,7 +104,7 @@
     ) {
         let _ = stream.set_nodelay(true);
         let _open = OpenConnection::start(&self.open_connections);
-        let limits = self.board.borrow().routing().limits;
+        let limits = self.table.borrow().routing().limits;
         let front = self.clone();
         let service = service_fn(move |request| front.clone().answer(request));
         let connection = Builder::new()
@@ -138,16 +138,16 @@
             )));
         }
         let id_text = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
-        if !wait_until_fresh(&self.board, FreshnessCheck::Declared, id_text).await {
+        if !wait_until_fresh(&self.table, FreshnessCheck::Declared, id_text).await {
             return Ok(error_response(LocalAnswer::after(
                 ErrorCause::StaleTables,
                 STALE_RETRY_AFTER,
             )));
         }
-        self.board
+        self.table
             .borrow_mut()
             .record_routing_staleness(Instant::now());
-        let routing = self.board.borrow().routing().clone();
+        let routing = self.table.borrow().routing().clone();
         let draw = rand::rng().random::<f64>();
         match self.reader.read(request, &routing, arrived, draw).await {
             Ok(request) => Ok(self.dispatcher.serve(request).await),
@@ -173,20 +173,20 @@
         id: &str,
     ) -> LocalAnswer {
         let now = Instant::now();
-        let board = self.board.borrow();
+        let table = self.table.borrow();
         let answer = match cause {
-            ErrorCause::UnknownKey if !board.can_reject_unknown_keys(now) => {
+            ErrorCause::UnknownKey if !table.can_reject_unknown_keys(now) => {
                 LocalAnswer::after(ErrorCause::StaleTables, STALE_RETRY_AFTER)
             }
             cause => LocalAnswer::new(cause),
         };
-        let age = board.freshness().declared.age(now);
+        let age = table.freshness().declared.age(now);
         note!(
             Event::RequestRejected,
             id = id,
             cause = cause.word(),
             answered = answer.cause.word(),
-            config = board.routing().version,
+            config = table.routing().version,
             age_ms = age.map_or(-1.0, millis),
         );
         answer
