--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -251,7 +251,7 @@
                 }
             }
             EngineChoice::Wait { until, expected } => {
-                // Overdue holders are asked again; the board limits the rate of these requests.
+                // Overdue holders are asked again; the table limits the rate of these requests.
                 for (at, target) in targets.iter().enumerate() {
                     if availability.is_overdue_at(table, target) {
                         request_adapter(table, attempts, &load_request(at, false), now);
--- a/src/connection/front/crash_probe.rs
+++ b/src/connection/front/crash_probe.rs
@@ -103,7 +103,7 @@
     begun: bool,
 ) {
     let lost_at = Instant::now();
-    let accused = SuspectRequest {
+    let suspect = SuspectRequest {
         begun,
         fingerprint: request.fingerprint(),
         id: request.id_text().to_string(),
@@ -117,7 +117,7 @@
         let Some(address) = link.map(|link| link.view.record.address) else {
             return;
         };
-        if !table.crashes.add_suspect(&incarnation, accused) {
+        if !table.crashes.add_suspect(&incarnation, suspect) {
             return;
         }
         address
@@ -161,12 +161,12 @@
     ) {
         let crashed = self.has_crashed(address).await;
         let mut table = self.table.borrow_mut();
-        let accused = table.crashes.take_suspects(&self.incarnation);
+        let suspects = table.crashes.take_suspects(&self.incarnation);
         if !crashed {
             note!(
                 Event::AccusationDropped,
                 target = self.incarnation.0,
-                requests = accused.len(),
+                requests = suspects.len(),
             );
             return;
         }
@@ -174,23 +174,23 @@
             .crashes
             .is_isolated_loss(&self.incarnation.0, self.lost_at);
         let end = CrashId::of(&self.incarnation.0, self.incarnation.1);
-        let others = accused.len() - 1;
-        for accused in &accused {
+        let others = suspects.len() - 1;
+        for suspect in &suspects {
             note!(
                 Event::RequestAccused,
-                id = accused.id,
-                fingerprint = accused.fingerprint,
+                id = suspect.id,
+                fingerprint = suspect.fingerprint,
                 target = self.incarnation.0,
-                begun = accused.begun,
+                begun = suspect.begun,
                 alone = alone,
                 beside = others,
             );
         }
-        let to_strike = |accused: &SuspectRequest| {
-            let begun = accused.begun;
-            (accused.fingerprint, CrashEvidence { end, begun, alone })
+        let to_evidence = |suspect: &SuspectRequest| {
+            let begun = suspect.begun;
+            (suspect.fingerprint, CrashEvidence { end, begun, alone })
         };
-        let evidence = accused.iter().map(to_strike).collect();
+        let evidence = suspects.iter().map(to_evidence).collect();
         table.report_poison(PoisonReport::Crashed { evidence });
     }
 
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -447,8 +447,8 @@
         request: &CallRequest,
     ) -> Option<ErrorCause> {
         let credential = request.credential.as_ref()?;
-        let key_standing = self.table.borrow().key_status(credential, Instant::now());
-        match key_standing {
+        let key_status = self.table.borrow().key_status(credential, Instant::now());
+        match key_status {
             KeyStatus::Valid => None,
             KeyStatus::Revoked => Some(ErrorCause::UnknownKey),
             KeyStatus::Reassigned | KeyStatus::Unconfirmed => Some(ErrorCause::StaleTables),
--- a/src/connection/targets/table_notices.rs
+++ b/src/connection/targets/table_notices.rs
@@ -69,8 +69,8 @@
         now: Instant,
     ) {
         let incarnation = self.incarnation(target);
-        if let Some(news) = self.notices.message_for_peer(target, incarnation, now) {
-            let request = PermitAsk { id, news };
+        if let Some(update) = self.notices.message_for_peer(target, incarnation, now) {
+            let request = PermitAsk { id, news: update };
             let _ = self.control.send(ControlRequest::RequestPermit(request));
         }
     }
