--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -156,7 +156,7 @@
             .collect();
         let terms = ChoiceContext {
             copy_price: Duration::ZERO,
-            time_to_aim: request.latency_deadline().saturating_duration_since(now),
+            time_to_goal: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
             policy: table.policy(),
             now,
@@ -199,7 +199,7 @@
         }
         let terms = ChoiceContext {
             copy_price: copy_cost(table, adapter, now),
-            time_to_aim: request.latency_deadline().saturating_duration_since(now),
+            time_to_goal: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
             policy: table.policy(),
             now,
@@ -210,7 +210,7 @@
             version: availability.newest,
             spare,
             max_load_time: terms
-                .time_to_aim
+                .time_to_goal
                 .saturating_sub(candidates[at].time_to_first_event),
         };
         match choose_engine(&candidates, &terms) {
--- a/src/request/direct/engine_choice.rs
+++ b/src/request/direct/engine_choice.rs
@@ -74,7 +74,7 @@
     /// Cost of another copy of the adapter, as the delay accepted to avoid it.
     pub copy_price: Duration,
     /// Time until the latency objective is missed.
-    pub time_to_aim: Duration,
+    pub time_to_goal: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
     pub policy: Policy,
@@ -221,7 +221,7 @@
     context: &ChoiceContext,
 ) -> bool {
     cost <= load_cost + TOLERATED_EXTRA_COST_S
-        || cost <= ACCEPTED_AIM_SHARE * context.time_to_aim.as_secs_f64()
+        || cost <= ACCEPTED_AIM_SHARE * context.time_to_goal.as_secs_f64()
 }
 
 fn has_due_time(copy_state: AdapterCopyState) -> bool {
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -218,7 +218,7 @@
 ) -> ChoiceContext {
     ChoiceContext {
         copy_price: ms(price_ms),
-        time_to_aim: ms(800),
+        time_to_goal: ms(800),
         priority: 2,
         policy: Policy::default(),
         now,
