--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -154,14 +154,14 @@
                 estimator.candidate(table, request, target, AdapterCopyState::Ready, attempts)
             })
             .collect();
-        let terms = ChoiceContext {
+        let context = ChoiceContext {
             copy_price: Duration::ZERO,
             time_to_goal: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
             policy: table.policy(),
             now,
         };
-        match choose_engine(&candidates, &terms) {
+        match choose_engine(&candidates, &context) {
             EngineChoice::Send { to, .. } => send_to(
                 table,
                 attempts,
@@ -197,7 +197,7 @@
                 availability.copy_at(table, target, candidate.time_to_first_event);
             candidates.push(candidate);
         }
-        let terms = ChoiceContext {
+        let context = ChoiceContext {
             copy_price: copy_cost(table, adapter, now),
             time_to_goal: request.latency_deadline().saturating_duration_since(now),
             priority: request.urgency,
@@ -209,11 +209,11 @@
             target: &targets[at],
             version: availability.newest,
             spare,
-            max_load_time: terms
+            max_load_time: context
                 .time_to_goal
                 .saturating_sub(candidates[at].time_to_first_event),
         };
-        match choose_engine(&candidates, &terms) {
+        match choose_engine(&candidates, &context) {
             EngineChoice::Send { to, .. }
                 if candidates[to].batch_share > 1.0 && attempts.discard_sample() =>
             {
@@ -257,7 +257,7 @@
                         request_adapter(table, attempts, &load_request(at, false), now);
                     }
                 }
-                let rejectable = expected.filter(|_| terms.policy.refuses_early);
+                let rejectable = expected.filter(|_| context.policy.refuses_early);
                 match rejectable
                     .map(|expected| wait_or_reject(&request_time(request, now), expected))
                 {
