--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -129,11 +129,11 @@
     }
 
     async fn charge(&self) -> Result<QuotaCharge, ChargeError> {
-        let mut asked = TriedParts::default();
+        let mut tried = TriedParts::default();
         loop {
-            match self.next_step(&asked) {
+            match self.next_step(&tried) {
                 QuotaStep::Request { part, charge } => {
-                    asked[part] = true;
+                    tried[part] = true;
                     if let Some(charged) = self.charge_part(part, charge).await {
                         return Ok(charged);
                     }
@@ -149,11 +149,11 @@
 
     fn next_step(
         &self,
-        asked: &TriedParts,
+        tried: &TriedParts,
     ) -> QuotaStep {
         let mut table = self.table.borrow_mut();
         let usage = table.quotas.of(self.customer);
-        usage.next_step(self.cost, asked, Instant::now())
+        usage.next_step(self.cost, tried, Instant::now())
     }
 
     /// Sends a charge to the host that counts one part of the quota; returns `None` if it was not granted.
