--- a/src/connection/front/exchange.rs
+++ b/src/connection/front/exchange.rs
@@ -65,8 +65,7 @@
 pub struct InFlightRequest {
     table: Rc<RefCell<TargetTable>>,
     target: Arc<str>,
-    /// Incarnation of the target that it runs at.
-    started: Option<TargetStart>,
+    incarnation: Option<TargetStart>,
     adapter: Option<String>,
     tokens: RequestTokens,
     /// True until the first byte of the answer arrives.
@@ -85,12 +84,12 @@
             all: u64::from(generation.tokens_in) + u64::from(generation.tokens_out),
             prompt: u64::from(generation.tokens_in),
         });
-        let started = table.borrow().incarnation(target);
+        let incarnation = table.borrow().incarnation(target);
         table.borrow_mut().start_request(target, adapter, tokens);
         Self {
             table: table.clone(),
             target: target.clone(),
-            started,
+            incarnation,
             adapter: adapter.map(str::to_string),
             tokens,
             is_prompt_unread: Cell::new(true),
@@ -104,7 +103,7 @@
     ) {
         let mut table = self.table.borrow_mut();
         let link = table.links.get_mut(&self.target);
-        if let Some(link) = link.filter(|link| link.view.record.started == self.started) {
+        if let Some(link) = link.filter(|link| link.view.record.started == self.incarnation) {
             change(link);
         }
     }
@@ -113,7 +112,7 @@
     fn has_same_incarnation(&self) -> bool {
         let table = self.table.borrow();
         let link = table.links.get(&self.target);
-        link.is_some_and(|link| link.view.record.started == self.started)
+        link.is_some_and(|link| link.view.record.started == self.incarnation)
     }
 
     /// Records that bytes have arrived from the target.
@@ -134,10 +133,10 @@
             headers: &head.headers,
         };
         let mut table = self.table.borrow_mut();
-        let (target, start) = (&self.target, self.started);
+        let (target, incarnation) = (&self.target, self.incarnation);
         table
             .notices
-            .on_answer(target, start, &notice, sent, Instant::now());
+            .on_answer(target, incarnation, &notice, sent, Instant::now());
     }
 
     /// Records that the target has read the prompt: the answer has started, or none will come.
@@ -208,7 +207,7 @@
     ) -> bool {
         let table = self.in_flight.table.borrow();
         let link = table.links.get(&self.in_flight.target);
-        let link = link.filter(|link| link.view.record.started == self.in_flight.started);
+        let link = link.filter(|link| link.view.record.started == self.in_flight.incarnation);
         link.is_none_or(|link| link.is_silent(time, Instant::now()))
     }
 
@@ -218,7 +217,7 @@
 
     /// Returns the incarnation of the target that answers.
     pub fn incarnation(&self) -> TargetIncarnation {
-        (self.in_flight.target.clone(), self.in_flight.started)
+        (self.in_flight.target.clone(), self.in_flight.incarnation)
     }
 
     /// Ends a completely read body, and returns the connection to the pool if it can be reused.
--- a/src/connection/targets/crash_tracker.rs
+++ b/src/connection/targets/crash_tracker.rs
@@ -98,10 +98,10 @@
     /// Adds a suspect that was lost at a target; returns true if the caller must probe the target.
     pub fn add_suspect(
         &mut self,
-        target: &TargetIncarnation,
+        incarnation: &TargetIncarnation,
         suspect: SuspectRequest,
     ) -> bool {
-        if let Some(others) = self.suspects.get_mut(target) {
+        if let Some(others) = self.suspects.get_mut(incarnation) {
             if others.len() < MAX_SUSPECTS {
                 others.push(suspect);
             }
@@ -110,16 +110,16 @@
         if self.suspects.len() >= MAX_PROBED_TARGETS {
             return false;
         }
-        self.suspects.insert(target.clone(), vec![suspect]);
+        self.suspects.insert(incarnation.clone(), vec![suspect]);
         true
     }
 
     /// Ends the probe of a target and returns its suspects.
     pub fn take_suspects(
         &mut self,
-        target: &TargetIncarnation,
+        incarnation: &TargetIncarnation,
     ) -> Vec<SuspectRequest> {
-        self.suspects.remove(target).unwrap_or_default()
+        self.suspects.remove(incarnation).unwrap_or_default()
     }
 
     /// Returns true if no other target broke off answers at about this time.
