--- a/src/connection/targets/control_request.rs
+++ b/src/connection/targets/control_request.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlRequest {
     /// Request an adapter from the holder of an engine.
-    RequestAdapter { holder: SocketAddr, want: Want },
+    RequestAdapter { holder: SocketAddr, request: Want },
     /// Report this host's usage of an engine to the engine's holder.
     ReportUsage { holder: SocketAddr, usage: Usage },
     /// Query the status of an engine from its holder.
@@ -28,9 +28,12 @@
     /// Report that a request crashed targets, or got a complete answer.
     ReportPoison(PoisonReport),
     /// Request a charge from the host that counts a customer's usage.
-    RequestCharge { to: SocketAddr, ask: ChargeAsk },
+    RequestCharge { to: SocketAddr, request: ChargeAsk },
     /// Request a concurrency slot of a plain service from the host that allocates them.
-    RequestSlot { to: SocketAddr, wanted: PlaceWanted },
+    RequestSlot {
+        to: SocketAddr,
+        request: PlaceWanted,
+    },
     /// Publish the changed notices of a target.
     PublishNotices {
         target: String,
@@ -39,7 +42,7 @@
     /// Request a permit to send one request to a target.
     RequestPermit(PermitAsk),
     /// Release a concurrency slot at the host that allocated it.
-    ReleaseSlot { to: SocketAddr, ended: PlaceEnded },
+    ReleaseSlot { to: SocketAddr, release: PlaceEnded },
     /// Return an unused part of a charge.
     RefundCharge {
         to: SocketAddr,
--- a/src/connection/targets/table_adapters.rs
+++ b/src/connection/targets/table_adapters.rs
@@ -148,7 +148,7 @@
             .adapter_waiters
             .get(adapter)
             .map_or((0, 0), |waiters| (waiters.count, waiters.priority));
-        let want = Want {
+        let request = Want {
             target: target.to_string(),
             adapter: adapter.to_string(),
             version: request.version,
@@ -159,7 +159,7 @@
         };
         let _ = self
             .control
-            .send(ControlRequest::RequestAdapter { holder, want });
+            .send(ControlRequest::RequestAdapter { holder, request });
         true
     }
 
--- a/src/connection/targets/table_counting.rs
+++ b/src/connection/targets/table_counting.rs
@@ -15,36 +15,40 @@
     /// known.
     pub fn request_charge(
         &self,
-        ask: ChargeAsk,
+        request: ChargeAsk,
     ) -> bool {
-        let Some(to) = self.hash_slot_holder(ask.slot as usize) else {
+        let Some(to) = self.hash_slot_holder(request.slot as usize) else {
             return false;
         };
-        let _ = self.control.send(ControlRequest::RequestCharge { to, ask });
+        let _ = self
+            .control
+            .send(ControlRequest::RequestCharge { to, request });
         true
     }
 
     /// Requests a concurrency slot at a target of a plain service; returns false if no allocating host is known.
     pub fn request_slot(
         &self,
-        wanted: PlaceWanted,
+        request: PlaceWanted,
     ) -> bool {
-        let Some(to) = self.slot_allocator(&wanted.service) else {
+        let Some(to) = self.slot_allocator(&request.service) else {
             return false;
         };
         let _ = self
             .control
-            .send(ControlRequest::RequestSlot { to, wanted });
+            .send(ControlRequest::RequestSlot { to, request });
         true
     }
 
     /// Returns a concurrency slot to the host that allocated it.
     pub fn release_slot(
         &self,
-        ended: PlaceEnded,
+        release: PlaceEnded,
     ) {
-        if let Some(to) = self.slot_allocator(&ended.service) {
-            let _ = self.control.send(ControlRequest::ReleaseSlot { to, ended });
+        if let Some(to) = self.slot_allocator(&release.service) {
+            let _ = self
+                .control
+                .send(ControlRequest::ReleaseSlot { to, release });
         }
     }
 
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -152,7 +152,7 @@
                 self.hosts.on_indirect_answer(vouch.peer.into());
                 Vec::new()
             }
-            Message::Want(want) => self.on_want(from, &want, now),
+            Message::Want(request) => self.on_want(from, &request, now),
             Message::Usage(usage) => {
                 if let Some(allocator) = self.allocators.get_mut(&usage.target) {
                     allocator.on_usage(from, &usage, now);
@@ -166,14 +166,14 @@
             Message::LoanAsk(request) => vec![ControlAction::LendQuota { to: from, request }],
             Message::Loan(loan) => vec![ControlAction::DeliverLoan(loan)],
             Message::PoisonNews(news) => self.on_poison_news(&news, now),
-            Message::ChargeAsk(ask) => vec![self.on_charge_ask(from, &ask, now)],
-            Message::PlaceWanted(wanted) => vec![self.on_slot_request(from, &wanted, now)],
+            Message::ChargeAsk(request) => vec![self.on_charge_ask(from, &request, now)],
+            Message::PlaceWanted(request) => vec![self.on_slot_request(from, &request, now)],
             Message::PlaceGiven(given) => vec![ControlAction::DeliverSlotResponse(given)],
             Message::TargetNews(news) => self.on_target_news(&news, now),
-            Message::PermitAsk(ask) => self.on_permit_ask(from, &ask, now),
+            Message::PermitAsk(request) => self.on_permit_ask(from, &request, now),
             Message::PermitAnswer(answer) => vec![ControlAction::DeliverPermitAnswer(answer)],
-            Message::PlaceEnded(ended) => {
-                self.on_slot_release(&ended);
+            Message::PlaceEnded(release) => {
+                self.on_slot_release(&release);
                 Vec::new()
             }
             Message::ChargeAnswer(answer) => vec![ControlAction::DeliverChargeAnswer(answer)],
@@ -194,12 +194,12 @@
     ) -> Vec<ControlAction> {
         let me = self.hosts.me().peer;
         match request {
-            ControlRequest::RequestAdapter { holder, want } if holder == me => {
-                self.on_want(me, &want, now)
+            ControlRequest::RequestAdapter { holder, request } if holder == me => {
+                self.on_want(me, &request, now)
             }
-            ControlRequest::RequestAdapter { holder, want } => vec![ControlAction::Send {
+            ControlRequest::RequestAdapter { holder, request } => vec![ControlAction::Send {
                 to: holder,
-                message: Message::Want(want),
+                message: Message::Want(request),
             }],
             ControlRequest::ReportUsage { holder, usage } if holder == me => {
                 if let Some(allocator) = self.allocators.get_mut(&usage.target) {
@@ -225,31 +225,31 @@
                 Vec::new()
             }
             ControlRequest::ReportPoison(report) => self.on_poison_report(report, now),
-            ControlRequest::RequestCharge { to, ask } if to == me => {
-                vec![self.on_charge_ask(me, &ask, now)]
+            ControlRequest::RequestCharge { to, request } if to == me => {
+                vec![self.on_charge_ask(me, &request, now)]
             }
-            ControlRequest::RequestCharge { to, ask } => vec![ControlAction::Send {
+            ControlRequest::RequestCharge { to, request } => vec![ControlAction::Send {
                 to,
-                message: Message::ChargeAsk(ask),
+                message: Message::ChargeAsk(request),
             }],
-            ControlRequest::RequestSlot { to, wanted } if to == me => {
-                vec![self.on_slot_request(me, &wanted, now)]
+            ControlRequest::RequestSlot { to, request } if to == me => {
+                vec![self.on_slot_request(me, &request, now)]
             }
-            ControlRequest::RequestSlot { to, wanted } => vec![ControlAction::Send {
+            ControlRequest::RequestSlot { to, request } => vec![ControlAction::Send {
                 to,
-                message: Message::PlaceWanted(wanted),
+                message: Message::PlaceWanted(request),
             }],
             ControlRequest::PublishNotices { target, notices } => {
                 self.on_response_notices(&target, &notices, now)
             }
-            ControlRequest::RequestPermit(ask) => self.request_permit(ask, now),
-            ControlRequest::ReleaseSlot { to, ended } if to == me => {
-                self.on_slot_release(&ended);
+            ControlRequest::RequestPermit(request) => self.request_permit(request, now),
+            ControlRequest::ReleaseSlot { to, release } if to == me => {
+                self.on_slot_release(&release);
                 Vec::new()
             }
-            ControlRequest::ReleaseSlot { to, ended } => vec![ControlAction::Send {
+            ControlRequest::ReleaseSlot { to, release } => vec![ControlAction::Send {
                 to,
-                message: Message::PlaceEnded(ended),
+                message: Message::PlaceEnded(release),
             }],
             ControlRequest::RefundCharge { to, refund } if to == me => {
                 self.on_charge_refund(&refund, now);
@@ -259,7 +259,9 @@
                 to,
                 message: Message::ChargeRefund(refund),
             }],
-            ControlRequest::RequestLoan(ask) => self.request_loan(ask).into_iter().collect(),
+            ControlRequest::RequestLoan(request) => {
+                self.request_loan(request).into_iter().collect()
+            }
             ControlRequest::GrantLoan { to, loan } => vec![ControlAction::Send {
                 to,
                 message: Message::Loan(loan),
