--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -99,10 +99,10 @@
         request: &LoanAsk,
         now: Instant,
     ) -> Option<Loan> {
-        let lent = self
+        let granted = self
             .of(&request.service)
             .lend(f64::from(request.amount) / UNITS_PER_REPEAT, now);
-        let amount = (lent * UNITS_PER_REPEAT).floor() as u32;
+        let amount = (granted * UNITS_PER_REPEAT).floor() as u32;
         if amount == 0 {
             return None;
         }
@@ -161,7 +161,7 @@
         hosts = usage.hosts,
         share = thousandths(usage.share),
         spent = thousandths(usage.spent),
-        lent = thousandths(usage.lent),
+        lent = thousandths(usage.granted),
         earned_left = thousandths(usage.earned_left),
         borrowed_left = thousandths(usage.borrowed_left),
     );
@@ -179,7 +179,7 @@
     for (state, amount) in [
         ("share", sum.share),
         ("spent", sum.spent),
-        ("lent", sum.lent),
+        ("lent", sum.granted),
         ("earned_left", sum.earned_left),
         ("borrowed_left", sum.borrowed_left),
     ] {
