--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -161,7 +161,7 @@
         hosts = usage.hosts,
         share = thousandths(usage.share),
         spent = thousandths(usage.spent),
-        lent = thousandths(usage.granted),
+        lent = thousandths(usage.lent),
         earned_left = thousandths(usage.earned_left),
         borrowed_left = thousandths(usage.borrowed_left),
     );
