--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -37,7 +37,7 @@
 }
 
 impl RelayEnd {
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Complete => "whole",
             Self::CallerGone => "caller_gone",
@@ -202,7 +202,7 @@
         note!(
             event,
             id = self.request.id_text(),
-            cause = end.word(),
+            cause = end.label(),
             target = source.target(),
             after_ms = millis(self.request.arrived.elapsed()),
             last_event = self.events.last_id().unwrap_or_default(),
@@ -221,7 +221,7 @@
         note!(
             Event::RequestCut,
             id = self.request.id_text(),
-            cause = end.word(),
+            cause = end.label(),
             target = target,
             after_ms = millis(self.request.arrived.elapsed()),
             last_event = self.events.last_id().unwrap_or_default(),
