--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -179,7 +179,7 @@
     for (state, amount) in [
         ("share", sum.share),
         ("spent", sum.spent),
-        ("lent", sum.granted),
+        ("lent", sum.lent),
         ("earned_left", sum.earned_left),
         ("borrowed_left", sum.borrowed_left),
     ] {
