--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -80,7 +80,7 @@
     }
 
     /// Merges a target's notices received from another host.
-    pub(super) fn on_target_news(
+    pub(super) fn on_target_notices(
         &mut self,
         news: &TargetNews,
         now: Instant,
@@ -112,13 +112,13 @@
     }
 
     /// Answers a host's request for a permit to send one request to a target.
-    pub(super) fn on_permit_ask(
+    pub(super) fn on_permit_request(
         &mut self,
         from: SocketAddr,
         request: &PermitAsk,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let mut actions = self.on_target_news(&request.news, now);
+        let mut actions = self.on_target_notices(&request.news, now);
         let outcome = self.allocate_permit(&request.news, now);
         let state = match &outcome {
             Ok(()) => "granted",
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -165,12 +165,12 @@
             Message::EngineStanding(standing) => vec![ControlAction::DeliverEngineStatus(standing)],
             Message::LoanAsk(request) => vec![ControlAction::LendQuota { to: from, request }],
             Message::Loan(loan) => vec![ControlAction::DeliverLoan(loan)],
-            Message::PoisonNews(news) => self.on_poison_news(&news, now),
-            Message::ChargeAsk(ask) => vec![self.on_charge_ask(from, &ask, now)],
+            Message::PoisonNews(news) => self.on_poison_update(&news, now),
+            Message::ChargeAsk(ask) => vec![self.on_charge_request(from, &ask, now)],
             Message::PlaceWanted(wanted) => vec![self.on_slot_request(from, &wanted, now)],
             Message::PlaceGiven(given) => vec![ControlAction::DeliverSlotResponse(given)],
-            Message::TargetNews(news) => self.on_target_news(&news, now),
-            Message::PermitAsk(ask) => self.on_permit_ask(from, &ask, now),
+            Message::TargetNews(news) => self.on_target_notices(&news, now),
+            Message::PermitAsk(ask) => self.on_permit_request(from, &ask, now),
             Message::PermitAnswer(answer) => vec![ControlAction::DeliverPermitAnswer(answer)],
             Message::PlaceEnded(ended) => {
                 self.on_slot_release(&ended);
@@ -226,7 +226,7 @@
             }
             ControlRequest::ReportPoison(report) => self.on_poison_report(report, now),
             ControlRequest::RequestCharge { to, ask } if to == me => {
-                vec![self.on_charge_ask(me, &ask, now)]
+                vec![self.on_charge_request(me, &ask, now)]
             }
             ControlRequest::RequestCharge { to, ask } => vec![ControlAction::Send {
                 to,
@@ -292,7 +292,7 @@
                 to,
                 message: Message::PermitAsk(request),
             }],
-            _ => self.on_permit_ask(me, &request, now),
+            _ => self.on_permit_request(me, &request, now),
         }
     }
 
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -105,7 +105,7 @@
     }
 
     /// Merges the records sent by another host.
-    pub(super) fn on_poison_news(
+    pub(super) fn on_poison_update(
         &mut self,
         news: &PoisonNews,
         now: Instant,
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -76,7 +76,7 @@
     }
 
     /// Answers a host's request to charge a customer's quota.
-    pub(super) fn on_charge_ask(
+    pub(super) fn on_charge_request(
         &mut self,
         from: SocketAddr,
         request: &ChargeAsk,
