--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -118,7 +118,7 @@
             .min()
     }
 
-    pub(super) fn on_want(
+    pub(super) fn on_adapter_request(
         &mut self,
         from: SocketAddr,
         want: &Want,
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -152,7 +152,7 @@
                 self.hosts.on_indirect_answer(vouch.peer.into());
                 Vec::new()
             }
-            Message::Want(want) => self.on_want(from, &want, now),
+            Message::Want(want) => self.on_adapter_request(from, &want, now),
             Message::Usage(usage) => {
                 if let Some(allocator) = self.allocators.get_mut(&usage.target) {
                     allocator.on_usage(from, &usage, now);
@@ -195,7 +195,7 @@
         let me = self.hosts.me().peer;
         match request {
             ControlRequest::RequestAdapter { holder, want } if holder == me => {
-                self.on_want(me, &want, now)
+                self.on_adapter_request(me, &want, now)
             }
             ControlRequest::RequestAdapter { holder, want } => vec![ControlAction::Send {
                 to: holder,
