--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -78,7 +78,7 @@
     DeliverLoad(EngineLoad),
     /// Delivers the answer to an engine query to this host's own requests.
     DeliverEngineStatus(EngineStanding),
-    /// Delivers borrowed retry quota.
+    /// Delivers borrowed repeat budget.
     DeliverLoan(Loan),
     /// Delivers the answer to a charge on a customer's quota.
     DeliverChargeAnswer(ChargeAnswer),
@@ -102,7 +102,7 @@
     WritePoison {
         writes: Vec<RowWrite>,
     },
-    /// Answers another host's request to borrow retry quota.
+    /// Answers another host's request to borrow repeat budget.
     LendQuota {
         to: SocketAddr,
         request: LoanAsk,
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -122,7 +122,7 @@
         let requested = self.hosts.on_tick(now);
         let mut actions = self.host_actions(requested, now);
         actions.extend(self.take_host_events(now));
-        // Requests divide the extra retry quota by this number.
+        // Requests divide the extra repeat budget by this number.
         let known = self.hosts.known_count();
         if self.published_known_hosts != known {
             self.published_known_hosts = known;
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Asks the next host to lend retry quota; each round visits all hosts in a new order.
+    /// Asks the next host to lend repeat budget; each round visits all hosts in a new order.
     fn request_loan(
         &mut self,
         request: LoanAsk,
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -122,7 +122,7 @@
     pub(super) started: Instant,
     /// Completed rounds of queries to the seeds.
     pub(super) completed_seed_queries: usize,
-    /// Hosts still to be asked in this round to lend retry quota.
+    /// Hosts still to be asked in this round to lend repeat budget.
     pub(super) lenders: Vec<SocketAddr>,
     /// Number of known hosts that was last published to requests.
     pub(super) published_known_hosts: usize,
