--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -64,7 +64,7 @@
     ) -> Vec<ControlAction> {
         let id = record.id.clone();
         let known = self.targets.get(&id);
-        let known = known.or_else(|| self.ended_targets.get(&id));
+        let known = known.or_else(|| self.removed_targets.get(&id));
         let entry_order = known.map_or(EntryOrder::Current, |known| known.compare(&record));
         match entry_order {
             EntryOrder::Current => {}
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -91,7 +91,7 @@
     pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
     /// Targets that are no longer used, retained to recognize entries that arrive late.
-    pub(super) ended_targets: RemovedTargets,
+    pub(super) removed_targets: RemovedTargets,
     /// The engines among the targets; `None` once targets or the configuration have changed.
     pub(super) engines: Option<Arc<BTreeMap<String, String>>>,
     /// Engines that no responsive host holds.
@@ -180,7 +180,7 @@
             unanswered_orders: HashMap::new(),
             shared: SharedAllocatorState::new(policy),
             targets: BTreeMap::new(),
-            ended_targets: RemovedTargets::default(),
+            removed_targets: RemovedTargets::default(),
             engines: None,
             open_engines: UnclaimedEngines::default(),
             takers: TakerSelection::default(),
@@ -470,7 +470,7 @@
         for id in gone {
             note!(Event::TargetForgotten, target = id);
             if let Some(target) = self.targets.remove(&id) {
-                self.ended_targets.note(id, target, now);
+                self.removed_targets.insert(id, target, now);
             }
             self.engines = None;
             self.changed = true;
--- a/src/process/host/removed_targets.rs
+++ b/src/process/host/removed_targets.rs
@@ -21,7 +21,7 @@
 
 impl RemovedTargets {
     /// Records a removed target and evicts expired ones.
-    pub fn note(
+    pub fn insert(
         &mut self,
         id: String,
         target: ListedTarget,
