--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -6,7 +6,7 @@
         clock::Instant,
         connection::datagram::{Message, PlaceEnded, PlaceGiven, PlaceWanted},
         metrics::{StateLabels, metrics},
-        request::{
+        slot_request::{
             places::{ServiceSlots, SlotRequest, SlotResponse},
             quotas::{shard_for, shard_lease},
         },
@@ -102,12 +102,12 @@
                 .map(|(id, target)| (id.as_str(), target.record.slots));
             allocated.slots.set_targets(targets);
         }
-        let request = SlotRequest {
+        let slot_request = SlotRequest {
             id: wanted.id,
             excluded: &wanted.passed_over,
             latency_goal: Duration::from_millis(u64::from(wanted.aim_ms)),
             time_left: Duration::from_millis(u64::from(wanted.left_ms)),
         };
-        allocated.slots.acquire(&request, now)
+        allocated.slots.acquire(&slot_request, now)
     }
 }
