--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -121,18 +121,18 @@
     pub(super) fn on_adapter_request(
         &mut self,
         from: SocketAddr,
-        want: &Want,
+        request: &Want,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let is_holder = self.assignment.held_engine(&want.target, now).is_some();
-        if is_holder && self.allocators.contains_key(&want.target) {
-            return self.with_allocator(&want.target, now, |allocator| {
-                allocator.on_want(from, want, now)
+        let is_holder = self.assignment.held_engine(&request.target, now).is_some();
+        if is_holder && self.allocators.contains_key(&request.target) {
+            return self.with_allocator(&request.target, now, |allocator| {
+                allocator.on_want(from, request, now)
             });
         }
         let placement = Placement {
-            target: want.target.clone(),
-            adapter: want.adapter.clone(),
+            target: request.target.clone(),
+            adapter: request.adapter.clone(),
             version: 0,
             state: PlacementState::NotHolder as i32,
             due_ms: 0,
--- a/src/process/host/control_notices.rs
+++ b/src/process/host/control_notices.rs
@@ -68,8 +68,8 @@
         }
         match self.permit_host(target) {
             Some(permit_peer) if permit_peer != self.hosts.me().peer => {
-                let news = TargetNews::of(target, notices, now);
-                let message = Message::TargetNews(news);
+                let update = TargetNews::of(target, notices, now);
+                let message = Message::TargetNews(update);
                 vec![ControlAction::Send {
                     to: permit_peer,
                     message,
@@ -82,17 +82,17 @@
     /// Merges a target's notices received from another host.
     pub(super) fn on_target_notices(
         &mut self,
-        news: &TargetNews,
+        update: &TargetNews,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let notices = news.notices(now);
-        if !self.merge_notices(&news.target, &notices, now) {
+        let notices = update.notices(now);
+        if !self.merge_notices(&update.target, &notices, now) {
             return Vec::new();
         }
         let limit = notices.limit;
         note!(
             Event::TargetNoticeTold,
-            target = news.target,
+            target = update.target,
             leaves = notices.leaving,
             rate = limit.map_or(-1.0, |limit| limit.rate),
             ended = limit.is_some_and(|limit| limit.ended),
@@ -101,12 +101,12 @@
             }),
         );
         let mut actions = vec![ControlAction::DeliverNotices {
-            target: news.target.clone(),
+            target: update.target.clone(),
             notices,
         }];
         // Hosts report notices to the target's permit host, which broadcasts them.
-        if self.permit_host(&news.target) == Some(self.hosts.me().peer) {
-            actions.extend(self.broadcast_notices(&news.target, &notices, now));
+        if self.permit_host(&update.target) == Some(self.hosts.me().peer) {
+            actions.extend(self.broadcast_notices(&update.target, &notices, now));
         }
         actions
     }
@@ -138,20 +138,20 @@
 
     fn allocate_permit(
         &mut self,
-        news: &TargetNews,
+        update: &TargetNews,
         now: Instant,
     ) -> Result<(), Duration> {
-        if self.permit_host(&news.target) != Some(self.hosts.me().peer) {
+        if self.permit_host(&update.target) != Some(self.hosts.me().peer) {
             return Err(WRONG_HOST_RETRY_DELAY);
         }
-        let start = news.notices(now).start;
-        let merged = self.notices.registry.get(&news.target, start);
+        let start = update.notices(now).start;
+        let merged = self.notices.registry.get(&update.target, start);
         let limit = merged.and_then(|notices| notices.limit);
         match limit.and_then(|limit| limit.rate_at(now)) {
             Some(rate) => self
                 .notices
                 .allocator
-                .request(&news.target, start, rate, now),
+                .request(&update.target, start, rate, now),
             // The limit has ended, and the requesting host does not know it yet.
             None => Ok(()),
         }
@@ -217,11 +217,11 @@
         {
             broadcast.remaining -= 1;
             broadcast.due = now + BROADCAST_INTERVAL;
-            let news = TargetNews::of(&broadcast.target, &broadcast.notices, now);
+            let update = TargetNews::of(&broadcast.target, &broadcast.notices, now);
             let up = self.hosts.hosts().filter(|host| host.state.is_up());
             actions.extend(up.map(|host| ControlAction::Send {
                 to: host.identity.peer,
-                message: Message::TargetNews(news.clone()),
+                message: Message::TargetNews(update.clone()),
             }));
         }
         pending_broadcasts.retain(|broadcast| broadcast.remaining > 0);
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -152,7 +152,7 @@
                 self.hosts.on_indirect_answer(vouch.peer.into());
                 Vec::new()
             }
-            Message::Want(want) => self.on_adapter_request(from, &want, now),
+            Message::Want(request) => self.on_adapter_request(from, &request, now),
             Message::Usage(usage) => {
                 if let Some(allocator) = self.allocators.get_mut(&usage.target) {
                     allocator.on_usage(from, &usage, now);
@@ -162,15 +162,15 @@
             Message::Placement(placement) => vec![ControlAction::DeliverPlacement(placement)],
             Message::EngineLoad(load) => vec![ControlAction::DeliverLoad(load)],
             Message::EngineQuery(query) => self.on_query(from, &query, now).into_iter().collect(),
-            Message::EngineStanding(standing) => vec![ControlAction::DeliverEngineStatus(standing)],
+            Message::EngineStanding(status) => vec![ControlAction::DeliverEngineStatus(status)],
             Message::LoanAsk(request) => vec![ControlAction::LendQuota { to: from, request }],
             Message::Loan(loan) => vec![ControlAction::DeliverLoan(loan)],
-            Message::PoisonNews(news) => self.on_poison_update(&news, now),
-            Message::ChargeAsk(ask) => vec![self.on_charge_request(from, &ask, now)],
-            Message::PlaceWanted(wanted) => vec![self.on_slot_request(from, &wanted, now)],
+            Message::PoisonNews(update) => self.on_poison_update(&update, now),
+            Message::ChargeAsk(request) => vec![self.on_charge_request(from, &request, now)],
+            Message::PlaceWanted(request) => vec![self.on_slot_request(from, &request, now)],
             Message::PlaceGiven(given) => vec![ControlAction::DeliverSlotResponse(given)],
-            Message::TargetNews(news) => self.on_target_notices(&news, now),
-            Message::PermitAsk(ask) => self.on_permit_request(from, &ask, now),
+            Message::TargetNews(update) => self.on_target_notices(&update, now),
+            Message::PermitAsk(request) => self.on_permit_request(from, &request, now),
             Message::PermitAnswer(answer) => vec![ControlAction::DeliverPermitAnswer(answer)],
             Message::PlaceEnded(ended) => {
                 self.on_slot_release(&ended);
@@ -242,7 +242,7 @@
             ControlRequest::PublishNotices { target, notices } => {
                 self.on_response_notices(&target, &notices, now)
             }
-            ControlRequest::RequestPermit(ask) => self.request_permit(ask, now),
+            ControlRequest::RequestPermit(request) => self.request_permit(request, now),
             ControlRequest::ReleaseSlot { to, ended } if to == me => {
                 self.on_slot_release(&ended);
                 Vec::new()
@@ -259,7 +259,9 @@
                 to,
                 message: Message::ChargeRefund(refund),
             }],
-            ControlRequest::RequestLoan(ask) => self.request_loan(ask).into_iter().collect(),
+            ControlRequest::RequestLoan(request) => {
+                self.request_loan(request).into_iter().collect()
+            }
             ControlRequest::GrantLoan { to, loan } => vec![ControlAction::Send {
                 to,
                 message: Message::Loan(loan),
@@ -308,7 +310,7 @@
         match message {
             Message::Placement(placement) => ControlAction::DeliverPlacement(placement),
             Message::EngineLoad(load) => ControlAction::DeliverLoad(load),
-            Message::EngineStanding(standing) => ControlAction::DeliverEngineStatus(standing),
+            Message::EngineStanding(status) => ControlAction::DeliverEngineStatus(status),
             Message::ChargeAnswer(answer) => ControlAction::DeliverChargeAnswer(answer),
             Message::PlaceGiven(given) => ControlAction::DeliverSlotResponse(given),
             Message::PermitAnswer(answer) => ControlAction::DeliverPermitAnswer(answer),
--- a/src/process/host/control_places.rs
+++ b/src/process/host/control_places.rs
@@ -6,7 +6,7 @@
         clock::Instant,
         connection::datagram::{Message, PlaceEnded, PlaceGiven, PlaceWanted},
         metrics::{StateLabels, metrics},
-        slot_request::{
+        request::{
             places::{ServiceSlots, SlotRequest, SlotResponse},
             quotas::{shard_for, shard_lease},
         },
@@ -40,14 +40,14 @@
     pub(super) fn on_slot_request(
         &mut self,
         from: SocketAddr,
-        wanted: &PlaceWanted,
+        request: &PlaceWanted,
         now: Instant,
     ) -> ControlAction {
         let mut response = PlaceGiven {
-            id: wanted.id,
+            id: request.id,
             ..PlaceGiven::default()
         };
-        let state = match self.allocate_slot(wanted, now) {
+        let state = match self.allocate_slot(request, now) {
             SlotResponse::Granted { target } => {
                 response.target = target.to_string();
                 "granted"
@@ -80,22 +80,22 @@
 
     fn allocate_slot(
         &mut self,
-        wanted: &PlaceWanted,
+        request: &PlaceWanted,
         now: Instant,
     ) -> SlotResponse {
-        let hash_slot = shard_lease(shard_for(&wanted.service, 0));
+        let hash_slot = shard_lease(shard_for(&request.service, 0));
         if self.assignment.held_engine(&hash_slot, now).is_none() {
             return SlotResponse::NoTarget;
         }
         let allocated = self
             .allocated_slots
-            .entry(wanted.service.clone())
+            .entry(request.service.clone())
             .or_default();
         if allocated.is_refresh_due(now) {
             allocated.refreshed_at = Some(now);
             let targets = self.targets.iter();
             let targets = targets
-                .filter(|(_, target)| target.record.service == wanted.service)
+                .filter(|(_, target)| target.record.service == request.service)
                 .filter(|(id, target)| {
                     target.is_usable() && !self.notices.has_announced_leaving(id, target)
                 })
@@ -103,10 +103,10 @@
             allocated.slots.set_targets(targets);
         }
         let slot_request = SlotRequest {
-            id: wanted.id,
-            excluded: &wanted.passed_over,
-            latency_goal: Duration::from_millis(u64::from(wanted.aim_ms)),
-            time_left: Duration::from_millis(u64::from(wanted.left_ms)),
+            id: request.id,
+            excluded: &request.passed_over,
+            latency_goal: Duration::from_millis(u64::from(request.aim_ms)),
+            time_left: Duration::from_millis(u64::from(request.left_ms)),
         };
         allocated.slots.acquire(&slot_request, now)
     }
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -107,10 +107,10 @@
     /// Merges the records sent by another host.
     pub(super) fn on_poison_update(
         &mut self,
-        news: &PoisonNews,
+        update: &PoisonNews,
         now: Instant,
     ) -> Vec<ControlAction> {
-        let updates = news.entries.iter().filter_map(update_from_wire);
+        let updates = update.entries.iter().filter_map(update_from_wire);
         let updates: Vec<PoisonUpdate> = updates.collect();
         let changed = self.merge_poison(&updates, now);
         self.publish_statuses(&changed, "host")
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -58,7 +58,7 @@
     requests: flume::Receiver<ControlRequest>,
     traffic: flume::Sender<TrafficInput>,
     calls: Rc<CallPool>,
-    copies: TableReader,
+    table_reader: TableReader,
 }
 
 impl ControlRunner {
@@ -76,7 +76,7 @@
         let store = Rc::new(store);
         let calls = Rc::<CallPool>::default();
         Self {
-            copies: TableReader {
+            table_reader: TableReader {
                 formats: formats.clone(),
                 store: store.clone(),
                 calls: calls.clone(),
@@ -144,12 +144,14 @@
     ) {
         match action {
             ControlAction::Send { to, message } => self.socket.send(to, message),
-            ControlAction::ReadChanges { table, since } => self.copies.read_changes(table, since),
-            ControlAction::ReadTable { table } => self.copies.read_table(table),
+            ControlAction::ReadChanges { table, since } => {
+                self.table_reader.read_changes(table, since)
+            }
+            ControlAction::ReadTable { table } => self.table_reader.read_table(table),
             ControlAction::PullChanges { table, from, since } => {
-                self.copies.pull(table, from, since);
+                self.table_reader.pull(table, from, since);
             }
-            ControlAction::PullHosts { from } => self.copies.pull_hosts(from),
+            ControlAction::PullHosts { from } => self.table_reader.pull_hosts(from),
             ControlAction::Renew { transaction } => self.renew(transaction),
             ControlAction::ReadHolders { term } => self.read_holders(term),
             ControlAction::TakeEngines {
@@ -167,15 +169,15 @@
                 self.request_report(target, address)
             }
             ControlAction::PublishView(view) => self.send_to_traffic(TrafficInput::View(view)),
-            ControlAction::PublishFreshness(confirmation) => {
-                self.send_to_traffic(TrafficInput::Freshness(confirmation));
+            ControlAction::PublishFreshness(freshness) => {
+                self.send_to_traffic(TrafficInput::Freshness(freshness));
             }
             ControlAction::DeliverPlacement(placement) => {
                 self.send_to_traffic(TrafficInput::Placement(placement));
             }
             ControlAction::DeliverLoad(load) => self.send_to_traffic(TrafficInput::Load(load)),
-            ControlAction::DeliverEngineStatus(standing) => {
-                self.send_to_traffic(TrafficInput::EngineStatus(standing));
+            ControlAction::DeliverEngineStatus(status) => {
+                self.send_to_traffic(TrafficInput::EngineStatus(status));
             }
             ControlAction::DeliverSlotResponse(given) => {
                 self.send_to_traffic(TrafficInput::SlotAnswer(given))
