--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -18,7 +18,7 @@
     ) {
         self.set_host_gauges();
         self.set_target_gauges();
-        self.set_copy_gauges(now);
+        self.set_replica_gauges(now);
         self.set_holding_gauges(now);
     }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    fn set_copy_gauges(
+    fn set_replica_gauges(
         &self,
         now: Instant,
     ) {
