--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -148,8 +148,8 @@
                 actions
             }
             Message::PingRequest(request) => self.on_ping_request(from, &request, now),
-            Message::Vouch(vouch) => {
-                self.hosts.on_indirect_answer(vouch.peer.into());
+            Message::Vouch(attestation) => {
+                self.hosts.on_indirect_answer(attestation.peer.into());
                 Vec::new()
             }
             Message::Want(request) => self.on_adapter_request(from, &request, now),
@@ -400,10 +400,10 @@
             host.state.is_up() && host.heard.is_some_and(recent)
         });
         if was_heard_recently {
-            let vouch = Vouch { peer: request.peer };
+            let attestation = Vouch { peer: request.peer };
             return vec![ControlAction::Send {
                 to: from,
-                message: Message::Vouch(vouch),
+                message: Message::Vouch(attestation),
             }];
         }
         vec![ControlAction::Send {
