--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -70,7 +70,7 @@
     },
     /// Publishes a new view to requests.
     PublishView(Arc<FleetView>),
-    /// Publishes a newer freshness of the current view to requests.
+    /// Publishes the freshness of an unchanged view to requests.
     PublishFreshness(ReplicaFreshness),
     /// Delivers where an adapter was placed to this host's own requests.
     DeliverPlacement(Placement),
@@ -98,7 +98,7 @@
     },
     /// Reads the stored requests that crash targets.
     ReadPoison,
-    /// Writes what is known of such requests to the store.
+    /// Writes crash records of requests to the store.
     WritePoison {
         writes: Vec<RowWrite>,
     },
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -50,7 +50,7 @@
 /// Added to the minimum for each target, as the cost of a view grows with the number of targets.
 const PUBLISH_INTERVAL_PER_TARGET: Duration = Duration::from_micros(50);
 
-/// Minimum advance of a replica's confirmation time that is published without a new view.
+/// Minimum advance of a replica's freshness that is published without a new view.
 const MIN_FRESHNESS_STEP: Duration = Duration::from_millis(100);
 
 /// Share of the drain bound for which a target is used after its entry has vanished.
