--- a/src/connection/targets/repeat_budgets.rs
+++ b/src/connection/targets/repeat_budgets.rs
@@ -99,10 +99,10 @@
         request: &LoanAsk,
         now: Instant,
     ) -> Option<Loan> {
-        let lent = self
+        let granted = self
             .of(&request.service)
             .lend(f64::from(request.amount) / UNITS_PER_REPEAT, now);
-        let amount = (lent * UNITS_PER_REPEAT).floor() as u32;
+        let amount = (granted * UNITS_PER_REPEAT).floor() as u32;
         if amount == 0 {
             return None;
         }
--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -70,7 +70,7 @@
     },
     /// Publishes a new view to requests.
     PublishView(Arc<FleetView>),
-    /// Publishes a newer freshness of the current view to requests.
+    /// Publishes the freshness of an unchanged view to requests.
     PublishFreshness(ReplicaFreshness),
     /// Delivers where an adapter was placed to this host's own requests.
     DeliverPlacement(Placement),
@@ -78,7 +78,7 @@
     DeliverLoad(EngineLoad),
     /// Delivers the answer to an engine query to this host's own requests.
     DeliverEngineStatus(EngineStanding),
-    /// Delivers borrowed retry quota.
+    /// Delivers borrowed repeat budget.
     DeliverLoan(Loan),
     /// Delivers the answer to a charge on a customer's quota.
     DeliverChargeAnswer(ChargeAnswer),
@@ -98,11 +98,11 @@
     },
     /// Reads the stored requests that crash targets.
     ReadPoison,
-    /// Writes what is known of such requests to the store.
+    /// Writes crash records of requests to the store.
     WritePoison {
         writes: Vec<RowWrite>,
     },
-    /// Answers another host's request to borrow retry quota.
+    /// Answers another host's request to borrow repeat budget.
     LendQuota {
         to: SocketAddr,
         request: LoanAsk,
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -122,7 +122,7 @@
         let requested = self.hosts.on_tick(now);
         let mut actions = self.host_actions(requested, now);
         actions.extend(self.take_host_events(now));
-        // Requests divide the extra retry quota by this number.
+        // Requests divide the extra repeat budget by this number.
         let known = self.hosts.known_count();
         if self.published_known_hosts != known {
             self.published_known_hosts = known;
@@ -148,11 +148,11 @@
                 actions
             }
             Message::PingRequest(request) => self.on_ping_request(from, &request, now),
-            Message::Vouch(vouch) => {
-                self.hosts.on_indirect_answer(vouch.peer.into());
+            Message::Vouch(attestation) => {
+                self.hosts.on_indirect_answer(attestation.peer.into());
                 Vec::new()
             }
-            Message::Want(want) => self.on_want(from, &want, now),
+            Message::Want(request) => self.on_adapter_request(from, &request, now),
             Message::Usage(usage) => {
                 if let Some(allocator) = self.allocators.get_mut(&usage.target) {
                     allocator.on_usage(from, &usage, now);
@@ -162,18 +162,18 @@
             Message::Placement(placement) => vec![ControlAction::DeliverPlacement(placement)],
             Message::EngineLoad(load) => vec![ControlAction::DeliverLoad(load)],
             Message::EngineQuery(query) => self.on_query(from, &query, now).into_iter().collect(),
-            Message::EngineStanding(standing) => vec![ControlAction::DeliverEngineStatus(standing)],
+            Message::EngineStanding(status) => vec![ControlAction::DeliverEngineStatus(status)],
             Message::LoanAsk(request) => vec![ControlAction::LendQuota { to: from, request }],
             Message::Loan(loan) => vec![ControlAction::DeliverLoan(loan)],
-            Message::PoisonNews(news) => self.on_poison_news(&news, now),
-            Message::ChargeAsk(ask) => vec![self.on_charge_ask(from, &ask, now)],
-            Message::PlaceWanted(wanted) => vec![self.on_slot_request(from, &wanted, now)],
+            Message::PoisonNews(update) => self.on_poison_update(&update, now),
+            Message::ChargeAsk(request) => vec![self.on_charge_request(from, &request, now)],
+            Message::PlaceWanted(request) => vec![self.on_slot_request(from, &request, now)],
             Message::PlaceGiven(given) => vec![ControlAction::DeliverSlotResponse(given)],
-            Message::TargetNews(news) => self.on_target_news(&news, now),
-            Message::PermitAsk(ask) => self.on_permit_ask(from, &ask, now),
+            Message::TargetNews(update) => self.on_target_notices(&update, now),
+            Message::PermitAsk(request) => self.on_permit_request(from, &request, now),
             Message::PermitAnswer(answer) => vec![ControlAction::DeliverPermitAnswer(answer)],
-            Message::PlaceEnded(ended) => {
-                self.on_slot_release(&ended);
+            Message::PlaceEnded(release) => {
+                self.on_slot_release(&release);
                 Vec::new()
             }
             Message::ChargeAnswer(answer) => vec![ControlAction::DeliverChargeAnswer(answer)],
@@ -194,12 +194,12 @@
     ) -> Vec<ControlAction> {
         let me = self.hosts.me().peer;
         match request {
-            ControlRequest::RequestAdapter { holder, want } if holder == me => {
-                self.on_want(me, &want, now)
+            ControlRequest::RequestAdapter { holder, request } if holder == me => {
+                self.on_adapter_request(me, &request, now)
             }
-            ControlRequest::RequestAdapter { holder, want } => vec![ControlAction::Send {
+            ControlRequest::RequestAdapter { holder, request } => vec![ControlAction::Send {
                 to: holder,
-                message: Message::Want(want),
+                message: Message::Want(request),
             }],
             ControlRequest::ReportUsage { holder, usage } if holder == me => {
                 if let Some(allocator) = self.allocators.get_mut(&usage.target) {
@@ -225,31 +225,31 @@
                 Vec::new()
             }
             ControlRequest::ReportPoison(report) => self.on_poison_report(report, now),
-            ControlRequest::RequestCharge { to, ask } if to == me => {
-                vec![self.on_charge_ask(me, &ask, now)]
+            ControlRequest::RequestCharge { to, request } if to == me => {
+                vec![self.on_charge_request(me, &request, now)]
             }
-            ControlRequest::RequestCharge { to, ask } => vec![ControlAction::Send {
+            ControlRequest::RequestCharge { to, request } => vec![ControlAction::Send {
                 to,
-                message: Message::ChargeAsk(ask),
+                message: Message::ChargeAsk(request),
             }],
-            ControlRequest::RequestSlot { to, wanted } if to == me => {
-                vec![self.on_slot_request(me, &wanted, now)]
+            ControlRequest::RequestSlot { to, request } if to == me => {
+                vec![self.on_slot_request(me, &request, now)]
             }
-            ControlRequest::RequestSlot { to, wanted } => vec![ControlAction::Send {
+            ControlRequest::RequestSlot { to, request } => vec![ControlAction::Send {
                 to,
-                message: Message::PlaceWanted(wanted),
+                message: Message::PlaceWanted(request),
             }],
             ControlRequest::PublishNotices { target, notices } => {
                 self.on_response_notices(&target, &notices, now)
             }
-            ControlRequest::RequestPermit(ask) => self.request_permit(ask, now),
-            ControlRequest::ReleaseSlot { to, ended } if to == me => {
-                self.on_slot_release(&ended);
+            ControlRequest::RequestPermit(request) => self.request_permit(request, now),
+            ControlRequest::ReleaseSlot { to, release } if to == me => {
+                self.on_slot_release(&release);
                 Vec::new()
             }
-            ControlRequest::ReleaseSlot { to, ended } => vec![ControlAction::Send {
+            ControlRequest::ReleaseSlot { to, release } => vec![ControlAction::Send {
                 to,
-                message: Message::PlaceEnded(ended),
+                message: Message::PlaceEnded(release),
             }],
             ControlRequest::RefundCharge { to, refund } if to == me => {
                 self.on_charge_refund(&refund, now);
@@ -259,7 +259,9 @@
                 to,
                 message: Message::ChargeRefund(refund),
             }],
-            ControlRequest::RequestLoan(ask) => self.request_loan(ask).into_iter().collect(),
+            ControlRequest::RequestLoan(request) => {
+                self.request_loan(request).into_iter().collect()
+            }
             ControlRequest::GrantLoan { to, loan } => vec![ControlAction::Send {
                 to,
                 message: Message::Loan(loan),
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Asks the next host to lend retry quota; each round visits all hosts in a new order.
+    /// Asks the next host to lend repeat budget; each round visits all hosts in a new order.
     fn request_loan(
         &mut self,
         request: LoanAsk,
@@ -292,7 +294,7 @@
                 to,
                 message: Message::PermitAsk(request),
             }],
-            _ => self.on_permit_ask(me, &request, now),
+            _ => self.on_permit_request(me, &request, now),
         }
     }
 
@@ -308,7 +310,7 @@
         match message {
             Message::Placement(placement) => ControlAction::DeliverPlacement(placement),
             Message::EngineLoad(load) => ControlAction::DeliverLoad(load),
-            Message::EngineStanding(standing) => ControlAction::DeliverEngineStatus(standing),
+            Message::EngineStanding(status) => ControlAction::DeliverEngineStatus(status),
             Message::ChargeAnswer(answer) => ControlAction::DeliverChargeAnswer(answer),
             Message::PlaceGiven(given) => ControlAction::DeliverSlotResponse(given),
             Message::PermitAnswer(answer) => ControlAction::DeliverPermitAnswer(answer),
@@ -398,10 +400,10 @@
             host.state.is_up() && host.heard.is_some_and(recent)
         });
         if was_heard_recently {
-            let vouch = Vouch { peer: request.peer };
+            let attestation = Vouch { peer: request.peer };
             return vec![ControlAction::Send {
                 to: from,
-                message: Message::Vouch(vouch),
+                message: Message::Vouch(attestation),
             }];
         }
         vec![ControlAction::Send {
--- a/src/process/host/host_control.rs
+++ b/src/process/host/host_control.rs
@@ -50,7 +50,7 @@
 /// Added to the minimum for each target, as the cost of a view grows with the number of targets.
 const PUBLISH_INTERVAL_PER_TARGET: Duration = Duration::from_micros(50);
 
-/// Minimum advance of a replica's confirmation time that is published without a new view.
+/// Minimum advance of a replica's freshness that is published without a new view.
 const MIN_FRESHNESS_STEP: Duration = Duration::from_millis(100);
 
 /// Share of the drain bound for which a target is used after its entry has vanished.
@@ -91,7 +91,7 @@
     pub(super) shared: SharedAllocatorState,
     pub(super) targets: BTreeMap<String, ListedTarget>,
     /// Targets that are no longer used, retained to recognize entries that arrive late.
-    pub(super) ended_targets: RemovedTargets,
+    pub(super) removed_targets: RemovedTargets,
     /// The engines among the targets; `None` once targets or the configuration have changed.
     pub(super) engines: Option<Arc<BTreeMap<String, String>>>,
     /// Engines that no responsive host holds.
@@ -122,7 +122,7 @@
     pub(super) started: Instant,
     /// Completed rounds of queries to the seeds.
     pub(super) completed_seed_queries: usize,
-    /// Hosts still to be asked in this round to lend retry quota.
+    /// Hosts still to be asked in this round to lend repeat budget.
     pub(super) lenders: Vec<SocketAddr>,
     /// Number of known hosts that was last published to requests.
     pub(super) published_known_hosts: usize,
@@ -180,7 +180,7 @@
             unanswered_orders: HashMap::new(),
             shared: SharedAllocatorState::new(policy),
             targets: BTreeMap::new(),
-            ended_targets: RemovedTargets::default(),
+            removed_targets: RemovedTargets::default(),
             engines: None,
             open_engines: UnclaimedEngines::default(),
             takers: TakerSelection::default(),
@@ -470,7 +470,7 @@
         for id in gone {
             note!(Event::TargetForgotten, target = id);
             if let Some(target) = self.targets.remove(&id) {
-                self.ended_targets.note(id, target, now);
+                self.removed_targets.insert(id, target, now);
             }
             self.engines = None;
             self.changed = true;
