--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -23,7 +23,7 @@
         },
         version::{
             AdapterVersion, Change, EngineSpec, SiteConfig, TargetRole, TargetSpec,
-            routing::{Customer, Customers, KeyDigest, QuotaLimit, QuotaUnit},
+            routing::{Customer, Customers, KeyDigest, UseLimit, UseUnit},
         },
     },
     figures::{median, resident_kib},
@@ -74,7 +74,7 @@
     let lookups = timed(20, || {
         for at in 0..1_000 {
             let key = KeyDigest::of(format!("key-{}-7", at % customers).as_bytes());
-            black_box(all.find_by_key(&key));
+            black_box(all.of_key(&key));
         }
     });
     let start = Instant::now();
@@ -111,10 +111,10 @@
     Customer {
         name: format!("customer-{at:05}"),
         priority: 1,
-        limit: Some(QuotaLimit {
+        limit: Some(UseLimit {
             rate: 10_000.0,
             burst: 10_000.0,
-            unit: QuotaUnit::Requests,
+            unit: UseUnit::Requests,
         }),
     }
 }
--- a/src/connection/front/admission/key_check.rs
+++ b/src/connection/front/admission/key_check.rs
@@ -29,7 +29,7 @@
     };
     let key = key_of(value.as_bytes()).ok_or(ErrorCause::UnknownKey)?;
     let key = KeyDigest::of(key);
-    let customer = customers.find_by_key(&key).ok_or(ErrorCause::UnknownKey)?;
+    let customer = customers.of_key(&key).ok_or(ErrorCause::UnknownKey)?;
     Ok(Some(Credential {
         customer: customer.clone(),
         key,
--- a/src/connection/front/admission/quota_gate.rs
+++ b/src/connection/front/admission/quota_gate.rs
@@ -73,8 +73,8 @@
     };
     gate.record_request();
     let started = Instant::now();
-    let quota_deadline = started + request.route.latency_goal.mul_f64(MAX_WAIT_SHARE);
-    let counter_deadline = started + request.route.latency_goal.mul_f64(MAX_UNCOUNTED_WAIT_SHARE);
+    let quota_deadline = started + request.route.aim.mul_f64(MAX_WAIT_SHARE);
+    let counter_deadline = started + request.route.aim.mul_f64(MAX_UNCOUNTED_WAIT_SHARE);
     loop {
         match gate.charge().await {
             Ok(charged) => return Ok(Some(charged)),
--- a/src/connection/front/admission/slot_gate.rs
+++ b/src/connection/front/admission/slot_gate.rs
@@ -55,7 +55,7 @@
         service: service.clone(),
         id,
         passed_over: excluded_targets(&table.borrow(), service, tried, now),
-        aim_ms: request.route.latency_goal.as_millis() as u32,
+        aim_ms: request.route.aim.as_millis() as u32,
         left_ms: request.time_left(now).as_millis() as u32,
     };
     let mut pending = {
--- a/src/connection/front/chooser.rs
+++ b/src/connection/front/chooser.rs
@@ -156,7 +156,7 @@
             .collect();
         let context = ChoiceContext {
             copy_price: Duration::ZERO,
-            time_to_goal: request.latency_deadline().saturating_duration_since(now),
+            time_to_goal: request.aim().saturating_duration_since(now),
             priority: request.urgency,
             policy: table.policy(),
             now,
@@ -199,7 +199,7 @@
         }
         let context = ChoiceContext {
             copy_price: copy_cost(table, adapter, now),
-            time_to_goal: request.latency_deadline().saturating_duration_since(now),
+            time_to_goal: request.aim().saturating_duration_since(now),
             priority: request.urgency,
             policy: table.policy(),
             now,
@@ -373,8 +373,7 @@
     request: &CallRequest,
     at: Instant,
 ) -> bool {
-    at.saturating_duration_since(request.arrived)
-        < request.route.latency_goal.mul_f64(PROMPT_REJECT_SHARE)
+    at.saturating_duration_since(request.arrived) < request.route.aim.mul_f64(PROMPT_REJECT_SHARE)
 }
 
 fn request_time(
@@ -383,7 +382,7 @@
 ) -> RequestTiming {
     RequestTiming {
         elapsed: now.saturating_duration_since(request.arrived),
-        latency_goal: request.route.latency_goal,
+        aim: request.route.aim,
         time_left: request.time_left(now),
     }
 }
--- a/src/connection/front/dispatcher.rs
+++ b/src/connection/front/dispatcher.rs
@@ -174,7 +174,7 @@
             come_back_ms = answer.retry_after.map_or(-1.0, millis),
             waited_ms = millis(request.arrived.elapsed()),
         );
-        let kind = request.route.kind.label();
+        let kind = request.route.kind.word();
         let outcome = answer.cause.word();
         let labels = OutcomeLabels { kind, outcome };
         metrics().requests.get_or_create(&labels).inc();
@@ -753,7 +753,7 @@
     let now = Instant::now();
     let id = request.id_text();
     let elapsed = now.saturating_duration_since(request.arrived);
-    let late = elapsed > request.route.latency_goal;
+    let late = elapsed > request.route.aim;
     if status >= 400 || late {
         attempts.trace.log(id, now);
     }
@@ -773,7 +773,7 @@
         waited_ms = millis(attempts.trace.time_to_last_send(request.arrived)),
         expected_ms = sent.map_or(-1.0, |sent| millis(sent.wait)),
         first_ms = millis(elapsed),
-        aim_ms = millis(request.route.latency_goal),
+        aim_ms = millis(request.route.aim),
         arrivals = attempts.history.arrivals,
         late = late,
     );
@@ -786,9 +786,9 @@
     cause: Option<ErrorCause>,
     elapsed: Duration,
 ) {
-    let kind = request.route.kind.label();
+    let kind = request.route.kind.word();
     let outcome = match (status, cause) {
-        (0..400, _) if elapsed > request.route.latency_goal => "late",
+        (0..400, _) if elapsed > request.route.aim => "late",
         (0..400, _) => "answered",
         (_, None) => "failed_there",
         (503, Some(_)) => "refused",
--- a/src/connection/front/request_reader.rs
+++ b/src/connection/front/request_reader.rs
@@ -195,11 +195,11 @@
     headers
         .iter()
         .filter(|(name, _)| !HOP_BY_HOP.contains(name) && name.as_str() != KEEP_ALIVE)
-        .filter(|(name, _)| !names.is_set_by_proxy(name))
+        .filter(|(name, _)| !names.is_set_by_hosts(name))
         .filter(|(name, _)| !(has_keys && **name == header::AUTHORIZATION))
         .filter(|(name, _)| {
             let is_listed = |is_listed: &&str| is_listed.eq_ignore_ascii_case(name.as_str());
-            names.is_end_to_end(name) || !connection_options.iter().any(is_listed)
+            names.is_of_request(name) || !connection_options.iter().any(is_listed)
         })
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
--- a/src/connection/front/stream_relay.rs
+++ b/src/connection/front/stream_relay.rs
@@ -129,7 +129,7 @@
         if let Some(end) = self.send_to_caller(first).await {
             return end;
         }
-        let max_silence = self.request.route.gap_goal * SILENCE_GAP_FACTOR;
+        let max_silence = self.request.route.gap_aim * SILENCE_GAP_FACTOR;
         loop {
             let silence_deadline = Instant::now() + max_silence;
             let piece = tokio::select! {
--- a/src/connection/targets/adapter_map.rs
+++ b/src/connection/targets/adapter_map.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{clock::Instant, formats::LoadedModel, request::direct::AdapterCopyState},
+    crate::{clock::Instant, formats::HeldModel, request::direct::AdapterCopyState},
     std::{
         collections::{HashMap, VecDeque},
         time::Duration,
@@ -135,7 +135,7 @@
     pub fn assume_held(
         &mut self,
         target: &str,
-        models: &[LoadedModel],
+        models: &[HeldModel],
     ) {
         for model in models {
             for adapter in &model.adapters {
--- a/src/connection/targets/table_staleness.rs
+++ b/src/connection/targets/table_staleness.rs
@@ -90,7 +90,7 @@
         now: Instant,
     ) -> KeyStatus {
         let customers = &self.view.routing.customers;
-        match customers.find_by_key(&credential.key) {
+        match customers.of_key(&credential.key) {
             _ if !self.can_accept_keys(now) => KeyStatus::Unconfirmed,
             None => KeyStatus::Revoked,
             Some(customer) if customer.name != credential.customer.name => KeyStatus::Reassigned,
--- a/src/formats/formats.rs
+++ b/src/formats/formats.rs
@@ -9,7 +9,7 @@
     thiserror::Error,
 };
 
-/// Malformed data from an external system.
+/// Bytes of an outside system that make no sense.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{what}: {problem}")]
 pub struct FormatError {
@@ -29,10 +29,10 @@
     }
 }
 
-/// A decoded row of the operators' table.
+/// A row of the operators' table.
 #[derive(Debug, Clone)]
-pub enum DeclaredRow {
-    /// The newest complete configuration.
+pub enum Declared {
+    /// The newest configuration, whole.
     Routing(Arc<RoutingTable>),
     /// The newest version of an adapter.
     AdapterVersion {
@@ -40,43 +40,43 @@
         adapter: String,
         version: u64,
     },
-    /// A row that coveproxy does not use.
+    /// Something that does not concern the product.
     Other,
 }
 
-/// An external HTTP call to a host that is not a request for a target.
+/// A call that reaches a host from outside, beside the requests themselves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublicCall {
-    /// Requests the entry addresses; `hall` is the caller's, if given.
+    /// Which hosts to use; names the caller's hall if it said so.
     Entry {
         hall: Option<String>,
     },
-    /// Checks whether this host accepts requests.
+    /// Whether this host takes requests.
     Ready,
     Unknown,
 }
 
-/// The formats of a platform: pure functions that convert between its bytes and this crate's types.
+/// The formats of a platform: pure functions between its bytes and the product's types.
 ///
-/// Implementations are stateless, don't block and don't retry.
+/// An implementation decides nothing: it has no state, waits for nothing and repeats nothing.
 pub trait Formats: Send + Sync + 'static {
-    /// Returns the names of request and response headers.
+    /// Headers of requests and answers.
     fn headers(&self) -> &HeaderNames;
 
-    /// Returns the name of the table that operators write to.
+    /// Name of the table that operators write to.
     fn declared_table(&self) -> &str;
 
-    /// Returns the name of the table in which targets register.
+    /// Name of the table in which targets record themselves.
     fn target_table(&self) -> &str;
 
-    /// Returns the call that reads the rows of a table, starting after the key `after`.
+    /// Reads the rows of a table, beginning behind the key `after`.
     fn rows_call(
         &self,
         table: &str,
         after: Option<&str>,
     ) -> HttpCall;
 
-    /// Returns the call that reads the changes of a table since a version; the store waits up to `wait` for one.
+    /// Reads the rows of a table that have changed since a version; waits for one if told to.
     fn changes_call(
         &self,
         table: &str,
@@ -84,68 +84,65 @@
         wait: Duration,
     ) -> HttpCall;
 
-    /// Parses the response to a read of rows or changes.
+    /// Understands the answer to a read of rows.
     fn rows_reply(
         &self,
         reply: &HttpReply,
     ) -> Result<RowsReply, FormatError>;
 
-    /// Returns the call that commits a transaction.
     fn transaction_call(
         &self,
         transaction: &Transaction,
     ) -> HttpCall;
 
-    /// Parses the response to a transaction.
+    /// Understands the answer to a transaction.
     fn commit_reply(
         &self,
         reply: &HttpReply,
     ) -> Result<Commit, FormatError>;
 
-    /// Parses a row of the operators' table.
+    /// Understands a row of the operators' table.
     fn declared(
         &self,
         row: &Row,
-    ) -> Result<DeclaredRow, FormatError>;
+    ) -> Result<Declared, FormatError>;
 
-    /// Parses a row of the targets' table.
+    /// Understands a row of the targets' table.
     fn target_record(
         &self,
         row: &Row,
     ) -> Result<TargetRecord, FormatError>;
 
-    /// Returns the call that sends an order to an engine.
     fn order_call(
         &self,
         order: &Order,
     ) -> HttpCall;
 
-    /// Interprets the status of an engine's response to an order.
+    /// Understands an engine's answer to an order.
     fn order_reply(
         &self,
         status: u16,
     ) -> Result<OrderReply, FormatError>;
 
-    /// Returns the call that requests an engine's report.
     fn report_call(&self) -> HttpCall;
 
-    /// Parses an engine's report.
+    /// Understands an engine's report.
     fn report_reply(
         &self,
         reply: &HttpReply,
     ) -> Result<TargetReport, FormatError>;
 
-    /// Parses an external call to this host.
+    /// Understands a call from outside.
     fn public_call(
         &self,
         method: &Method,
         path_and_query: &str,
     ) -> PublicCall;
 
-    /// Returns the body that lists the addresses that a caller may use, valid for `ttl`.
+    /// The body that tells a caller which addresses to use and for how long.
     fn entry_body(
         &self,
         addresses: &[SocketAddr],
-        ttl: Duration,
+        life: Duration,
     ) -> Vec<u8>;
 }
--- a/src/formats/http_call.rs
+++ b/src/formats/http_call.rs
@@ -1,17 +1,17 @@
 use http::Method;
 
-/// An HTTP call to an external system, without connection-level headers.
+/// A call to an outside system, without what only concerns the connection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpCall {
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// JSON, or empty if there is no body.
+    /// Empty for calls without a body; else JSON.
     pub body: Vec<u8>,
 }
 
 impl HttpCall {
-    /// Creates a GET call without a body.
+    /// A call without a body.
     pub fn get(target: String) -> Self {
         Self {
             method: Method::GET,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Creates a POST call with a JSON body.
+    /// A call with a JSON body.
     pub fn post(
         target: String,
         body: Vec<u8>,
@@ -33,7 +33,7 @@
     }
 }
 
-/// The complete response to a call.
+/// The whole answer to a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpReply {
     pub status: u16,
--- a/src/formats/mod.rs
+++ b/src/formats/mod.rs
@@ -1,6 +1,6 @@
-//! Data formats of an external platform, as far as coveproxy uses them.
+//! What the product needs to know of the formats that an outside platform speaks.
 //!
-//! An adapter crate implements [`Formats`]; platform-specific names stay in that crate.
+//! An adapter crate implements [`Formats`]; nothing here or above knows a platform's own names.
 
 mod formats;
 mod header_names;
@@ -12,15 +12,14 @@
 mod target_start;
 
 pub use {
-    formats::{DeclaredRow, FormatError, Formats, PublicCall},
+    formats::{Declared, FormatError, Formats, PublicCall},
     header_names::HeaderNames,
     http_call::{HttpCall, HttpReply},
     order::{Order, OrderKind, OrderReply},
     rows::{
-        Commit, Expectation, Row, RowBatch, RowKey, RowWrite, RowsReply, Transaction,
-        total_value_bytes,
+        Commit, Expectation, Row, RowBatch, RowKey, RowWrite, RowsReply, Transaction, bytes_of,
     },
-    target_record::{LoadedAdapter, LoadedModel, TargetRecord, TargetState},
+    target_record::{HeldAdapter, HeldModel, TargetRecord, TargetState},
     target_report::TargetReport,
     target_start::TargetStart,
 };
--- a/src/formats/order.rs
+++ b/src/formats/order.rs
@@ -1,4 +1,4 @@
-/// Action requested by an order.
+/// What an engine is told to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
     Load,
@@ -6,8 +6,8 @@
 }
 
 impl OrderKind {
-    /// Name of the kind in logs and metrics.
-    pub fn label(self) -> &'static str {
+    /// The kind in logs and figures.
+    pub fn word(self) -> &'static str {
         match self {
             Self::Load => "load",
             Self::Unload => "unload",
@@ -20,45 +20,45 @@
 pub struct Order {
     pub kind: OrderKind,
     pub model: String,
-    /// `None` if the order is for the base model itself.
+    /// None concerns the base model itself.
     pub adapter: Option<String>,
-    /// Version of the adapter to load; `None` for the newest.
+    /// Version of the adapter to load; none takes the newest.
     pub version: Option<u64>,
-    /// Number of orders that the engine must have accepted before this one; checked by the engine.
+    /// Orders that the engine must have taken so far; checked when it carries this one out.
     pub expected_sequence: Option<u64>,
-    /// Name of the host that sends the order.
+    /// Name of the host that gives the order.
     pub holder: String,
-    /// Fencing token: increases each time another host takes control of the engine.
+    /// Grows each time that another host begins to give orders to this engine.
     pub fence: u64,
 }
 
 impl OrderReply {
-    /// Name of the reply in logs.
-    pub fn label(self) -> &'static str {
+    /// The reply in logs.
+    pub fn word(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
             Self::Done => "done",
             Self::Conflict => "conflict",
             Self::Fenced => "fenced",
-            Self::Rejected => "refused",
+            Self::Refused => "refused",
             Self::OtherTarget => "other_target",
         }
     }
 }
 
-/// An engine's reply to an order.
+/// What an engine says to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// The order is in progress.
+    /// It is under way.
     Accepted,
-    /// The requested state is reached.
+    /// It holds already, or is done.
     Done,
-    /// Another order is in progress, or the sequence does not match.
+    /// Another order is under way, or the sequence does not match.
     Conflict,
-    /// The engine has seen a newer fence.
+    /// A newer fence was seen.
     Fenced,
-    /// The order is invalid.
-    Rejected,
-    /// Another target listens at the address.
+    /// The order makes no sense to it.
+    Refused,
+    /// Another target is at that address.
     OtherTarget,
 }
--- a/src/formats/rows.rs
+++ b/src/formats/rows.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-/// Key of a row in the platform's table service.
+/// Names a row of the platform's table service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RowKey {
     pub table: Arc<str>,
@@ -19,48 +19,48 @@
     }
 }
 
-/// A row as read; `value` is `None` if the row was deleted.
+/// A row as it was read; no value says that it is gone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     pub key: Arc<str>,
-    /// Version of the store at the last change of the row; increases with each change of any row.
+    /// Rises with each change of any row.
     pub version: u64,
     pub value: Option<Arc<[u8]>>,
 }
 
-/// Returns the total size of the rows' values, in bytes.
-pub fn total_value_bytes(rows: &[Row]) -> usize {
+/// Bytes of all values in these rows.
+pub fn bytes_of(rows: &[Row]) -> usize {
     let values = rows.iter().filter_map(|row| row.value.as_deref());
     values.map(<[u8]>::len).sum()
 }
 
-/// A page of rows.
+/// An answer about rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowBatch {
     pub rows: Vec<Row>,
-    /// Version of the complete store as of which the rows were read.
+    /// The answer is as of this version of the whole store.
     pub version: u64,
-    /// True if more rows follow the last one.
+    /// There are more rows behind the last one.
     pub more: bool,
 }
 
 impl RowBatch {
-    /// Returns the total size of the values, in bytes.
+    /// Bytes of all its values.
     pub fn bytes(&self) -> usize {
-        total_value_bytes(&self.rows)
+        bytes_of(&self.rows)
     }
 }
 
-/// Response to a read of rows or changes.
+/// An answer to a read of rows or changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowsReply {
     Rows(RowBatch),
-    /// The store has discarded the changes since that version; the complete table must be read.
+    /// The store no longer knows what has changed since then; the table must be read whole.
     HistoryGone,
 }
 
 impl RowsReply {
-    /// Returns the total size of the values, in bytes.
+    /// Bytes of all values in it.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Rows(batch) => batch.bytes(),
@@ -69,35 +69,35 @@
     }
 }
 
-/// Precondition of a transaction: the expected version of one row.
+/// What a transaction expects of one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Expectation {
     pub row: RowKey,
-    /// 0 if the row must not exist.
+    /// 0 expects that there is no such row.
     pub version: u64,
 }
 
-/// One write of a transaction; deletes the row if `value` is `None`.
+/// One write of a transaction; no value removes the row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowWrite {
     pub row: RowKey,
     pub value: Option<Vec<u8>>,
 }
 
-/// Writes that take effect atomically, or not at all if an expectation fails.
+/// Writes that take effect together, or not at all if an expectation fails.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
     pub expected: Vec<Expectation>,
     pub writes: Vec<RowWrite>,
 }
 
-/// Result of a transaction.
+/// How a transaction ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Commit {
-    /// The transaction took effect; the rows written have this version.
+    /// The rows written bear this version.
     Done { version: u64 },
-    /// An expectation failed; `rows` are the current rows that the expectations refer to.
+    /// An expectation failed; these are the rows named by it, as they are.
     Conflict { rows: Vec<Row> },
-    /// The store rejected the call or was unreachable; nothing was written.
-    Rejected,
+    /// The store turned the call away, or was not reached: nothing was done.
+    TurnedAway,
 }
--- a/src/formats/target_record.rs
+++ b/src/formats/target_record.rs
@@ -3,43 +3,43 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Whether a target accepts new requests.
+/// Whether a target takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
     Ready,
-    /// Draining: the target finishes its requests and accepts no new ones.
-    Draining,
+    /// It leaves: it serves on for a while, and takes nothing new.
+    Leaving,
 }
 
-/// An adapter that is loaded in an engine.
+/// An adapter that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LoadedAdapter {
+pub struct HeldAdapter {
     pub name: String,
     pub version: u64,
 }
 
-/// A base model that is loaded in an engine, with its loaded adapters.
+/// A base model that an engine holds, with its adapters.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LoadedModel {
+pub struct HeldModel {
     pub name: String,
-    pub adapters: Vec<LoadedAdapter>,
+    pub adapters: Vec<HeldAdapter>,
 }
 
-/// The last registration of a target in the platform's table.
+/// What a target last said of itself in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetRecord {
-    /// Target id; may stay the same when the target restarts.
+    /// Names the target; it may start again under it.
     pub id: String,
-    /// Incarnation of the target; `None` if the platform assigns a new id to each incarnation.
+    /// Which start of the target this is; `None` where the platform gives each start an id of its own.
     pub started: Option<TargetStart>,
     pub service: String,
     pub address: SocketAddr,
     pub hall: String,
     pub slots: u32,
     pub state: TargetState,
-    /// Time until the platform shuts the target down, if it was announced.
+    /// Time that is left to a target that is taken away at short notice.
     pub remaining: Option<Duration>,
-    pub models: Vec<LoadedModel>,
-    /// True if the engine reports that no base model is loaded, false if it does not report its models.
+    pub models: Vec<HeldModel>,
+    /// It says that it holds no base model; an engine that is silent about its models may hold some.
     pub is_empty: bool,
 }
--- a/src/formats/target_report.rs
+++ b/src/formats/target_report.rs
@@ -1,18 +1,18 @@
-use super::{LoadedModel, TargetStart};
+use super::{HeldModel, TargetStart};
 
-/// An engine's report of its state; may be some hundred milliseconds old.
+/// What an engine says of itself when asked, some hundred milliseconds old.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetReport {
-    /// Incarnation of the engine; `None` if the platform assigns a new id to each incarnation.
+    /// Which start of the engine reports; `None` where the platform gives each start an id of its own.
     pub started: Option<TargetStart>,
-    pub models: Vec<LoadedModel>,
-    /// Adapters being loaded: base model, name, version.
-    pub loading: Vec<(String, String, u64)>,
-    /// Base models cached at the engine, which load without the weight store.
-    pub local_models: Vec<String>,
-    /// An order is in progress; the engine accepts no other until it ends.
+    pub models: Vec<HeldModel>,
+    /// Adapters on their way: base model, name, version.
+    pub coming: Vec<(String, String, u64)>,
+    /// Base models that need not come from the weight store.
+    pub at_hand: Vec<String>,
+    /// An order is under way beside which the engine takes no other.
     pub busy: bool,
-    /// Number of orders accepted in this incarnation.
+    /// Orders taken since its start.
     pub sequence: u64,
     pub waiting: u32,
     pub running: u32,
--- a/src/formats/target_start.rs
+++ b/src/formats/target_start.rs
@@ -1,19 +1,19 @@
 use std::fmt;
 
-/// Incarnation of a target's process, identified by its start time; later incarnations are larger.
+/// Tells the starts of one target's process apart: a larger one is a later start.
 ///
-/// Only incarnations of the same target are comparable. State known of an earlier incarnation is invalid for a
-/// later one, which starts with nothing loaded and counts its orders from zero.
+/// Of two targets it says nothing. What was known of an earlier start does not hold for a later one, which
+/// begins empty and counts its orders from zero.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetStart(u64);
 
 impl TargetStart {
-    /// Creates the incarnation started at this Unix time, in milliseconds.
+    /// A start at this Unix time, in milliseconds.
     pub fn from_unix_ms(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// Returns the start as a Unix time, in milliseconds.
+    /// Its Unix time, in milliseconds.
     pub fn unix_ms(self) -> u64 {
         self.0
     }
--- a/src/process/engines/order_outcomes.rs
+++ b/src/process/engines/order_outcomes.rs
@@ -64,7 +64,7 @@
         }
         self.sequence = Some(report.sequence);
         self.busy = report.busy;
-        self.local_models.clone_from(&report.local_models);
+        self.local_models.clone_from(&report.at_hand);
         // An unanswered order is void once the engine has accepted another one.
         self.unresolved_order = self
             .unresolved_order
@@ -73,7 +73,7 @@
         self.model = report.models.first().map(|model| model.name.clone());
         let completed = self.apply_report(&report, now);
         self.update_adapter_capacity();
-        if !report.busy && !report.loading.is_empty() {
+        if !report.busy && !report.coming.is_empty() {
             self.report_due_at = Some(now + LOAD_TIMEOUT);
         }
         let completed = completed
@@ -360,7 +360,7 @@
                 self.adapters.insert(key, resident);
             }
         }
-        for (model, name, version) in &report.loading {
+        for (model, name, version) in &report.coming {
             let key = adapter_key(model, name);
             let loading = Residency::Loading {
                 since: now,
@@ -387,6 +387,6 @@
 
     pub(super) fn update_adapter_capacity(&mut self) {
         let model = self.model.as_deref().and_then(|name| self.spec.model(name));
-        self.adapter_capacity = model.map_or(0, |model| self.spec.adapter_capacity(model));
+        self.adapter_capacity = model.map_or(0, |model| self.spec.adapter_room(model));
     }
 }
--- a/src/process/host/control_action.rs
+++ b/src/process/host/control_action.rs
@@ -94,7 +94,7 @@
     /// Sets the poison status of a request; `None` clears it.
     SetPoisonStatus {
         fingerprint: Fingerprint,
-        status: Option<PoisonStatus>,
+        standing: Option<PoisonStatus>,
     },
     /// Reads the stored requests that crash targets.
     ReadPoison,
@@ -105,6 +105,6 @@
     /// Answers another host's request to borrow repeat budget.
     LendQuota {
         to: SocketAddr,
-        request: LoanAsk,
+        ask: LoanAsk,
     },
 }
--- a/src/process/host/control_engines.rs
+++ b/src/process/host/control_engines.rs
@@ -98,7 +98,7 @@
             None => note!(Event::OrderUnanswered, target = target),
             Some(OrderReply::Accepted | OrderReply::Done) => {}
             Some(reply) => {
-                note!(Event::OrderRefused, target = target, reply = reply.label());
+                note!(Event::OrderRefused, target = target, reply = reply.word());
             }
         }
         let mut actions =
--- a/src/process/host/control_gauges.rs
+++ b/src/process/host/control_gauges.rs
@@ -41,7 +41,7 @@
     fn set_target_gauges(&self) {
         for (state, word) in [
             (TargetState::Ready, "ready"),
-            (TargetState::Draining, "leaving"),
+            (TargetState::Leaving, "leaving"),
         ] {
             let targets = self.targets.values();
             let targets = targets.filter(|target| !target.is_entry_invalid);
@@ -65,7 +65,7 @@
             let seconds =
                 staleness.map_or(f64::INFINITY, |staleness: Duration| staleness.as_secs_f64());
             let labels = CopyLabels {
-                table: table.label(),
+                table: table.word(),
             };
             metrics().copy_age.get_or_create(&labels).set(seconds);
         }
--- a/src/process/host/control_holding.rs
+++ b/src/process/host/control_holding.rs
@@ -71,7 +71,7 @@
                 note!(Event::SessionNotRenewed, cause = "conflict");
                 self.assignment.on_renewal_conflict(&rows, now);
             }
-            Some(Commit::Rejected) => {
+            Some(Commit::TurnedAway) => {
                 note!(Event::SessionNotRenewed, cause = "turned_away");
                 self.assignment.on_renewed(sent, None, now);
             }
@@ -145,7 +145,7 @@
             Some(Commit::Conflict { rows }) => {
                 self.assignment.on_take_conflict(engines, &rows, now)
             }
-            Some(Commit::Rejected) => self.assignment.on_take_rejected(engines, now),
+            Some(Commit::TurnedAway) => self.assignment.on_take_rejected(engines, now),
             None => self.assignment.on_take_outcome_unknown(now),
         }
         self.changed = true;
--- a/src/process/host/control_peers.rs
+++ b/src/process/host/control_peers.rs
@@ -163,7 +163,7 @@
             Message::EngineLoad(load) => vec![ControlAction::DeliverLoad(load)],
             Message::EngineQuery(query) => self.on_query(from, &query, now).into_iter().collect(),
             Message::EngineStanding(status) => vec![ControlAction::DeliverEngineStatus(status)],
-            Message::LoanAsk(request) => vec![ControlAction::LendQuota { to: from, request }],
+            Message::LoanAsk(ask) => vec![ControlAction::LendQuota { to: from, ask }],
             Message::Loan(loan) => vec![ControlAction::DeliverLoan(loan)],
             Message::PoisonNews(update) => self.on_poison_update(&update, now),
             Message::ChargeAsk(request) => vec![self.on_charge_request(from, &request, now)],
--- a/src/process/host/control_poison.rs
+++ b/src/process/host/control_poison.rs
@@ -292,7 +292,7 @@
             );
             actions.push(ControlAction::SetPoisonStatus {
                 fingerprint: *fingerprint,
-                status,
+                standing: status,
             });
         }
         if !changed.is_empty() {
--- a/src/process/host/control_quotas.rs
+++ b/src/process/host/control_quotas.rs
@@ -12,7 +12,7 @@
             shard_of_lease,
         },
         timeline::Event,
-        version::routing::QuotaLimit,
+        version::routing::UseLimit,
     },
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
@@ -27,7 +27,7 @@
 impl HostControl {
     /// Returns the number of quota shards, or 0 if no customer has a limit.
     pub(super) fn shard_count(&self) -> usize {
-        match self.routing.customers.has_limits() {
+        match self.routing.customers.any_limited() {
             true => QUOTA_SHARDS,
             false => 0,
         }
@@ -148,7 +148,7 @@
     ) -> Option<(Option<BucketLimits>, &mut QuotaLedger)> {
         let shard = shard as usize;
         let held = self.assignment.held_engine(&shard_lease(shard), now)?;
-        let limit = self.routing.customers.find_by_name(customer)?.limit;
+        let limit = self.routing.customers.named(customer)?.limit;
         let limits = limit.map(|limit| self.bucket_limits(&limit));
         let held_ledger = self.ledgers.get_mut(&shard)?;
         (held_ledger.fence == held.fence).then_some((limits, &mut held_ledger.ledger))
@@ -156,7 +156,7 @@
 
     fn bucket_limits(
         &self,
-        limit: &QuotaLimit,
+        limit: &UseLimit,
     ) -> BucketLimits {
         let bounds = &self.settings.bounds;
         let policy = QuotaPolicy {
--- a/src/process/host/control_runner.rs
+++ b/src/process/host/control_runner.rs
@@ -3,12 +3,12 @@
 use {
     super::{
         ControlAction, ControlEvent, HostControl,
-        call_pool::CallPool,
         control_tables::quoted,
+        copy_reader::{CopyReader, STORE_LIMIT},
+        kept_calls::KeptCalls,
         poison_rows::POISON_TABLE,
-        table_reader::{STORE_CALL_LIMIT, TableReader},
         traffic::TrafficInput,
-        wake_monitor::{WakeMonitor, record_wake},
+        wake_watch::{WakeWatch, tell_wake},
     },
     crate::{
         clock::{Instant, sleep_until},
@@ -57,8 +57,8 @@
     inbox: flume::Receiver<ControlEvent>,
     requests: flume::Receiver<ControlRequest>,
     traffic: flume::Sender<TrafficInput>,
-    calls: Rc<CallPool>,
-    table_reader: TableReader,
+    calls: Rc<KeptCalls>,
+    table_reader: CopyReader,
 }
 
 impl ControlRunner {
@@ -72,11 +72,11 @@
     ) -> Self {
         let (events, inbox) = flume::unbounded();
         let lease = control.borrow().lease();
-        let store = StoreClient::new(settings.store, formats.clone(), STORE_CALL_LIMIT);
+        let store = StoreClient::new(settings.store, formats.clone(), STORE_LIMIT);
         let store = Rc::new(store);
-        let calls = Rc::<CallPool>::default();
+        let calls = Rc::<KeptCalls>::default();
         Self {
-            table_reader: TableReader {
+            table_reader: CopyReader {
                 formats: formats.clone(),
                 store: store.clone(),
                 calls: calls.clone(),
@@ -102,7 +102,7 @@
 
     /// Runs until the event or request channel is closed.
     pub async fn run(self) {
-        let mut wake_watch = WakeMonitor::new(Instant::now());
+        let mut wake_watch = WakeWatch::new(Instant::now());
         loop {
             let waiting_since = Instant::now();
             let wake = self.control.borrow().next_wake(waiting_since);
@@ -134,7 +134,7 @@
             for action in actions {
                 self.execute(action);
             }
-            record_wake(&mut wake_watch, kind, started_at);
+            tell_wake(&mut wake_watch, kind, started_at);
         }
     }
 
@@ -170,41 +170,39 @@
             }
             ControlAction::PublishView(view) => self.send_to_traffic(TrafficInput::View(view)),
             ControlAction::PublishFreshness(freshness) => {
-                self.send_to_traffic(TrafficInput::Freshness(freshness));
+                self.send_to_traffic(TrafficInput::Confirmed(freshness));
             }
             ControlAction::DeliverPlacement(placement) => {
                 self.send_to_traffic(TrafficInput::Placement(placement));
             }
             ControlAction::DeliverLoad(load) => self.send_to_traffic(TrafficInput::Load(load)),
             ControlAction::DeliverEngineStatus(status) => {
-                self.send_to_traffic(TrafficInput::EngineStatus(status));
+                self.send_to_traffic(TrafficInput::Standing(status));
             }
             ControlAction::DeliverSlotResponse(given) => {
-                self.send_to_traffic(TrafficInput::SlotAnswer(given))
+                self.send_to_traffic(TrafficInput::PlaceGiven(given))
             }
             ControlAction::DeliverPermitAnswer(answer) => {
                 self.send_to_traffic(TrafficInput::Permit(answer))
             }
             ControlAction::DeliverNotices { target, notices } => {
-                self.send_to_traffic(TrafficInput::TargetNotices { target, notices });
+                self.send_to_traffic(TrafficInput::TargetNews { target, notices });
             }
             ControlAction::DeliverChargeAnswer(answer) => {
-                self.send_to_traffic(TrafficInput::QuotaAnswer(answer))
-            }
-            ControlAction::DeliverLoan(loan) => {
-                self.send_to_traffic(TrafficInput::BorrowedBudget(loan))
+                self.send_to_traffic(TrafficInput::Charged(answer))
             }
+            ControlAction::DeliverLoan(loan) => self.send_to_traffic(TrafficInput::Borrowed(loan)),
             ControlAction::SetPoisonStatus {
                 fingerprint,
-                status,
-            } => self.send_to_traffic(TrafficInput::PoisonStatus {
+                standing,
+            } => self.send_to_traffic(TrafficInput::Stands {
                 fingerprint,
-                status,
+                standing,
             }),
             ControlAction::ReadPoison => self.read_poison(),
             ControlAction::WritePoison { writes } => self.store_poison(writes),
-            ControlAction::LendQuota { to, request } => {
-                self.send_to_traffic(TrafficInput::BorrowRequest { to, request });
+            ControlAction::LendQuota { to, ask } => {
+                self.send_to_traffic(TrafficInput::LoanAsked { to, ask });
             }
         }
     }
@@ -318,8 +316,8 @@
             let reply = reply.ok();
             let reply = reply.and_then(|reply| formats.order_reply(reply.status).ok());
             let labels = OrderLabels {
-                order: order.kind.label(),
-                reply: reply.map_or("none", OrderReply::label),
+                order: order.kind.word(),
+                reply: reply.map_or("none", OrderReply::word),
             };
             metrics().orders.get_or_create(&labels).inc();
             let _ = events.send(ControlEvent::OrderEnded { target, reply });
@@ -366,7 +364,7 @@
 fn commit_outcome(outcome: Result<Commit, StoreFailure>) -> Option<Commit> {
     match outcome {
         Ok(commit) => Some(commit),
-        Err(failure) if failure.left_nothing() => Some(Commit::Rejected),
+        Err(failure) if failure.left_nothing() => Some(Commit::TurnedAway),
         Err(_) => None,
     }
 }
--- a/src/process/host/control_tables.rs
+++ b/src/process/host/control_tables.rs
@@ -8,7 +8,7 @@
             datagram::{Freshness, HostRumor, Message},
             targets::{TableFreshness, VersionHistory},
         },
-        formats::{DeclaredRow, Formats, Row, RowBatch, RowsReply},
+        formats::{Declared, Formats, Row, RowBatch, RowsReply},
         note,
         process::tables::{Comparison, TableChanges},
         timeline::Event,
@@ -253,12 +253,12 @@
         if !succeeded && failures == 0 {
             note!(
                 Event::TableUnreachable,
-                table = table.label(),
+                table = table.word(),
                 age_ms = age_ms
             );
         }
         if succeeded && failures > 0 {
-            note!(Event::TableBack, table = table.label(), failures = failures);
+            note!(Event::TableBack, table = table.word(), failures = failures);
         }
     }
 
@@ -314,17 +314,15 @@
         now: Instant,
     ) {
         match self.formats.declared(row) {
-            Ok(DeclaredRow::Routing(routing)) => {
-                self.apply_routing(routing, row_changes.source, now)
-            }
-            Ok(DeclaredRow::AdapterVersion {
+            Ok(Declared::Routing(routing)) => self.apply_routing(routing, row_changes.source, now),
+            Ok(Declared::AdapterVersion {
                 model,
                 adapter,
                 version,
             }) => {
                 self.apply_adapter_version(format!("{model}/{adapter}"), version, row_changes, now)
             }
-            Ok(DeclaredRow::Other) => {}
+            Ok(Declared::Other) => {}
             Err(problem) => {
                 note!(
                     Event::ConfigUnreadable,
@@ -352,7 +350,7 @@
             routes = routing.routes().count(),
             customers = routing.customers.iter().count(),
             keys = routing.customers.key_count(),
-            shared_keys = routing.customers.duplicate_key_count(),
+            shared_keys = routing.customers.shared_key_count(),
         );
         self.routing = routing;
         self.engines = None;
--- a/src/process/host/control_targets.rs
+++ b/src/process/host/control_targets.rs
@@ -103,7 +103,7 @@
     ) {
         let event = match record.state {
             TargetState::Ready => Event::TargetListed,
-            TargetState::Draining => Event::TargetLeaving,
+            TargetState::Leaving => Event::TargetLeaving,
         };
         note!(
             event,
--- a/src/process/host/table_reader.rs
+++ b/src/process/host/copy_reader.rs
@@ -1,9 +1,9 @@
 use {
     super::{
         ControlEvent, TableName,
-        call_pool::CallPool,
-        peer_pages::{changes_call, hosts_call, parse_hosts},
-        table_transfer::{TableTransfer, TransferSource},
+        copy_transfer::{CopySource, CopyTransfer},
+        kept_calls::KeptCalls,
+        peer_pages::{copy_call, hosts_call, parse_hosts},
     },
     crate::{
         clock::Instant,
@@ -19,33 +19,34 @@
     tokio::task::spawn_local,
 };
 
-/// Time limit for the transfer of a complete table.
+/// Longest time for a whole table: 4 MB, the most that operators may declare, take 4.5 s on a link of
+/// 10 Mbit/s in the store's text form.
 ///
-/// It must suffice for the largest table that operators may declare, 4 MB, on a link of 10 Mbit/s: a
-/// transfer that is cut off starts over and would never complete.
-const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
+/// A shorter limit on the whole would cut each transfer that does not fit into it, and each try would
+/// begin anew: such a table never arrives, and its link is full of bytes that nobody uses.
+const TRANSFER_LIMIT: Duration = Duration::from_secs(10);
 
-/// Time limits for calls to the store.
-pub const STORE_CALL_LIMIT: CallLimit = CallLimit {
-    whole: TRANSFER_TIMEOUT,
+/// Calls to the store, which answers within some milliseconds unless it is slow or out.
+pub const STORE_LIMIT: CallLimit = CallLimit {
+    whole: TRANSFER_LIMIT,
     silence: Duration::from_millis(900),
 };
 
-/// Time limits for calls to other hosts.
-const PEER_CALL_LIMIT: CallLimit = CallLimit {
-    whole: TRANSFER_TIMEOUT,
+/// Calls to other hosts, which answer within some milliseconds.
+const PULL_LIMIT: CallLimit = CallLimit {
+    whole: TRANSFER_LIMIT,
     silence: Duration::from_millis(500),
 };
 
-/// Reads tables from the store and from other hosts; each read sends an event when it ends.
-pub struct TableReader {
+/// Reads tables from the store and from other hosts; each read ends with an event.
+pub struct CopyReader {
     pub formats: Arc<dyn Formats>,
     pub store: Rc<StoreClient>,
-    pub calls: Rc<CallPool>,
+    pub calls: Rc<KeptCalls>,
     pub events: flume::Sender<ControlEvent>,
 }
 
-impl TableReader {
+impl CopyReader {
     fn name_of(
         &self,
         table: TableName,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Reads the changes of a table since a version from the store.
+    /// Reads from the store what has changed in a table since a version.
     pub fn read_changes(
         &self,
         table: TableName,
@@ -64,36 +65,36 @@
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = TableTransfer::start(table, TransferSource::Store, since);
+            let transfer = CopyTransfer::begin(table, CopySource::Store, since);
             let reply = store.read_changes(&name, since, Duration::ZERO).await;
-            record_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
+            tell_store_read(&transfer, reply.as_ref().map(RowsReply::bytes));
             let _ = events.send(ControlEvent::ChangesRead {
                 table,
-                requested_at: transfer.started(),
+                requested_at: transfer.begun(),
                 reply: reply.ok(),
             });
         });
     }
 
-    /// Reads a complete table from the store.
+    /// Reads a whole table from the store.
     pub fn read_table(
         &self,
         table: TableName,
     ) {
         let (store, events, name) = (self.store.clone(), self.events.clone(), self.name_of(table));
         spawn_local(async move {
-            let transfer = TableTransfer::start(table, TransferSource::Store, 0);
+            let transfer = CopyTransfer::begin(table, CopySource::Store, 0);
             let rows = store.read_table(&name).await;
-            record_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
+            tell_store_read(&transfer, rows.as_ref().map(RowBatch::bytes));
             let _ = events.send(ControlEvent::TableRead {
                 table,
-                requested_at: transfer.started(),
+                requested_at: transfer.begun(),
                 rows: rows.ok(),
             });
         });
     }
 
-    /// Requests the changes of a table since a version from another host.
+    /// Asks another host for what has changed in its copy since a version.
     pub fn pull(
         &self,
         table: TableName,
@@ -102,10 +103,10 @@
     ) {
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
-            let call = changes_call(table, since);
-            let transfer = TableTransfer::start(table, TransferSource::Host(from), since);
-            let reply = calls.call(from, &call, "", PEER_CALL_LIMIT).await;
-            let changes = decode_pull(&transfer, reply);
+            let call = copy_call(table, since);
+            let transfer = CopyTransfer::begin(table, CopySource::Host(from), since);
+            let reply = calls.call(from, &call, "", PULL_LIMIT).await;
+            let changes = understand_pull(&transfer, reply);
             let _ = events.send(ControlEvent::ChangesPulled {
                 table,
                 from,
@@ -114,14 +115,14 @@
         });
     }
 
-    /// Requests the list of known hosts from another host.
+    /// Asks another host for the hosts that it knows.
     pub fn pull_hosts(
         &self,
         from: SocketAddr,
     ) {
         let (events, calls) = (self.events.clone(), self.calls.clone());
         spawn_local(async move {
-            let reply = calls.call(from, &hosts_call(), "", PEER_CALL_LIMIT).await;
+            let reply = calls.call(from, &hosts_call(), "", PULL_LIMIT).await;
             let hosts = reply
                 .ok()
                 .filter(|reply| reply.status == 200)
@@ -131,28 +132,26 @@
     }
 }
 
-/// Counts and logs the result of a read from the store.
-fn record_store_read(
-    transfer: &TableTransfer,
+/// Tells how a read of a table from the store ended.
+fn tell_store_read(
+    transfer: &CopyTransfer,
     bytes: Result<usize, &StoreFailure>,
 ) {
     match bytes {
-        Ok(bytes) => transfer.record_completed(bytes),
-        Err(failure) => transfer.record_failure(failure.received(), failure),
+        Ok(bytes) => transfer.note_taken(bytes),
+        Err(failure) => transfer.note_failed(failure.received(), failure),
     }
 }
 
-/// Decodes the changes that another host sent, with the time as of which they were current.
-///
-/// Counts and logs the result of the transfer.
-fn decode_pull(
-    transfer: &TableTransfer,
+/// Understands another host's copy, with the time at which it was right, and tells how its transfer ended.
+fn understand_pull(
+    transfer: &CopyTransfer,
     reply: Result<HttpReply, CallFailure>,
 ) -> Option<(TableChanges, Instant)> {
     let reply = match reply {
         Ok(reply) => reply,
         Err(failure) => {
-            transfer.record_failure(failure.received, &failure);
+            transfer.note_failed(failure.received, &failure);
             return None;
         }
     };
@@ -160,21 +159,21 @@
     match reply.status {
         200 => {}
         503 => {
-            transfer.record_deferred();
+            transfer.note_deferred();
             return None;
         }
         status => {
-            transfer.record_failure(bytes, &format!("status {status}"));
+            transfer.note_failed(bytes, &format!("status {status}"));
             return None;
         }
     }
     let (body, age) = match CopyPage::read(&reply.body) {
         Ok(page) => page,
         Err(problem) => {
-            transfer.record_failure(bytes, &problem);
+            transfer.note_failed(bytes, &problem);
             return None;
         }
     };
-    transfer.record_completed(bytes);
-    Some((body.into(), transfer.current_as_of(age)?))
+    transfer.note_taken(bytes);
+    Some((body.into(), transfer.right_at(age)?))
 }
--- a/src/process/host/table_transfer.rs
+++ b/src/process/host/copy_transfer.rs
@@ -13,21 +13,21 @@
     },
 };
 
-/// Transfers of at least this many bytes are logged.
-const MIN_LOGGED_BYTES: usize = 16 * 1024;
+/// A transfer of so many bytes gets a line of its own: it fills a link of 10 Mbit/s for 13 ms.
+const NOTED_BYTES: usize = 16 * 1024;
 
-/// Transfers that take at least this long are logged.
-const MIN_LOGGED_DURATION: Duration = Duration::from_millis(200);
+/// A transfer that takes so long gets a line of its own: the usual ones take a few milliseconds.
+const NOTED_TIME: Duration = Duration::from_millis(200);
 
-/// Source of a table replica.
+/// Where a copy of a table comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TransferSource {
+pub enum CopySource {
     Store,
     Host(SocketAddr),
 }
 
-impl TransferSource {
-    fn label(self) -> &'static str {
+impl CopySource {
+    fn word(self) -> &'static str {
         match self {
             Self::Store => "store",
             Self::Host(_) => "host",
@@ -35,7 +35,7 @@
     }
 }
 
-impl Display for TransferSource {
+impl Display for CopySource {
     fn fmt(
         &self,
         formatter: &mut Formatter<'_>,
@@ -47,59 +47,59 @@
     }
 }
 
-/// A transfer of a table or its changes to this host; its result is counted and logged.
+/// A copy of a table, or what has changed in it, on its way to this host; counts and tells how it ends.
 #[derive(Debug)]
-pub struct TableTransfer {
+pub struct CopyTransfer {
     table: TableName,
-    source: TransferSource,
-    /// Version after which changes are requested; 0 requests the complete table.
+    source: CopySource,
+    /// The version since which changes are asked for, 0 for the whole table.
     since: u64,
-    started: Instant,
+    begun: Instant,
 }
 
-impl TableTransfer {
-    pub fn start(
+impl CopyTransfer {
+    pub fn begin(
         table: TableName,
-        source: TransferSource,
+        source: CopySource,
         since: u64,
     ) -> Self {
         Self {
             table,
             source,
             since,
-            started: Instant::now(),
+            begun: Instant::now(),
         }
     }
 
-    /// Start of the transfer; the data received is at least as recent.
-    pub fn started(&self) -> Instant {
-        self.started
+    /// When the transfer began: what it brings was right at that moment or later.
+    pub fn begun(&self) -> Instant {
+        self.begun
     }
 
-    /// Returns the time as of which a replica was current, given the age that its sender reported.
+    /// When a copy was right that the other side told to be so old.
     ///
-    /// The age counts from the start of the transfer: counted from its end, a replica that took seconds to
-    /// arrive would appear newer than it is.
-    pub fn current_as_of(
+    /// Its age is told at the beginning of the transfer. Taken as of the end, a copy that was seconds on its
+    /// way would seem newer than it is, and nobody would read a newer one.
+    pub fn right_at(
         &self,
         age: Duration,
     ) -> Option<Instant> {
-        self.started.checked_sub(age)
+        self.begun.checked_sub(age)
     }
 
-    /// Counts a completed transfer and logs a large or slow one.
-    pub fn record_completed(
+    /// It has arrived.
+    pub fn note_taken(
         &self,
         bytes: usize,
     ) {
         self.count("taken", bytes);
-        let took = self.started.elapsed();
-        if bytes < MIN_LOGGED_BYTES && took < MIN_LOGGED_DURATION {
+        let took = self.begun.elapsed();
+        if bytes < NOTED_BYTES && took < NOTED_TIME {
             return;
         }
         note!(
             Event::CopyTaken,
-            table = self.table.label(),
+            table = self.table.word(),
             source = self.source,
             since = self.since,
             bytes = bytes,
@@ -107,13 +107,13 @@
         );
     }
 
-    /// Counts a transfer that the other host postponed because its link is busy.
-    pub fn record_deferred(&self) {
+    /// The host that was asked is busy with others; another one will have a copy soon.
+    pub fn note_deferred(&self) {
         self.count("deferred", 0);
     }
 
-    /// Counts and logs a failed transfer, of which `bytes` had arrived.
-    pub fn record_failure(
+    /// It came to nothing, though `bytes` of it had arrived.
+    pub fn note_failed(
         &self,
         bytes: usize,
         problem: &impl Display,
@@ -121,11 +121,11 @@
         self.count("failed", bytes);
         note!(
             Event::CopyNotTaken,
-            table = self.table.label(),
+            table = self.table.word(),
             source = self.source,
             since = self.since,
             bytes = bytes,
-            took_ms = self.started.elapsed().as_millis(),
+            took_ms = self.begun.elapsed().as_millis(),
             problem = format!("{:?}", problem.to_string()),
         );
     }
@@ -136,8 +136,8 @@
         bytes: usize,
     ) {
         let labels = TransferLabels {
-            table: self.table.label(),
-            source: self.source.label(),
+            table: self.table.word(),
+            source: self.source.word(),
             result,
         };
         let metrics = metrics();
--- a/src/process/host/host_process.rs
+++ b/src/process/host/host_process.rs
@@ -31,19 +31,19 @@
     },
 };
 
-/// Share of the grace period after which new requests are rejected.
-const REJECT_SHARE: f64 = 0.35;
+/// Share of the grace time after which new requests are refused.
+const REFUSE_SHARE: f64 = 0.35;
 
-/// Share of the grace period after which the process exits even if requests are running.
-const EXIT_SHARE: f64 = 0.96;
+/// Share of the grace time after which the process ends whatever runs.
+const END_SHARE: f64 = 0.96;
 
-/// Interval of checks for open connections during a planned stop.
-const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between looks whether the last connection has ended.
+const END_PERIOD: Duration = Duration::from_millis(50);
 
-/// Minimum duration of a planned stop, so that callers can be notified of it.
-const MIN_STOP_DURATION: Duration = Duration::from_millis(300);
+/// A planned stop takes at least so long, so that callers hear of it.
+const LEAST_STOP: Duration = Duration::from_millis(300);
 
-/// Runs one host until it receives a signal to stop.
+/// Runs one host until it is told to stop.
 pub fn run_host_process(
     settings: NodeSettings,
     formats: Arc<dyn Formats>,
@@ -57,7 +57,7 @@
     settings: NodeSettings,
     formats: Arc<dyn Formats>,
 ) -> Result<(), RunError> {
-    // Handlers come first: an earlier signal would kill the process.
+    // First of all: a signal that comes before would end the process.
     let mut signals = Signals::new()?;
     let control = HostControl::new(
         settings.clone(),
@@ -78,8 +78,8 @@
         control_sender.clone(),
     ));
     let addresses = [listen.entry, listen.ready, listen.peers].map(|at| (at, Audience::Anyone));
-    let metrics_address = listen.metrics.map(|at| (at, Audience::Operators));
-    for (address, audience) in addresses.into_iter().chain(metrics_address) {
+    let figures = listen.metrics.map(|at| (at, Audience::Operators));
+    for (address, audience) in addresses.into_iter().chain(figures) {
         let listener = TcpListener::bind(address)
             .await
             .map_err(|problem| listen_error(address, &problem))?;
@@ -88,7 +88,7 @@
     let socket = DatagramSocket::bind(listen.peers)
         .await
         .map_err(|problem| listen_error(listen.peers, &problem))?;
-    let (stop, stop_receiver) = watch::channel(StopStage::Serving);
+    let (stop, stop_seen) = watch::channel(StopStage::Serving);
     let (traffic, inputs) = flume::unbounded();
     let open_connections = Arc::new(AtomicUsize::new(0));
     let parts = TrafficParts {
@@ -97,7 +97,7 @@
         listener: front,
         inputs,
         control: control_sender,
-        stop: stop_receiver,
+        stop: stop_seen,
         open_connections: open_connections.clone(),
     };
     std::thread::Builder::new()
@@ -109,11 +109,11 @@
     spawn_local(runner.run());
     signals.wait_for_stop().await;
     let _ = events.send(ControlEvent::Stop);
-    drain(&stop, &open_connections, settings.bounds.grace).await;
+    leave(&stop, &open_connections, settings.bounds.grace).await;
     Ok(())
 }
 
-/// Handlers for SIGTERM and SIGINT, which stop the process, and SIGHUP, which is ignored.
+/// The signals that the process heeds.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -141,22 +141,22 @@
     }
 }
 
-/// Drains connections: returns when none is open or the grace period is nearly over.
-async fn drain(
+/// Lets what runs come to its end, as long as the grace time allows.
+async fn leave(
     stop: &watch::Sender<StopStage>,
     open_connections: &AtomicUsize,
     grace: Duration,
 ) {
-    let started = Instant::now();
+    let begun = Instant::now();
     let _ = stop.send(StopStage::Draining);
     loop {
-        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
-        let elapsed = started.elapsed();
-        if elapsed >= grace.mul_f64(REJECT_SHARE) {
+        tokio::time::sleep(END_PERIOD).await;
+        let passed = begun.elapsed();
+        if passed >= grace.mul_f64(REFUSE_SHARE) {
             let _ = stop.send(StopStage::Rejecting);
         }
         let idle = open_connections.load(Ordering::Relaxed) == 0;
-        if elapsed >= grace.mul_f64(EXIT_SHARE) || idle && elapsed >= MIN_STOP_DURATION {
+        if passed >= grace.mul_f64(END_SHARE) || idle && passed >= LEAST_STOP {
             return;
         }
     }
--- a/src/process/host/listed_target.rs
+++ b/src/process/host/listed_target.rs
@@ -66,6 +66,6 @@
     }
 
     fn is_leaving(&self) -> bool {
-        self.record.state == TargetState::Draining
+        self.record.state == TargetState::Leaving
     }
 }
--- a/src/process/host/peer_answer.rs
+++ b/src/process/host/peer_answer.rs
@@ -1,9 +1,9 @@
-/// Answer to another host's request for a page.
+/// What another host is answered that asks for a page.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PeerAnswer {
     Page(Vec<u8>),
-    /// The link is busy; the request may be retried, or sent to another host.
+    /// The link is full of copies for others; some of them can hand theirs on in a moment.
     Busy,
-    /// The page does not exist or has no content yet.
-    NotFound,
+    /// There is no such page, or nothing on it yet.
+    NoPage,
 }
--- a/src/process/host/peer_pages.rs
+++ b/src/process/host/peer_pages.rs
@@ -1,7 +1,7 @@
-//! HTTP pages that hosts serve to one another: table replicas and the list of known hosts.
+//! The pages on which one host reads what another knows: its copies of tables, and the hosts.
 
 use {
-    super::{HostControl, TableName, peer_answer::PeerAnswer, replica_server::ReplicaServer},
+    super::{HostControl, TableName, copy_server::CopyServer, peer_answer::PeerAnswer},
     crate::{
         clock::Instant,
         connection::{datagram::HostRumor, pull::HostsBody},
@@ -10,47 +10,47 @@
     prost::Message,
 };
 
-const CHANGES_PATH: &str = "/copy/";
+const COPY_PATH: &str = "/copy/";
 
 const HOSTS_PATH: &str = "/hosts";
 
 impl TableName {
-    pub(super) fn label(self) -> &'static str {
+    pub(super) fn word(self) -> &'static str {
         match self {
             Self::Declared => "declared",
             Self::Targets => "targets",
         }
     }
 
-    fn from_label(label: &str) -> Option<Self> {
+    fn from_word(word: &str) -> Option<Self> {
         [Self::Declared, Self::Targets]
             .into_iter()
-            .find(|table| table.label() == label)
+            .find(|table| table.word() == word)
     }
 }
 
-/// Returns the call that requests the changes of a table since a version.
-pub fn changes_call(
+/// Asks for what has changed since a version.
+pub fn copy_call(
     table: TableName,
     since: u64,
 ) -> HttpCall {
-    HttpCall::get(format!("{CHANGES_PATH}{}?since={since}", table.label()))
+    HttpCall::get(format!("{COPY_PATH}{}?since={since}", table.word()))
 }
 
-/// Returns the call that requests the list of known hosts.
+/// Asks for the hosts that another one knows.
 pub fn hosts_call() -> HttpCall {
     HttpCall::get(HOSTS_PATH.to_string())
 }
 
-/// Decodes the list of known hosts; `None` if it is malformed.
+/// Understands the page of hosts.
 pub fn parse_hosts(body: &[u8]) -> Option<Vec<HostRumor>> {
     Some(HostsBody::decode(body).ok()?.hosts)
 }
 
-/// Answers a request from another host.
-pub fn answer_peer_request(
+/// Answers another host.
+pub fn answer_peer(
     control: &HostControl,
-    replicas: &mut ReplicaServer,
+    copies: &mut CopyServer,
     path: &str,
     query: &str,
     now: Instant,
@@ -59,18 +59,18 @@
         let hosts = control.known_host_rumors(now);
         return PeerAnswer::Page(HostsBody { hosts }.encode_to_vec());
     }
-    let Some((table, since)) = parse_changes_request(path, query) else {
-        return PeerAnswer::NotFound;
+    let Some((table, since)) = asked_copy(path, query) else {
+        return PeerAnswer::NoPage;
     };
-    replicas.answer(control, table, since, now)
+    copies.answer(control, table, since, now)
 }
 
-/// Parses the table and the version of a request for changes; `None` for any other path or query.
-fn parse_changes_request(
+/// Which table is asked for, and since which version.
+fn asked_copy(
     path: &str,
     query: &str,
 ) -> Option<(TableName, u64)> {
-    let table = TableName::from_label(path.strip_prefix(CHANGES_PATH)?)?;
+    let table = TableName::from_word(path.strip_prefix(COPY_PATH)?)?;
     let since = query.strip_prefix("since=")?.parse().ok()?;
     Some((table, since))
 }
--- a/src/process/host/public_pages.rs
+++ b/src/process/host/public_pages.rs
@@ -1,10 +1,9 @@
-//! HTTP pages of a host: entry addresses for callers, readiness, metrics, operators' commands and pages
-//! for other hosts.
+//! The pages for callers that ask where to go, for whoever asks whether the host is ready, and for
+//! other hosts.
 
 use {
     super::{
-        HostControl, peer_answer::PeerAnswer, peer_pages::answer_peer_request,
-        replica_server::ReplicaServer,
+        HostControl, copy_server::CopyServer, peer_answer::PeerAnswer, peer_pages::answer_peer,
     },
     crate::{
         clock::Instant,
@@ -20,34 +19,36 @@
     tokio::{net::TcpListener, task::spawn_local},
 };
 
-/// Idle connections are closed after this time.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// An idle connection to a page is closed after this time.
+const IDLE_LIMIT: Duration = Duration::from_secs(20);
 
+/// Where figures are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path, before a fingerprint, on which operators clear the poison status of a request.
-const CLEAR_POISON_PREFIX: &str = "/pardon/";
+/// Where operators let a request pass again that is refused since targets ended under it; its fingerprint follows.
+const PARDON_PREFIX: &str = "/pardon/";
 
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Pause after a failed accept.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Lifetime given to callers for entry addresses, as a share of the longest allowed one.
-const ENTRY_TTL_SHARE: f64 = 0.6;
+/// Callers keep an answer for this share of the longest time that they may.
+const LIFE_SHARE: f64 = 0.6;
 
-/// Serves the HTTP pages of one host.
+/// Serves the pages of one host.
 pub struct PublicPages {
     control: Rc<RefCell<HostControl>>,
     formats: Arc<dyn Formats>,
-    entry_ttl: Duration,
-    replicas: RefCell<ReplicaServer>,
+    entry_life: Duration,
+    copies: RefCell<CopyServer>,
     requests: flume::Sender<ControlRequest>,
 }
 
-/// The clients that can reach a listening address.
+/// Who can reach an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
-    /// Callers, other hosts and the platform's readiness checks.
+    /// Callers, other hosts and the platform's checks.
     Anyone,
-    /// Metrics collectors and operators.
+    /// Whoever gathers figures, and operators.
     Operators,
 }
 
@@ -55,20 +56,20 @@
     pub fn new(
         control: Rc<RefCell<HostControl>>,
         formats: Arc<dyn Formats>,
-        max_entry_ttl: Duration,
+        longest_life: Duration,
         link_mbps: Option<f64>,
         requests: flume::Sender<ControlRequest>,
     ) -> Self {
         Self {
             control,
             formats,
-            entry_ttl: max_entry_ttl.mul_f64(ENTRY_TTL_SHARE),
-            replicas: RefCell::new(ReplicaServer::new(link_mbps)),
+            entry_life: longest_life.mul_f64(LIFE_SHARE),
+            copies: RefCell::new(CopyServer::new(link_mbps)),
             requests,
         }
     }
 
-    /// Accepts connections until the process ends.
+    /// Accepts connections for as long as the process runs.
     pub async fn serve(
         self: Rc<Self>,
         listener: TcpListener,
@@ -76,7 +77,7 @@
     ) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_BACKOFF).await;
+                tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
@@ -90,7 +91,7 @@
             });
             let connection = Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE_TIMEOUT)
+                .header_read_timeout(IDLE_LIMIT)
                 .serve_connection(TokioIo::new(stream), service);
             spawn_local(async move {
                 let _ = connection.await;
@@ -98,17 +99,16 @@
         }
     }
 
-    /// Answers a request at the operators' address, which serves all other pages too.
+    /// What operators may ask for besides what anyone may.
     fn answer_operator(
         &self,
         request: &Request<Incoming>,
     ) -> Response<AnswerBody> {
-        let fingerprint_text = request.uri().path().strip_prefix(CLEAR_POISON_PREFIX);
-        let Some(fingerprint_text) = fingerprint_text.filter(|_| *request.method() == Method::POST)
-        else {
+        let named = request.uri().path().strip_prefix(PARDON_PREFIX);
+        let Some(named) = named.filter(|_| *request.method() == Method::POST) else {
             return self.answer(request);
         };
-        let Ok(fingerprint) = fingerprint_text.parse::<Fingerprint>() else {
+        let Ok(fingerprint) = named.parse::<Fingerprint>() else {
             return page(StatusCode::NOT_FOUND, Vec::new());
         };
         let report = PoisonReport::Cleared { fingerprint };
@@ -133,7 +133,7 @@
                 if addresses.is_empty() {
                     return page(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
                 }
-                let body = self.formats.entry_body(&addresses, self.entry_ttl);
+                let body = self.formats.entry_body(&addresses, self.entry_life);
                 let mut response = page(StatusCode::OK, body);
                 response.headers_mut().insert(
                     header::CONTENT_TYPE,
@@ -146,11 +146,11 @@
                 if path == METRICS_PATH {
                     return page(StatusCode::OK, metrics().page().into_bytes());
                 }
-                let mut replicas = self.replicas.borrow_mut();
-                match answer_peer_request(&control, &mut replicas, path, query, Instant::now()) {
+                let mut copies = self.copies.borrow_mut();
+                match answer_peer(&control, &mut copies, path, query, Instant::now()) {
                     PeerAnswer::Page(body) => page(StatusCode::OK, body),
                     PeerAnswer::Busy => page(StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
-                    PeerAnswer::NotFound => page(StatusCode::NOT_FOUND, Vec::new()),
+                    PeerAnswer::NoPage => page(StatusCode::NOT_FOUND, Vec::new()),
                 }
             }
         }
--- a/src/process/host/traffic.rs
+++ b/src/process/host/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic thread: serves callers' requests and owns the target table that they are routed by.
+//! The traffic thread: callers' requests, and the board of targets that they rest on.
 
 use {
     crate::{
@@ -38,46 +38,47 @@
     },
 };
 
-/// Interval of usage reports to the holders of engines on a small site.
-const USAGE_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between reports of use to the holders of engines on a small site: a fifth of the time in which
+/// an engine reads a long prompt, since what is told later than that misleads.
+const USAGE_PERIOD: Duration = Duration::from_millis(50);
 
-/// Intervals between usage reports on a large site, whose hosts query holders before they send.
-const LARGE_SITE_INTERVALS: u32 = 3;
+/// The same on a large site, whose hosts ask holders before they send.
+const LARGE_SITE_PERIODS: u32 = 3;
 
-/// Messages from the control thread to the traffic thread.
+/// What the control thread tells the traffic thread.
 #[derive(Debug, Clone)]
 pub enum TrafficInput {
     View(Arc<FleetView>),
-    /// The times as of which the current view is known to be up to date.
-    Freshness(ReplicaFreshness),
+    /// The view is known to be right as of other times.
+    Confirmed(ReplicaFreshness),
     Placement(Placement),
     Load(EngineLoad),
-    EngineStatus(EngineStanding),
-    BorrowedBudget(Loan),
-    /// Answer of the host that accounts for a customer's quota.
-    QuotaAnswer(ChargeAnswer),
-    /// Answer of the host that assigns concurrency slots.
-    SlotAnswer(PlaceGiven),
-    /// Answer of the host that allocates permits for a target.
+    Standing(EngineStanding),
+    Borrowed(Loan),
+    /// The host that counts a customer's use has answered.
+    Charged(ChargeAnswer),
+    /// The host that gives out places has answered.
+    PlaceGiven(PlaceGiven),
+    /// The host that counts what a target gets has answered.
     Permit(PermitAnswer),
-    /// Notices of a target that another host received.
-    TargetNotices {
+    /// Another host has heard what a target says of itself.
+    TargetNews {
         target: String,
         notices: TargetNotices,
     },
-    /// The poison status of a request has changed; `None` if it was cleared.
-    PoisonStatus {
+    /// A request stands so from now on; `None` if nothing speaks against it.
+    Stands {
         fingerprint: Fingerprint,
-        status: Option<PoisonStatus>,
+        standing: Option<PoisonStatus>,
     },
-    /// Another host requests a part of this host's repeat budget.
-    BorrowRequest {
+    /// Another host asks for a part of this one's allowance of repeats.
+    LoanAsked {
         to: SocketAddr,
-        request: LoanAsk,
+        ask: LoanAsk,
     },
 }
 
-/// Everything that the traffic thread is started with.
+/// What the traffic thread needs from its start.
 pub struct TrafficParts {
     pub settings: NodeSettings,
     pub formats: Arc<dyn Formats>,
@@ -85,7 +86,7 @@
     pub inputs: flume::Receiver<TrafficInput>,
     pub control: flume::Sender<ControlRequest>,
     pub stop: watch::Receiver<StopStage>,
-    /// Number of open connections from callers; a planned stop waits until it is 0.
+    /// Callers' connections that are open, for whoever waits for the last.
     pub open_connections: Arc<AtomicUsize>,
 }
 
@@ -111,48 +112,48 @@
             version: bounds.version,
         },
     };
-    let table = Rc::new(RefCell::new(TargetTable::new(settings, parts.control)));
+    let board = Rc::new(RefCell::new(TargetTable::new(settings, parts.control)));
     let listener = parts
         .listener
         .set_nonblocking(true)
         .and_then(|()| tokio::net::TcpListener::from_std(parts.listener))
         .map_err(|problem| RunError::Call(problem.to_string()))?;
     let front = FrontListener::new(
-        table.clone(),
+        board.clone(),
         parts.formats,
         &parts.settings.hall,
         parts.stop,
         parts.open_connections,
     );
     spawn_local(Rc::new(front).serve(listener));
-    let mut usage = tokio::time::interval(USAGE_INTERVAL);
-    let mut intervals = 0u32;
+    let mut usage = tokio::time::interval(USAGE_PERIOD);
+    let mut period = 0u32;
     loop {
         tokio::select! {
             input = parts.inputs.recv_async() => match input {
-                Ok(input) => apply_input(&table, input),
-                // The control thread has ended, so the process is ending.
+                Ok(input) => take(&board, input),
+                // The control thread is gone, and the process with it.
                 Err(_) => return Ok(()),
             },
             _ = usage.tick() => {
-                intervals = intervals.wrapping_add(1);
-                let mut table = table.borrow_mut();
-                if !table.is_large_site() || intervals.is_multiple_of(LARGE_SITE_INTERVALS) {
-                    table.report_usage(Instant::now());
+                period = period.wrapping_add(1);
+                let mut board = board.borrow_mut();
+                if !board.is_large_site() || period.is_multiple_of(LARGE_SITE_PERIODS) {
+                    board.report_usage(Instant::now());
                 }
-                log_staleness(&mut table, bounds);
-                table.maintain_budgets(Instant::now());
+                tell_ages(&mut board, bounds);
+                board.maintain_budgets(Instant::now());
             }
         }
     }
 }
 
-/// Logs the largest staleness seen by requests, if it came close to its bounds.
-fn log_staleness(
-    table: &mut TargetTable,
+/// Tells of what requests rested on, if that came near its bounds.
+fn tell_ages(
+    board: &mut TargetTable,
     bounds: &Bounds,
 ) {
-    let Some(largest) = table.take_max_staleness(Instant::now()) else {
+    let Some(largest) = board.take_max_staleness(Instant::now()) else {
         return;
     };
     note!(
@@ -164,36 +165,34 @@
     );
 }
 
-fn apply_input(
-    table: &Rc<RefCell<TargetTable>>,
+fn take(
+    board: &Rc<RefCell<TargetTable>>,
     input: TrafficInput,
 ) {
-    let mut table = table.borrow_mut();
+    let mut board = board.borrow_mut();
     match input {
-        TrafficInput::View(view) => table.set_view(view),
-        TrafficInput::Freshness(freshness) => table.set_freshness(freshness),
-        TrafficInput::Placement(placement) => table.on_placement(&placement, Instant::now()),
-        TrafficInput::Load(load) => table.on_engine_load(&load, Instant::now()),
-        TrafficInput::EngineStatus(status) => table.on_engine_status(&status, Instant::now()),
-        TrafficInput::PoisonStatus {
+        TrafficInput::View(view) => board.set_view(view),
+        TrafficInput::Confirmed(confirmation) => board.set_freshness(confirmation),
+        TrafficInput::Placement(placement) => board.on_placement(&placement, Instant::now()),
+        TrafficInput::Load(load) => board.on_engine_load(&load, Instant::now()),
+        TrafficInput::Standing(standing) => board.on_engine_status(&standing, Instant::now()),
+        TrafficInput::Stands {
             fingerprint,
-            status,
-        } => table.crashes.set_status(fingerprint, status),
-        TrafficInput::SlotAnswer(answer) => {
-            table.pending_slots.on_answer(answer.id, answer);
+            standing,
+        } => board.crashes.set_status(fingerprint, standing),
+        TrafficInput::PlaceGiven(given) => {
+            board.pending_slots.on_answer(given.id, given);
         }
         TrafficInput::Permit(answer) => {
-            table.pending_permits.on_answer(answer.id, answer);
+            board.pending_permits.on_answer(answer.id, answer);
         }
-        TrafficInput::TargetNotices { target, notices } => {
-            table
+        TrafficInput::TargetNews { target, notices } => {
+            board
                 .notices
                 .on_peer_notices(&target, &notices, Instant::now());
         }
-        TrafficInput::QuotaAnswer(answer) => table.quotas.on_answer(answer),
-        TrafficInput::BorrowedBudget(loan) => table.on_loan(&loan, Instant::now()),
-        TrafficInput::BorrowRequest { to, request } => {
-            table.on_loan_request(to, &request, Instant::now())
-        }
+        TrafficInput::Charged(answer) => board.quotas.on_answer(answer),
+        TrafficInput::Borrowed(loan) => board.on_loan(&loan, Instant::now()),
+        TrafficInput::LoanAsked { to, ask } => board.on_loan_request(to, &ask, Instant::now()),
     }
 }
--- a/src/process/tables/table_changes.rs
+++ b/src/process/tables/table_changes.rs
@@ -1,6 +1,6 @@
 use crate::{
     connection::pull::{ChangesBody, RowBody},
-    formats::{Row, total_value_bytes},
+    formats::{Row, bytes_of},
 };
 
 /// Changed rows or a full snapshot of a table, for transfer to another host.
@@ -18,7 +18,7 @@
 impl TableChanges {
     /// Returns the size of all values in bytes.
     pub fn bytes(&self) -> usize {
-        total_value_bytes(&self.rows)
+        bytes_of(&self.rows)
     }
 }
 
--- a/src/process/target/target_state.rs
+++ b/src/process/target/target_state.rs
@@ -59,7 +59,7 @@
         queue_factor: f64,
         now: Instant,
     ) -> Self {
-        let max_waiting = (spec.max_concurrency() as f64 * queue_factor) as usize;
+        let max_waiting = (spec.max_running() as f64 * queue_factor) as usize;
         Self {
             spec,
             fence,
@@ -145,7 +145,7 @@
 
     /// A request that waited or ran is over here.
     ///
-    /// When its end was not seen at the engine (`quiet_time` is false), the engine may still run it.
+    /// When its end was not seen at the engine (`settled` is false), the engine may still run it.
     pub fn on_end(
         &mut self,
         id: TicketId,
@@ -306,7 +306,7 @@
     }
 
     pub(super) fn has_room(&self) -> bool {
-        self.running.len() + (self.foreign_running as usize) < self.spec.max_concurrency()
+        self.running.len() + (self.foreign_running as usize) < self.spec.max_running()
     }
 
     pub(super) fn is_ready(
--- a/src/request/direct/call_request.rs
+++ b/src/request/direct/call_request.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the time at which the route's latency objective is missed.
-    pub fn latency_deadline(&self) -> Instant {
-        self.arrived + self.route.latency_goal
+    pub fn aim(&self) -> Instant {
+        self.arrived + self.route.aim
     }
 }
--- a/src/request/direct/next_step.rs
+++ b/src/request/direct/next_step.rs
@@ -62,7 +62,7 @@
         AttemptEnd::NotRun { .. } if attempts_exhausted || !can_resend => NextStep::Reject,
         AttemptEnd::NotRun { .. } => NextStep::Resend { repeats },
         AttemptEnd::Failed { .. } | AttemptEnd::Lost
-            if route.is_repeatable() && !attempts_exhausted && can_resend =>
+            if route.repeatable() && !attempts_exhausted && can_resend =>
         {
             NextStep::Resend { repeats }
         }
--- a/src/request/direct/wait_decision.rs
+++ b/src/request/direct/wait_decision.rs
@@ -15,7 +15,7 @@
     /// Time since the request arrived.
     pub elapsed: Duration,
     /// Latency objective for the first event.
-    pub latency_goal: Duration,
+    pub aim: Duration,
     /// Time until the deadline.
     pub time_left: Duration,
 }
@@ -38,8 +38,8 @@
     timing: &RequestTiming,
     expected: Duration,
 ) -> WaitDecision {
-    let is_on_time = timing.elapsed + expected <= timing.latency_goal;
-    let is_early = timing.elapsed <= timing.latency_goal.mul_f64(EARLY_SHARE);
+    let is_on_time = timing.elapsed + expected <= timing.aim;
+    let is_early = timing.elapsed <= timing.aim.mul_f64(EARLY_SHARE);
     let retry_after = expected + RETRY_MARGIN;
     let can_retry = retry_after <= timing.time_left.mul_f64(MAX_RETRY_SHARE);
     match !is_on_time && is_early && can_retry {
--- a/src/request/quotas/quota_policy.rs
+++ b/src/request/quotas/quota_policy.rs
@@ -1,4 +1,4 @@
-use {crate::version::routing::QuotaLimit, std::time::Duration};
+use {crate::version::routing::UseLimit, std::time::Duration};
 
 /// Number of parts of a customer's limit, each counted by another host. While one of them is down, the customer has the
 /// rest of its limit.
@@ -35,7 +35,7 @@
     /// Returns the maximum usage in any window.
     pub fn allowed(
         &self,
-        limit: &QuotaLimit,
+        limit: &UseLimit,
     ) -> f64 {
         self.within_limit(limit) + self.excess(limit)
     }
@@ -46,7 +46,7 @@
     /// accrues within it and `GRANT_TTL`, and what the bucket held.
     pub fn bucket(
         &self,
-        limit: &QuotaLimit,
+        limit: &UseLimit,
     ) -> BucketLimits {
         let parts = LIMIT_PARTS as f64;
         let rate = self.within_limit(limit) / self.window.as_secs_f64();
@@ -59,14 +59,14 @@
 
     fn within_limit(
         &self,
-        limit: &QuotaLimit,
+        limit: &UseLimit,
     ) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 
     fn excess(
         &self,
-        limit: &QuotaLimit,
+        limit: &UseLimit,
     ) -> f64 {
         self.tolerance * self.within_limit(limit) + self.slack
     }
--- a/src/standin/engine/engine_orders.rs
+++ b/src/standin/engine/engine_orders.rs
@@ -5,7 +5,7 @@
         EngineFaults,
         engine_http::{Shared, refusal},
         engine_standin::{SharedEngine, lock},
-        engine_state::LoadedAdapter,
+        engine_state::HeldAdapter,
     },
     crate::{
         connection::{
@@ -70,7 +70,7 @@
             let full = refusal(StatusCode::CONFLICT, "no_adapter_slot", model.as_str());
             return Err(Box::new(full));
         }
-        let held = LoadedAdapter {
+        let held = HeldAdapter {
             state: AdapterState::Loading,
             using: 0,
         };
--- a/src/standin/engine/engine_state.rs
+++ b/src/standin/engine/engine_state.rs
@@ -16,7 +16,7 @@
 
 /// An adapter that an engine holds.
 #[derive(Debug, Clone)]
-pub struct LoadedAdapter {
+pub struct HeldAdapter {
     pub state: AdapterState,
     pub using: u32,
 }
@@ -28,7 +28,7 @@
     pub base_model: String,
     pub role: String,
     pub fence: u64,
-    pub adapters: BTreeMap<AdapterVersion, LoadedAdapter>,
+    pub adapters: BTreeMap<AdapterVersion, HeldAdapter>,
     pub batch: EngineBatch,
     pub streams: HashMap<String, Arc<EngineStream>>,
     pub cache: PrefixCache,
--- a/src/version/adapter_version.rs
+++ b/src/version/adapter_version.rs
@@ -16,7 +16,7 @@
 }
 
 impl AdapterVersion {
-    /// Joins an adapter's name and a version; neither may be empty or contain `@`.
+    /// Joins an adapter's name and a version; both must be non-empty and free of `@`.
     pub fn new(
         adapter: &str,
         version: &str,
@@ -24,15 +24,17 @@
         format!("{adapter}{SEPARATOR}{version}").parse()
     }
 
+    /// The adapter's name.
     pub fn adapter(&self) -> &str {
         &self.full[..self.split]
     }
 
+    /// The version's name.
     pub fn version(&self) -> &str {
         &self.full[self.split + 1..]
     }
 
-    /// Returns the `adapter@version` form.
+    /// The `adapter@version` form.
     pub fn as_str(&self) -> &str {
         &self.full
     }
--- a/src/version/change.rs
+++ b/src/version/change.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A change to the configuration; a revision has one or more, which are accepted or rejected together.
+/// One declared change; a revision holds one or more, accepted or refused as a whole.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "change")]
 pub enum Change {
@@ -12,39 +12,20 @@
         base_model: String,
         versions: Vec<AdapterVersion>,
     },
-    RetireAdapter {
-        version: AdapterVersion,
-    },
+    /// Retires one adapter version.
+    RetireAdapter { version: AdapterVersion },
     /// Sets or replaces a kind.
-    SetKind {
-        name: String,
-        spec: KindSpec,
-    },
+    SetKind { name: String, spec: KindSpec },
     /// Sets or replaces a service.
-    SetService {
-        name: String,
-        spec: ServiceSpec,
-    },
-    RemoveService {
-        name: String,
-    },
+    SetService { name: String, spec: ServiceSpec },
+    /// Removes a service.
+    RemoveService { name: String },
     /// Sets or replaces a target.
-    SetTarget {
-        name: String,
-        spec: TargetSpec,
-    },
-    /// Removes a target.
-    RemoveTarget {
-        name: String,
-    },
+    SetTarget { name: String, spec: TargetSpec },
+    /// Removes a target that has left.
+    RemoveTarget { name: String },
     /// Sets or replaces an outfitter.
-    SetOutfitter {
-        name: String,
-        spec: OutfitterSpec,
-    },
-    /// Sets or clears the draining state of a target.
-    SetLeaving {
-        target: String,
-        leaving: bool,
-    },
+    SetOutfitter { name: String, spec: OutfitterSpec },
+    /// Marks a target as leaving, or takes the mark back.
+    SetLeaving { target: String, leaving: bool },
 }
--- a/src/version/config_store.rs
+++ b/src/version/config_store.rs
@@ -11,14 +11,14 @@
     },
 };
 
-/// Key of the table row that refers to the newest revision.
+/// The table row that names the newest revision.
 pub const CONFIG_HEAD_KEY: &str = "config/head";
 
-/// Number of revisions between snapshots of the complete configuration.
-const SNAPSHOT_INTERVAL: u64 = 64;
+/// Every so many revisions the body holds the whole configuration.
+const WHOLE_EVERY: u64 = 64;
 
-/// Number of attempts to find out whether a transaction whose reply was lost took effect.
-const MAX_RESOLVE_ATTEMPTS: usize = 5;
+/// Tries to learn whether a transaction with a lost reply took effect.
+const SETTLE_TRIES: usize = 5;
 
 /// The value of the row `config/head`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
 }
 
 impl ConfigHead {
-    /// Parses the head from its table row.
+    /// Reads the head out of its table row.
     pub fn from_row(row: &Row) -> Result<Self, ConfigError> {
         serde_json::from_str(&row.value).map_err(|e| ConfigError::Corrupt(e.to_string()))
     }
@@ -49,7 +49,7 @@
         Self { table, objects }
     }
 
-    /// Reads the newest configuration by applying the revisions that `known` lacks.
+    /// The newest configuration, built from what `known` lacks.
     pub fn read(
         &self,
         known: &SiteConfig,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Reads the configuration at `head` by applying the revisions that `known` lacks.
+    /// The configuration that `head` names, built from what `known` lacks.
     pub fn read_to(
         &self,
         head: &ConfigHead,
@@ -90,7 +90,7 @@
         Ok(config)
     }
 
-    /// Commits `changes` on top of `seen`; returns `ConfigError::Conflict` if there is a newer revision.
+    /// Commits `changes` on top of `seen`; the loser of a race is told the newer revision.
     pub fn commit(
         &self,
         seen: &SiteConfig,
@@ -114,7 +114,7 @@
             operation: operation.to_string(),
             operator: operator.to_string(),
             committed_ms: wall_clock_ms(),
-            content: match next.revision % SNAPSHOT_INTERVAL {
+            content: match next.revision % WHOLE_EVERY {
                 1 => RevisionContent::Whole(next.clone()),
                 _ => RevisionContent::Changes(changes),
             },
@@ -139,32 +139,32 @@
         };
         match self.table.transact(&transaction) {
             Ok(Commit::Done { .. }) => Ok(()),
-            Ok(Commit::Conflict { .. }) => self.check_own_commit(head),
-            Err(error) if error.may_have_committed() => self.resolve_lost_reply(head, error),
+            Ok(Commit::Conflict { .. }) => self.conflict_or_own(head),
+            Err(error) if error.may_have_committed() => self.settle(head, error),
             Err(error) => Err(error.into()),
         }
     }
 
-    /// Finds out after a lost reply whether the commit took effect: object names contain the operation id.
-    fn resolve_lost_reply(
+    /// After a lost reply: the object's name holds the operation id, so the head tells.
+    fn settle(
         &self,
         head: &ConfigHead,
-        error: PlatformError,
+        lost: PlatformError,
     ) -> Result<(), ConfigError> {
-        for _ in 0..MAX_RESOLVE_ATTEMPTS {
+        for _ in 0..SETTLE_TRIES {
             if let Ok(found) = self.head() {
                 let ours = found.is_some_and(|(found, _)| found == *head);
                 return match ours {
                     true => Ok(()),
-                    false => self.check_own_commit(head),
+                    false => self.conflict_or_own(head),
                 };
             }
         }
-        Err(ConfigError::Undecided(error.to_string()))
+        Err(ConfigError::Undecided(lost.to_string()))
     }
 
-    /// Walks back from the newest revision; succeeds if `ours` is among its predecessors.
-    fn check_own_commit(
+    /// Walks back from the newest revision to see whether ours is among them.
+    fn conflict_or_own(
         &self,
         ours: &ConfigHead,
     ) -> Result<(), ConfigError> {
--- a/src/version/mod.rs
+++ b/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration revisions: declared entities, changes and the store for them.
+//! What lives for a configuration revision: declared things, changes and their store.
 
 mod adapter_version;
 mod change;
--- a/src/version/revision_body.rs
+++ b/src/version/revision_body.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Content of a revision: the changes, or at intervals the complete configuration.
+/// What a revision's object holds: the whole configuration now and then, else changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RevisionContent {
@@ -11,16 +11,16 @@
     Changes(Vec<Change>),
 }
 
-/// One revision in the object store; bodies are linked back to the last complete one.
+/// One revision as kept in the object store; bodies form a chain to the last whole one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RevisionBody {
     pub revision: u64,
-    /// Object name of the previous revision; `None` for the first.
+    /// Object name of the revision before; none for the first.
     pub previous: Option<String>,
-    /// Operation id, by which a commit whose reply was lost is recognized.
+    /// Names the operation, so that a lost reply can be settled.
     pub operation: String,
     pub operator: String,
-    /// Wall-clock time of the committing host, as a Unix time in milliseconds.
+    /// Wall clock at the committing host, in milliseconds since 1970.
     pub committed_ms: u64,
     pub content: RevisionContent,
 }
--- a/src/version/routing/customer.rs
+++ b/src/version/routing/customer.rs
@@ -1,11 +1,11 @@
-use super::QuotaLimit;
+use super::UseLimit;
 
 /// A customer, on whose behalf callers send requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Customer {
     pub name: String,
-    /// Takes precedence over the priority of the route; 0 is the most urgent.
+    /// Comes before that of the route; 0 is the most urgent.
     pub priority: u8,
-    /// `None` means unlimited use.
-    pub limit: Option<QuotaLimit>,
+    /// None may use as much as there is.
+    pub limit: Option<UseLimit>,
 }
--- a/src/version/routing/engine_spec.rs
+++ b/src/version/routing/engine_spec.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// A base model that the engines of a service can load.
+/// A base model that the engines of a service can hold.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BaseModel {
     pub name: String,
@@ -8,27 +8,28 @@
     pub weights_mb: f64,
     /// Memory of one of its adapters, in MB.
     pub adapter_mb: f64,
-    /// Time to load its weights from the weight store when no other load is running.
+    /// Time to load its weights from the weight store, alone.
     pub load_time: Duration,
 }
 
-/// Capacity of one engine of a service.
+/// What one engine of a service can hold and run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
     pub models: Vec<BaseModel>,
-    /// Maximum number of requests in one batch.
+    /// Requests in one batch.
     pub slots: u32,
-    /// Maximum number of prompt and answer tokens in memory.
+    /// Tokens of prompts and answers in memory.
     pub memory_tokens: u64,
     /// Memory for weights and adapters together, in MB.
     pub weights_mb: f64,
-    /// Maximum number of loaded adapters, including those being loaded.
+    /// Adapters held at once, those on their way included.
     pub adapter_slots: usize,
-    /// Weight loads per second that the weight store allows, over all engines.
+    /// Loads of weights that the weight store allows in a second, over all engines.
     pub loads_per_second: f64,
 }
 
 impl EngineSpec {
+    /// The base model of that name.
     pub fn model(
         &self,
         name: &str,
@@ -36,8 +37,8 @@
         self.models.iter().find(|model| model.name == name)
     }
 
-    /// Returns the number of adapters that fit into memory beside a base model.
-    pub fn adapter_capacity(
+    /// Adapters that fit beside one base model.
+    pub fn adapter_room(
         &self,
         model: &BaseModel,
     ) -> usize {
--- a/src/version/routing/key_digest.rs
+++ b/src/version/routing/key_digest.rs
@@ -3,25 +3,27 @@
     std::fmt,
 };
 
-/// SHA-256 digest of a customer's key.
+/// Stands for a customer's key, which itself is never kept: what finds its way into memory dumps, lines or figures
+/// opens nothing.
 ///
-/// Keys themselves are not stored, so that memory dumps, logs and metrics can't expose them. Lookup by digest need
-/// not take constant time: its timing depends on the digest only, which doesn't help to find the key.
+/// Keys are looked up by it. How long that takes tells of the digest at the most, and who knows a part of a digest
+/// is no nearer to a key that has it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Returns the digest of a key as sent by a caller.
+    /// The digest of a key as a caller shows it.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
+    /// The bytes of the digest.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
 }
 
-/// Hides the digest: in a log line it would reveal which requests share a key.
+/// Names nothing: a digest in a line would tell which requests share a key.
 impl fmt::Debug for KeyDigest {
     fn fmt(
         &self,
--- a/src/version/routing/route.rs
+++ b/src/version/routing/route.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// Whether requests of a route may be retried.
+/// What may be repeated of the requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests may run more than once.
@@ -12,8 +12,8 @@
 }
 
 impl RouteKind {
-    /// Name of the kind in metrics.
-    pub fn label(self) -> &'static str {
+    /// The kind in figures.
+    pub fn word(self) -> &'static str {
         match self {
             Self::Safe => "safe",
             Self::Unsafe => "unsafe",
@@ -29,7 +29,7 @@
     pub weight: u32,
 }
 
-/// A route: which requests go to which services, with their limits and latency goals.
+/// Which requests go to which service, and on what terms.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     pub name: String,
@@ -37,27 +37,27 @@
     /// Begins and ends with a slash.
     pub path_prefix: String,
     pub kind: RouteKind,
-    /// Maximum time until a request is answered.
+    /// Longest time that a request is held.
     pub timeout: Duration,
-    /// Latency goal for the answer, or for the first event of a stream.
-    pub latency_goal: Duration,
-    /// Latency goal for the interval between the events of a stream.
-    pub gap_goal: Duration,
+    /// Time to the answer, or to the first event of a stream, that earns full credit.
+    pub aim: Duration,
+    /// Longest pause between the events of a stream that keeps it in time.
+    pub gap_aim: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// Destinations; several entries split the requests by weight.
+    /// Where requests go; more than one entry splits them by weight.
     pub services: Vec<WeightedService>,
-    /// Maximum number of targets that one request may be sent to.
+    /// Most targets that one request may be sent to.
     pub max_attempts: u32,
-    /// An interrupted stream may resume at another target.
+    /// A broken stream may go on at another target.
     pub resumable: bool,
-    /// Requests need no key even if customers are declared.
+    /// Requests need no key, also where there are customers.
     pub public: bool,
 }
 
 impl Route {
-    /// Returns true if a request of this route may run more than once.
-    pub fn is_repeatable(&self) -> bool {
+    /// True when a request of this route may run more than once.
+    pub fn repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
             RouteKind::Unsafe => false,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Selects a service by weight; `draw` is a random number in `0.0..1.0`.
+    /// The service for a request, chosen by weight with `draw`, a number from 0 to below 1.
     pub fn service(
         &self,
         draw: f64,
--- a/src/version/routing/routing_table.rs
+++ b/src/version/routing/routing_table.rs
@@ -3,7 +3,7 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// Size and time limits for callers' requests and connections.
+/// What a caller may send, and how long it may take or rest.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FrontLimits {
     pub header_bytes: usize,
@@ -23,17 +23,17 @@
     }
 }
 
-/// One accepted configuration; immutable.
+/// One accepted configuration; it never changes.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingTable {
-    /// Increases with each configuration; 0 before the first.
+    /// Rises with each configuration; 0 before the first.
     pub version: u64,
     pub limits: FrontLimits,
     pub customers: Customers,
     services: HashMap<String, Arc<TargetService>>,
-    /// Routes by host name, the longest prefix first.
+    /// By host, the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
-    /// Number of priority levels of routes.
+    /// Priorities that routes have, from 0 on.
     route_priorities: u8,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the table with these customers, whose requests must have a key.
+    /// The same with customers, whose requests bear keys.
     pub fn with_customers(
         self,
         customers: Customers,
@@ -77,7 +77,7 @@
         Self { customers, ..self }
     }
 
-    /// Returns the rank of a request; 0 goes first. The customer's priority takes precedence over the route's.
+    /// How urgent a request is; 0 goes first. The customer's priority comes before that of the route.
     pub fn urgency(
         &self,
         route: &Route,
@@ -89,7 +89,7 @@
             .saturating_add(route.priority)
     }
 
-    /// Returns the route of `host` with the longest prefix of `path`.
+    /// The route with the longest prefix that begins `path`, among those of `host`.
     pub fn find(
         &self,
         host: &str,
--- a/src/version/routing/target_service.rs
+++ b/src/version/routing/target_service.rs
@@ -1,13 +1,13 @@
 use super::EngineSpec;
 
-/// A service that routes refer to: a group of targets of one kind.
+/// A service that routes lead to: many targets of one kind.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetService {
     pub name: String,
     /// Path of a target's health check.
     pub health_path: String,
-    /// Maximum number of connections to one target, from all callers together.
+    /// Connections that one target takes from all callers together.
     pub max_connections: usize,
-    /// Capacity of each engine; `None` for plain services.
+    /// Set for model engines, absent for plain services.
     pub engine: Option<EngineSpec>,
 }
--- a/src/version/service_spec.rs
+++ b/src/version/service_spec.rs
@@ -9,6 +9,7 @@
 pub struct KeyHash(String);
 
 impl KeyHash {
+    /// Hashes a key.
     pub fn from_key(key: &str) -> Self {
         let digest = KeyDigest::of(key.as_bytes());
         Self(
@@ -32,20 +33,20 @@
 /// A service that sends requests through coveproxy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Hashes of the keys that the service may use; two during a rotation.
+    /// Keys that the service may show, as hashes; two during a rotation.
     pub keys: Vec<KeyHash>,
     /// Kinds that the service may send; the first is the default.
     pub kinds: Vec<String>,
-    /// Default outfitter for requests that name none.
+    /// The outfitter that counts when the caller names none.
     #[serde(default)]
     pub outfitter: Option<String>,
-    /// True if plain targets answer `/v1/services/<service>/…`; false for model services.
+    /// Plain targets that answer `/v1/services/<service>/…`; empty for model services.
     #[serde(default)]
     pub plain: bool,
-    /// Maximum ratio of retries to first attempts.
+    /// Resends as a share of first sends.
     #[serde(default = "ServiceSpec::default_retry_share")]
     pub retry_share: f64,
-    /// Requests per second that the service may send; 0 disables the limit.
+    /// Requests a second that the service may send; 0 is no limit.
     #[serde(default)]
     pub rate: f64,
 }
@@ -55,13 +56,13 @@
         0.2
     }
 
-    /// Returns true if one of the service's keys has this hash; compares every key, for constant time.
-    pub fn has_key(
+    /// True when one of the service's keys has this hash; every key is compared.
+    pub fn admits(
         &self,
-        key_hash: &KeyHash,
+        shown: &KeyHash,
     ) -> bool {
         self.keys
             .iter()
-            .fold(false, |found, key| key.matches(key_hash) | found)
+            .fold(false, |found, key| key.matches(shown) | found)
     }
 }
--- a/src/version/site_config.rs
+++ b/src/version/site_config.rs
@@ -11,7 +11,7 @@
 /// The declared configuration at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteConfig {
-    /// Increases by one with each accepted transaction; 0 is the empty configuration.
+    /// Grows by one with each accepted transaction; 0 is the empty configuration.
     pub revision: u64,
     /// Base model of each adapter version.
     pub adapters: BTreeMap<AdapterVersion, Arc<str>>,
@@ -22,7 +22,7 @@
 }
 
 impl SiteConfig {
-    /// Returns the next revision, with all of `changes` applied; fails if any of them is invalid.
+    /// The configuration after `changes`, with the next revision; refused as a whole.
     pub fn with(
         &self,
         changes: &[Change],
@@ -36,7 +36,7 @@
         Ok(next)
     }
 
-    /// Returns the base model of a declared adapter version.
+    /// Base model of a declared adapter version.
     pub fn base_model(
         &self,
         version: &AdapterVersion,
@@ -44,20 +44,20 @@
         self.adapters.get(version).map(|base| base.as_ref())
     }
 
-    /// Returns the service that a key belongs to; compares every service, for constant time.
+    /// The service that a key belongs to; every service is compared.
     pub fn service_of_key(
         &self,
-        key_hash: &KeyHash,
+        shown: &KeyHash,
     ) -> Option<&str> {
         self.services
             .iter()
-            .fold(None, |found, (name, spec)| match spec.has_key(key_hash) {
+            .fold(None, |found, (name, spec)| match spec.admits(shown) {
                 true => Some(name.as_str()),
                 false => found,
             })
     }
 
-    /// Returns the weight of an outfitter; 1.0 if it is `None` or unknown.
+    /// Worth of an outfitter; 1.0 when none is named or known.
     pub fn worth(
         &self,
         outfitter: Option<&str>,
@@ -77,8 +77,8 @@
                 versions,
             } => self.declare(base_model, versions),
             Change::RetireAdapter { version } => {
-                let removed = self.adapters.remove(version);
-                require(removed, "adapter", version.as_str())?;
+                let gone = self.adapters.remove(version);
+                require(gone, "adapter", version.as_str())?;
             }
             Change::SetKind { name, spec } => {
                 self.kinds.insert(name.clone(), spec.clone());
@@ -159,7 +159,7 @@
         name: &str,
         target: &TargetSpec,
     ) -> Result<(), ConfigError> {
-        if target.max_concurrency() == 0 {
+        if target.max_running() == 0 {
             return Err(ConfigError::NoRoom(name.to_string()));
         }
         if let TargetRole::Plain { service, .. } = &target.role {
--- a/src/version/target_spec.rs
+++ b/src/version/target_spec.rs
@@ -3,44 +3,45 @@
     std::net::SocketAddr,
 };
 
-/// Capacity of a model engine.
+/// What a model engine can hold and run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Base model of all adapters that the engine can load.
+    /// Base model that the engine's adapters must be made for.
     pub base_model: String,
-    /// Maximum number of loaded adapters.
+    /// Adapters held at once.
     pub adapter_slots: usize,
-    /// Maximum number of requests in one batch.
+    /// Requests batched at once.
     pub batch_slots: usize,
 }
 
-/// Role of a target.
+/// What a target is for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetRole {
+    /// A model engine.
     Engine(EngineSpec),
-    /// A plain service: its name and the maximum number of concurrent calls.
-    Plain {
-        service: String,
-        calls: usize,
-    },
+    /// A plain service: the service's name and the calls that it bears at once.
+    Plain { service: String, calls: usize },
 }
 
 /// A back end: a model engine or a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetSpec {
+    /// Where the target listens.
     pub address: SocketAddr,
+    /// The hall that it stands in.
     pub hall: String,
+    /// What it is for.
     pub role: TargetRole,
-    /// The target rejects orders that have an outdated fence.
+    /// Whether the target refuses orders that bear an old fence.
     pub checks_fences: bool,
-    /// The target is draining: it finishes its requests and gets no new ones.
+    /// A leaving target finishes what it has and gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
 impl TargetSpec {
-    /// Returns the capacity of a model engine; `None` for a plain service.
+    /// The engine's sizes, for a model engine.
     pub fn engine(&self) -> Option<&EngineSpec> {
         match &self.role {
             TargetRole::Engine(engine) => Some(engine),
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Returns the maximum number of concurrent requests.
-    pub fn max_concurrency(&self) -> usize {
+    /// Requests that the target bears at once.
+    pub fn max_running(&self) -> usize {
         match &self.role {
             TargetRole::Engine(engine) => engine.batch_slots,
             TargetRole::Plain { calls, .. } => *calls,
--- a/tests/engine_allocator.rs
+++ b/tests/engine_allocator.rs
@@ -5,7 +5,7 @@
     coveproxy::{
         clock::Instant,
         connection::datagram::{AdapterUsage, EngineQuery, Placement, PlacementState, Usage, Want},
-        formats::{LoadedAdapter, LoadedModel, OrderKind, OrderReply, TargetReport, TargetStart},
+        formats::{HeldAdapter, HeldModel, OrderKind, OrderReply, TargetReport, TargetStart},
         process::engines::{
             AllocatorAction, EngineAllocator, EngineLoads, EngineUtilization, LoadRejection,
             OrderPurpose, PlannedOrder, SharedAllocatorState,
@@ -168,7 +168,7 @@
                 self.sequence += 1;
                 OrderReply::Accepted
             }
-            (None, OrderKind::Unload) => OrderReply::Rejected,
+            (None, OrderKind::Unload) => OrderReply::Refused,
             (Some(name), OrderKind::Load) => self.load(name, order.version, now),
             (Some(name), OrderKind::Unload) => self.unload(name),
         }
@@ -183,7 +183,7 @@
         let newest = self.newest.get(name).copied().unwrap_or(1);
         let version = version.unwrap_or(newest);
         if !self.model || version > newest {
-            return OrderReply::Rejected;
+            return OrderReply::Refused;
         }
         if self
             .coming
@@ -235,11 +235,11 @@
     }
 
     fn report(&self) -> TargetReport {
-        let adapters = self.held.iter().map(|(name, version)| LoadedAdapter {
+        let adapters = self.held.iter().map(|(name, version)| HeldAdapter {
             name: name.clone(),
             version: *version,
         });
-        let models = self.model.then(|| LoadedModel {
+        let models = self.model.then(|| HeldModel {
             name: MODEL.to_string(),
             adapters: adapters.collect(),
         });
@@ -247,10 +247,10 @@
         TargetReport {
             started: Some(TargetStart::from_unix_ms(self.incarnation)),
             models: models.into_iter().collect(),
-            loading: coming
+            coming: coming
                 .map(|(name, (version, _))| (MODEL.to_string(), name.clone(), *version))
                 .collect(),
-            local_models: match self.model_at_hand {
+            at_hand: match self.model_at_hand {
                 true => vec![MODEL.to_string()],
                 false => Vec::new(),
             },
--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -342,7 +342,7 @@
                 action,
                 sent,
                 term,
-                outcome: Some(Ok(Commit::Rejected)),
+                outcome: Some(Ok(Commit::TurnedAway)),
             };
             self.events.push((now + ms(4), reply));
             return;
@@ -468,7 +468,7 @@
             (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::Conflict { rows }))) => {
                 holding.on_take_conflict(&engines, &rows, now);
             }
-            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::Rejected))) => {
+            (AssignmentAction::Take { engines, .. }, Some(Ok(Commit::TurnedAway))) => {
                 holding.on_take_rejected(&engines, now);
             }
             (AssignmentAction::Take { .. }, _) => holding.on_take_outcome_unknown(now),
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -8,7 +8,7 @@
             Charge, CustomerQuota, LIMIT_PARTS, QuotaLedger, QuotaPolicy, QuotaStep, TriedParts,
             shard_for, shard_lease, shard_of_lease,
         },
-        version::routing::{QuotaLimit, QuotaUnit},
+        version::routing::{UseLimit, UseUnit},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
     rstest::rstest,
@@ -37,13 +37,11 @@
     }
 }
 
-fn limit(rate: f64) -> QuotaLimit {
-    QuotaLimit {
+fn limit(rate: f64) -> UseLimit {
+    UseLimit {
         rate,
         burst: rate,
-        unit: QuotaUnit::Tokens {
-            default_tokens: 200.0,
-        },
+        unit: UseUnit::Tokens { untold: 200.0 },
     }
 }
 
@@ -96,7 +94,7 @@
 struct Simulation {
     rng: StdRng,
     faults: Faults,
-    limit: QuotaLimit,
+    limit: UseLimit,
     parts: Vec<Part>,
     hosts: Vec<CustomerQuota>,
     start: Instant,
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -37,8 +37,8 @@
         path_prefix: "/a/".to_string(),
         kind,
         timeout: ms(15_000),
-        latency_goal: ms(800),
-        gap_goal: ms(250),
+        aim: ms(800),
+        gap_aim: ms(250),
         priority: 1,
         services: vec![weighted("s", 1)],
         max_attempts,
@@ -360,7 +360,7 @@
 ) {
     let time = RequestTiming {
         elapsed: ms(elapsed),
-        latency_goal: ms(800),
+        aim: ms(800),
         time_left: ms(15_000),
     };
     assert_eq!(wait_or_reject(&time, ms(expected)), patience);
@@ -468,7 +468,7 @@
         adapter_slots: slots,
         loads_per_second: 3.0,
     };
-    assert_eq!(spec.adapter_capacity(&model), room);
+    assert_eq!(spec.adapter_room(&model), room);
 }
 
 /// A request is more likely to arrive during a long prefill than during a short one.
--- a/tests/table_transfer.rs
+++ b/tests/table_transfer.rs
@@ -6,7 +6,7 @@
         connection::pull::{ChangesBody, CopyPage, PageProblem},
         formats::Row,
         process::{
-            host::{SendRateLimiter, TableName, TableTransfer, TransferSource},
+            host::{CopySource, CopyTransfer, SendAllowance, TableName},
             tables::TableChanges,
         },
     },
@@ -94,10 +94,10 @@
 /// The duration of a transfer must not make a replica appear newer than it is.
 #[test]
 fn the_time_on_its_way_makes_no_copy_newer() {
-    let transfer = TableTransfer::start(TableName::Targets, TransferSource::Store, 0);
-    let started = Instant::now();
+    let transfer = CopyTransfer::begin(TableName::Targets, CopySource::Store, 0);
+    let begun = Instant::now();
     std::thread::sleep(Duration::from_millis(20));
-    assert!(transfer.current_as_of(AGE).unwrap() <= started - AGE);
+    assert!(transfer.right_at(AGE).unwrap() <= begun - AGE);
 }
 
 proptest! {
@@ -113,7 +113,7 @@
         requests in vec((0u64..50, 16_000usize..200_000), 1..200),
     ) {
         let start = Instant::now();
-        let mut allowance = SendRateLimiter::new(Some(link_mbps));
+        let mut allowance = SendAllowance::new(Some(link_mbps));
         let (mut now, mut sent) = (start, 0);
         for (pause_ms, bytes) in requests {
             now += Duration::from_millis(pause_ms);
@@ -132,10 +132,10 @@
 #[test]
 fn an_allowance_is_full_for_as_long_as_its_link_is() {
     let now = Instant::now();
-    let mut allowance = SendRateLimiter::new(Some(10.0));
+    let mut allowance = SendAllowance::new(Some(10.0));
     assert!(allowance.admit(100_000, now));
     assert!(!allowance.admit(100_000, now), "160 ms of backlog remain");
     assert!(allowance.admit(100_000, now + Duration::from_millis(20)));
-    let mut unlimited = SendRateLimiter::new(None);
+    let mut unlimited = SendAllowance::new(None);
     assert!((0..100).all(|_| unlimited.admit(1_000_000, now)));
 }
--- a/tests/target_table.rs
+++ b/tests/target_table.rs
@@ -10,7 +10,7 @@
                 StalenessBounds, TableFreshness, TargetTable, TargetTableSettings, TargetView,
             },
         },
-        formats::{LoadedAdapter, LoadedModel, TargetRecord, TargetStart, TargetState},
+        formats::{HeldAdapter, HeldModel, TargetRecord, TargetStart, TargetState},
         request::direct::Policy,
     },
     rstest::rstest,
@@ -295,13 +295,13 @@
     let mut world = World::new(Some(holder(1)));
     let started = |at: u64, adapters: &[&str]| {
         let known = target(ENGINE, Some(holder(1)));
-        let adapters = adapters.iter().map(|name| LoadedAdapter {
+        let adapters = adapters.iter().map(|name| HeldAdapter {
             name: name.to_string(),
             version: 1,
         });
         let record = TargetRecord {
             started: Some(TargetStart::from_unix_ms(at)),
-            models: vec![LoadedModel {
+            models: vec![HeldModel {
                 name: "m0".to_string(),
                 adapters: adapters.collect(),
             }],
